--- a/caller/tests/suite/main.rs
+++ b/caller/tests/suite/main.rs
@@ -6,6 +6,7 @@
 mod bad_input;
 mod caller_gone;
 mod cut_stream;
+mod encoded_names;
 mod good_calls;
 mod graceful_close;
 mod problem_table;
--- a/decision/tests/suite/main.rs
+++ b/decision/tests/suite/main.rs
@@ -5,6 +5,7 @@
 mod control_fold;
 mod credentials;
 mod domain_news;
+mod encoded_names;
 mod fixture;
 mod fleet_limits;
 mod group_routes;
--- /dev/null
+++ b/engine/tests/suite/main.rs
@@ -0,0 +1,3 @@
+//! Tests of the engines' client, one file a feature.
+
+mod encoded_names;
--- a/entry/tests/suite/main.rs
+++ b/entry/tests/suite/main.rs
@@ -5,6 +5,7 @@
 mod caller_gone;
 mod claimed_once;
 mod config_race;
+mod encoded_names;
 mod engine_restart;
 mod graceful_stop;
 mod job_results;
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -52,6 +52,9 @@
 #[path = "../tests/unit/aggregator_turns.rs"]
 mod aggregator_turns;
 #[cfg(test)]
+#[path = "../tests/unit/encoded_names.rs"]
+mod encoded_names;
+#[cfg(test)]
 #[path = "../tests/unit/large_fleet.rs"]
 mod large_fleet;
 #[cfg(test)]
--- /dev/null
+++ b/gateway/tests/unit/encoded_names.rs
@@ -0,0 +1,285 @@
+//! A renamed field or variant would make another release or a stored record unreadable.
+
+use std::fmt::Debug;
+use std::time::Duration;
+
+use coltsfoothook_decision::coverage::ToldSpan;
+use coltsfoothook_decision::domain_news::{ListChange, ListedHolding};
+use coltsfoothook_decision::id::{ConfigVersion, TimePoint};
+use coltsfoothook_decision::limit::FleetStanding;
+use coltsfoothook_decision::routing::{
+    AdapterKey, BackendEntry, CallerLimits, HeldAdapter, HeldModel, RouteTable,
+};
+use coltsfoothook_decision::usage::{CustomerUse, ToldUses, UseTotal};
+use expect_test::{Expect, expect};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+
+use crate::message::{
+    AdapterUse, AdapterWish, ConfirmationAnswer, ConfirmationQuestion, DomainNews, DomainSums,
+    GoneServer, LoadNews, PeerMessage, RecordNews, ServerLists, ServerLoad, SharedState,
+    SharedVersion, VmState, decode, encode,
+};
+
+fn same<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: Expect) {
+    let text = serde_json::to_string(value).unwrap();
+    expected.assert_eq(&text);
+    assert_eq!(serde_json::from_str::<T>(&text).unwrap(), *value);
+}
+
+/// The names of all fields, and the datagram, which has the fields' values by their order alone.
+fn same_message(message: PeerMessage, names: Expect, datagram: Expect) {
+    same(&message, names);
+    let bytes = encode(&message).unwrap();
+    let (format, rest) = bytes.split_first().unwrap();
+    let value: Value = rmp_serde::from_slice(rest).unwrap();
+    datagram.assert_eq(&format!("{format} {value}"));
+    assert_eq!(decode(&bytes), Some(message));
+}
+
+fn key() -> AdapterKey {
+    AdapterKey { model: "base".into(), adapter: "swahili".into() }
+}
+
+fn loads() -> Vec<ServerLoad> {
+    vec![ServerLoad { server: "s-1".into(), running: 11, unread: 12 }]
+}
+
+fn uses() -> ToldUses {
+    let total = UseTotal { asked: 1.5, admitted: 2.5 };
+    let uses = vec![CustomerUse { customer: "clinic".into(), total }];
+    ToldUses { life: 13, age_ms: 14, uses }
+}
+
+fn lists() -> ServerLists {
+    let listed =
+        ListedHolding { key: key(), version: 21, usable_in_ms: 22, heat: 23, from_memory: true };
+    let change = ListChange {
+        server: "s-1".into(),
+        born: 24,
+        vm: "vm-1".into(),
+        fence: 25,
+        revision: 26,
+        base: Some(27),
+        free: 28,
+        adapters: vec![listed],
+        dropped: vec![key()],
+    };
+    ServerLists { lists: vec![change], load_us: 29, each_us: 30, shorter: true }
+}
+
+fn entry() -> BackendEntry {
+    let adapters = vec![HeldAdapter { adapter: "swahili".into(), version: 31 }];
+    BackendEntry {
+        server: "s-1".into(),
+        born: 32,
+        service: "speech".into(),
+        address: ([10, 0, 0, 2], 80).into(),
+        domain: "d1".into(),
+        slots: 33,
+        ready: true,
+        heartbeat: 34,
+        position: 35,
+        models: vec![HeldModel { model: "base".into(), adapters }],
+    }
+}
+
+fn versions() -> Vec<SharedVersion> {
+    vec![SharedVersion { key: key(), version: 41 }]
+}
+
+fn question() -> ConfirmationQuestion {
+    ConfirmationQuestion { incarnation: 1, asked: TimePoint(2) }
+}
+
+#[test]
+fn vm_state() {
+    let state = VmState {
+        vm: "vm-1".into(),
+        incarnation: 1,
+        sequence: 2,
+        requests: ([10, 0, 0, 1], 80).into(),
+        ready: true,
+        leaving: false,
+        config: 3,
+        store_age_ms: Some(4),
+        domain: "d1".into(),
+        strong: true,
+        aggregates: false,
+        loads: Some(loads()),
+        uses: Some(uses()),
+        others: vec![([10, 0, 0, 2], 81).into()],
+    };
+    same_message(
+        PeerMessage::State(state),
+        expect![[
+            r#"{"state":{"vm":"vm-1","incarnation":1,"sequence":2,"requests":"10.0.0.1:80","ready":true,"leaving":false,"config":3,"store_age_ms":4,"domain":"d1","strong":true,"aggregates":false,"loads":[{"server":"s-1","running":11,"unread":12}],"uses":{"life":13,"age_ms":14,"uses":[{"customer":"clinic","total":{"asked":1.5,"admitted":2.5}}]},"others":["10.0.0.2:81"]}}"#
+        ]],
+        expect![[
+            r#"6 {"state":["vm-1",1,2,{"V4":[[10,0,0,1],80]},true,false,3,4,"d1",true,false,[["s-1",11,12]],[13,14,[["clinic",[1.5,2.5]]]],[{"V4":[[10,0,0,2],81]}]]}"#
+        ]],
+    );
+}
+
+#[test]
+fn server_lists() {
+    same_message(
+        PeerMessage::Lists(lists()),
+        expect![[
+            r#"{"lists":{"lists":[{"server":"s-1","born":24,"vm":"vm-1","fence":25,"revision":26,"base":27,"free":28,"adapters":[{"key":{"model":"base","adapter":"swahili"},"version":21,"usable_in_ms":22,"heat":23,"from_memory":true}],"dropped":[{"model":"base","adapter":"swahili"}]}],"load_us":29,"each_us":30,"shorter":true}}"#
+        ]],
+        expect![[
+            r#"6 {"lists":[[["s-1",24,"vm-1",25,26,27,28,[[["base","swahili"],21,22,23,true]],[["base","swahili"]]]],29,30,true]}"#
+        ]],
+    );
+}
+
+#[test]
+fn adapter_wish() {
+    let wish = AdapterWish {
+        server: "s-1".into(),
+        key: key(),
+        version: 1,
+        vm: "vm-1".into(),
+        waiting: 2,
+        in_time_ms: 3,
+    };
+    same_message(
+        PeerMessage::Wish(wish),
+        expect![[
+            r#"{"wish":{"server":"s-1","key":{"model":"base","adapter":"swahili"},"version":1,"vm":"vm-1","waiting":2,"in_time_ms":3}}"#
+        ]],
+        expect![[r#"6 {"wish":["s-1",["base","swahili"],1,"vm-1",2,3]}"#]],
+    );
+}
+
+#[test]
+fn adapter_uses() {
+    let used = AdapterUse {
+        server: "s-1".into(),
+        born: 1,
+        key: key(),
+        count: 2,
+        running: 3,
+        too_early: true,
+        missing: false,
+        in_time: true,
+    };
+    same_message(
+        PeerMessage::Uses("vm-1".into(), vec![used]),
+        expect![[
+            r#"{"uses":["vm-1",[{"server":"s-1","born":1,"key":{"model":"base","adapter":"swahili"},"count":2,"running":3,"too_early":true,"missing":false,"in_time":true}]]}"#
+        ]],
+        expect![[r#"6 {"uses":["vm-1",[["s-1",1,["base","swahili"],2,3,true,false,true]]]}"#]],
+    );
+}
+
+#[test]
+fn record_news() {
+    let news = RecordNews {
+        vm: "vm-1".into(),
+        config: 1,
+        operators_age_ms: 2,
+        servers_age_ms: 3,
+        span: ToldSpan { since: 4, up_to: 5 },
+        versions: versions(),
+        entries: vec![entry()],
+        gone: vec![GoneServer { server: "s-2".into(), position: 6 }],
+    };
+    same_message(
+        PeerMessage::News(news),
+        expect![[
+            r#"{"news":{"vm":"vm-1","config":1,"operators_age_ms":2,"servers_age_ms":3,"span":{"since":4,"up_to":5},"versions":[{"key":{"model":"base","adapter":"swahili"},"version":41}],"entries":[{"server":"s-1","born":32,"service":"speech","address":"10.0.0.2:80","domain":"d1","slots":33,"ready":true,"heartbeat":34,"position":35,"models":[{"model":"base","adapters":[{"adapter":"swahili","version":31}]}]}],"gone":[{"server":"s-2","position":6}]}}"#
+        ]],
+        expect![[
+            r#"6 {"news":["vm-1",1,2,3,[4,5],[[["base","swahili"],41]],[["s-1",32,"speech",{"V4":[[10,0,0,2],80]},"d1",33,true,34,35,[["base",[["swahili",31]]]]]],[["s-2",6]]]}"#
+        ]],
+    );
+}
+
+#[test]
+fn load_news() {
+    let news = LoadNews {
+        vm: "vm-1".into(),
+        incarnation: 1,
+        sequence: 2,
+        loads: loads(),
+        uses: Some(uses()),
+    };
+    same_message(
+        PeerMessage::Loads(news),
+        expect![[
+            r#"{"loads":{"vm":"vm-1","incarnation":1,"sequence":2,"loads":[{"server":"s-1","running":11,"unread":12}],"uses":{"life":13,"age_ms":14,"uses":[{"customer":"clinic","total":{"asked":1.5,"admitted":2.5}}]}}}"#
+        ]],
+        expect![[r#"6 {"loads":["vm-1",1,2,[["s-1",11,12]],[13,14,[["clinic",[1.5,2.5]]]]]}"#]],
+    );
+}
+
+#[test]
+fn domain_news() {
+    let standing = FleetStanding { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
+    let news = DomainNews {
+        vm: "vm-1".into(),
+        loads: loads(),
+        lists: lists(),
+        standings: vec![standing],
+        in_touch: 1,
+    };
+    same_message(
+        PeerMessage::Domain(news),
+        expect![[
+            r#"{"domain":{"vm":"vm-1","loads":[{"server":"s-1","running":11,"unread":12}],"lists":{"lists":[{"server":"s-1","born":24,"vm":"vm-1","fence":25,"revision":26,"base":27,"free":28,"adapters":[{"key":{"model":"base","adapter":"swahili"},"version":21,"usable_in_ms":22,"heat":23,"from_memory":true}],"dropped":[{"model":"base","adapter":"swahili"}]}],"load_us":29,"each_us":30,"shorter":true},"standings":[{"customer":"clinic","level":1.5,"asked_per_s":2.5}],"in_touch":1}}"#
+        ]],
+        expect![[
+            r#"6 {"domain":["vm-1",[["s-1",11,12]],[[["s-1",24,"vm-1",25,26,27,28,[[["base","swahili"],21,22,23,true]],[["base","swahili"]]]],29,30,true],[["clinic",1.5,2.5]],1]}"#
+        ]],
+    );
+}
+
+#[test]
+fn domain_sums() {
+    let sums = DomainSums { vm: "vm-1".into(), loads: loads(), uses: uses(), members: 1 };
+    same_message(
+        PeerMessage::Sums(sums),
+        expect![[
+            r#"{"sums":{"vm":"vm-1","loads":[{"server":"s-1","running":11,"unread":12}],"uses":{"life":13,"age_ms":14,"uses":[{"customer":"clinic","total":{"asked":1.5,"admitted":2.5}}]},"members":1}}"#
+        ]],
+        expect![[r#"6 {"sums":["vm-1",[["s-1",11,12]],[13,14,[["clinic",[1.5,2.5]]]],1]}"#]],
+    );
+}
+
+#[test]
+fn confirmations() {
+    same_message(
+        PeerMessage::Question(question()),
+        expect![[r#"{"question":{"incarnation":1,"asked":2}}"#]],
+        expect![[r#"6 {"question":[1,2]}"#]],
+    );
+    let answer = ConfirmationAnswer { question: question(), config: 3, age_ms: 4 };
+    same_message(
+        PeerMessage::Answer(answer),
+        expect![[r#"{"answer":{"question":{"incarnation":1,"asked":2},"config":3,"age_ms":4}}"#]],
+        expect![[r#"6 {"answer":[[1,2],3,4]}"#]],
+    );
+}
+
+#[test]
+fn shared_state() {
+    let limits = CallerLimits {
+        head_bytes: 1,
+        body_bytes: 2,
+        head_time: Duration::from_secs(3),
+        idle_time: Duration::from_millis(4_500),
+    };
+    let table = RouteTable::new(ConfigVersion(5), limits, vec![], vec![]);
+    let state = SharedState { table: Some(table), versions: versions(), entries: vec![entry()] };
+    same(
+        &state,
+        expect![[
+            r#"{"table":{"version":5,"limits":{"head_bytes":1,"body_bytes":2,"head_time":{"secs":3,"nanos":0},"idle_time":{"secs":4,"nanos":500000000}},"routes":[],"services":[],"gaps":[],"customers":{"plans":[],"keys":{"entries":[]}},"ranks":[]},"versions":[{"key":{"model":"base","adapter":"swahili"},"version":41}],"entries":[{"server":"s-1","born":32,"service":"speech","address":"10.0.0.2:80","domain":"d1","slots":33,"ready":true,"heartbeat":34,"position":35,"models":[{"model":"base","adapters":[{"adapter":"swahili","version":31}]}]}]}"#
+        ]],
+    );
+    let value: Value = rmp_serde::from_slice(&rmp_serde::to_vec(&state).unwrap()).unwrap();
+    expect![[r#"[[5,[1,2,[3,0],[4,500000000]],[],[],[],[[],[[]]],[]],[[["base","swahili"],41]],[["s-1",32,"speech",{"V4":[[10,0,0,2],80]},"d1",33,true,34,35,[["base",[["swahili",31]]]]]]]"#]].assert_eq(&value.to_string());
+}
--- a/peer/src/lib.rs
+++ b/peer/src/lib.rs
@@ -26,6 +26,10 @@
 mod settings;
 mod wire;
 
+#[cfg(test)]
+#[path = "../tests/unit/encoded_names.rs"]
+mod encoded_names;
+
 pub use handler::PeerHandler;
 pub use pool::{PeerError, PeerPool, PeerTarget};
 pub use server::PeerServer;
