--- a/decision/src/attempt.rs
+++ b/decision/src/attempt.rs
@@ -1,14 +1,14 @@
-//! What is said of a request at each stage at which a call can fail, and whether it is tried again.
+//! Outcome and retry rules for each stage at which a call can fail.
 //!
-//! The rules are data, so that the code, the tests and docs/FAILURES.md speak of one table. They
-//! err to one side: "not run" is said only where the whole request cannot have left this VM, or
-//! the backend server itself said that it did not run it.
+//! The rules are a data table shared by the code, the tests and docs/FAILURES.md. They are
+//! conservative: "not run" is answered only if the complete request cannot have left this VM, or if
+//! the backend server itself stated that it did not run it.
 //!
 //! ```
 //! use coltsfoothook_decision::attempt::{CallStage, RetryAdvice, stage_rule};
 //! use coltsfoothook_decision::outcome::RequestOutcome;
 //!
-//! let rule = stage_rule(CallStage::SentNoAnswer).ruling(false);
+//! let rule = stage_rule(CallStage::SentNoAnswer).decision(false);
 //! assert_eq!(rule.outcome, RequestOutcome::Unknown);
 //! assert_eq!(rule.retry, RetryAdvice::Never);
 //! ```
@@ -17,20 +17,20 @@
 use crate::outcome::RequestOutcome;
 use crate::retry::{CallDeadline, RetryBudget};
 
-/// The stages at which a call can fail, in the order in which they are passed.
+/// The stages at which a call can fail, in the order in which a call passes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallStage {
-    /// The tenant is over its limit; nothing was sent anywhere.
+    /// The customer is over its limit; nothing was sent anywhere.
     TenantLimit,
     /// The deadline passed while the request waited here or at the owner.
     WaitedTooLong,
-    /// The owner of the group could not be reached or answered that it is none.
+    /// The owner of the group was unreachable or answered that it does not own the group.
     OwnerLost,
     /// The owner refused: its queues are full.
     OwnerRefused,
     /// The adapter could not be loaded anywhere.
     LoadFailed,
-    /// The grant came too late to be used.
+    /// The grant arrived too late to be used.
     GrantVoid,
     /// No connection to the backend server could be opened.
     Connecting,
@@ -42,21 +42,21 @@
     SentTimeout,
     /// The engine does not know the slot: it restarted or the slot was never loaded.
     SlotMissing,
-    /// The backend server says that it did not begin: it is full, drains, or shuts down.
+    /// The backend server stated that it did not begin: it is full, draining or shutting down.
     ServerRefused,
-    /// The backend server answered with an error of its own (a 5xx status).
+    /// The backend server answered with a 5xx status.
     ServerFailed,
-    /// The backend server rejects the request itself (a 4xx status).
+    /// The backend server rejected the request with a 4xx status.
     RequestRejected,
-    /// The answer is for another request, slot or life of the server.
+    /// The answer belongs to another request, slot or incarnation of the server.
     AnswerCrossed,
-    /// The connection broke within the answer.
+    /// The connection broke during the answer.
     InAnswer,
-    /// The answer stalled beyond the deadline.
+    /// The answer stalled until the deadline passed.
     AnswerStalled,
-    /// The answer ended without its end mark, or was longer than allowed.
+    /// The answer ended without its end marker, or exceeded the size limit.
     AnswerCut,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
     /// This VM must stop before the answer is complete.
     VmStops,
@@ -115,43 +115,43 @@
     }
 }
 
-/// Whether a further try makes sense.
+/// Whether a retry is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAdvice {
-    /// No: it would not help, or might run the request twice.
+    /// No retry: it would not help, or might run the request twice.
     Never,
-    /// The same request again, on another server where there is one.
+    /// Repeat the request, on another server if there is one.
     Again,
-    /// If the caller has seen nothing of the answer, the request again; else the stream is resumed
-    /// at its engine, or continued elsewhere from the prompt and what was already sent. The caller
-    /// never gets a splice of two generations.
+    /// If the caller has received nothing of the answer, repeat the request. Otherwise resume the
+    /// stream at its engine, or continue elsewhere from the prompt and the tokens already sent. The
+    /// caller never receives a mix of two generations.
     Resume,
 }
 
-/// What is said of a request, and whether it is tried again before that is said.
+/// Outcome and retry decision for a request that failed at a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StageRuling {
-    /// The outcome if there is no further try.
+pub struct StageDecision {
+    /// The outcome reported to the caller if there is no retry.
     pub outcome: RequestOutcome,
-    /// Whether there may be one.
+    /// Whether a retry is allowed.
     pub retry: RetryAdvice,
 }
 
-/// The rulings of one stage.
+/// The decisions for one stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageRule {
-    /// The stage.
+    /// The stage at which the call failed.
     pub stage: CallStage,
     /// For a request that may run more than once.
-    pub repeatable: StageRuling,
-    /// For a request that must not.
-    pub once: StageRuling,
+    pub repeatable: StageDecision,
+    /// For a request that must not run more than once.
+    pub once: StageDecision,
 }
 
 impl StageRule {
-    /// The ruling for a request that may be repeated, or must not.
+    /// The decision for a repeatable request, or for one that must not run twice.
     #[must_use]
-    pub fn ruling(&self, repeatable: bool) -> StageRuling {
+    pub fn decision(&self, repeatable: bool) -> StageDecision {
         if repeatable { self.repeatable } else { self.once }
     }
 }
@@ -163,8 +163,8 @@
 ) -> StageRule {
     StageRule {
         stage,
-        repeatable: StageRuling { outcome: repeatable.0, retry: repeatable.1 },
-        once: StageRuling { outcome: once.0, retry: once.1 },
+        repeatable: StageDecision { outcome: repeatable.0, retry: repeatable.1 },
+        once: StageDecision { outcome: once.0, retry: once.1 },
     }
 }
 
@@ -174,9 +174,10 @@
 /// One rule for each stage, in the order of [`CallStage::ALL`]. The first pair is for repeatable
 /// requests, the second for others.
 ///
-/// A request of which no whole byte sequence left this VM did not run, whoever asks. Behind that
-/// point a request that must not run twice is never tried again, and only the server's own word
-/// makes it "not run". `Sending` is on the far side: a plain service may act on a part of a body.
+/// A request that did not leave this VM completely did not run, whether or not it is repeatable.
+/// From `Sending` on, a request that must not run twice is never retried, and only a statement by
+/// the server makes it "not run". `Sending` is included because a plain service may act on part of
+/// a body.
 pub const STAGE_RULES: [StageRule; 20] = [
     rule(CallStage::TenantLimit, (NotRun, Never), (NotRun, Never)),
     rule(CallStage::WaitedTooLong, (NotRun, Never), (NotRun, Never)),
@@ -206,38 +207,39 @@
     &STAGE_RULES[stage as usize]
 }
 
-/// What a request is, as far as tries are concerned.
+/// Retry state of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptState {
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Tries so far, the failed one among them.
+    /// Tries so far, including the one that just failed.
     pub tries: u32,
-    /// Whether an earlier try may have run; then the request is never "not run" any more.
+    /// Whether any try may have run; if so, the outcome can no longer be "not run".
     pub may_have_run: bool,
-    /// By when it must be answered.
+    /// Deadline for the answer.
     pub deadline: CallDeadline,
 }
 
-/// What follows a failed try.
+/// What to do after a failed try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptNext {
-    /// Try again, on another server where there is one.
+    /// Retry, on another server if there is one.
     Again,
     /// Resume or continue the stream.
     Resume,
-    /// Tell the caller.
+    /// Answer the caller with this outcome.
     End(RequestOutcome),
 }
 
 impl AttemptState {
-    /// A request that was not tried yet.
+    /// Creates the state of a request that has not been tried yet.
     #[must_use]
     pub fn new(repeatable: bool, deadline: CallDeadline) -> Self {
         Self { repeatable, tries: 0, may_have_run: false, deadline }
     }
 
-    /// Decides what follows a try that failed at `stage`. A retry is taken out of `budget`.
+    /// Records a try that failed at `stage` and decides what to do next. A retry is charged to
+    /// `budget`.
     pub fn fail(
         &mut self,
         now: TimePoint,
@@ -245,23 +247,23 @@
         budget: &mut RetryBudget,
     ) -> AttemptNext {
         self.tries += 1;
-        let ruling = stage_rule(stage).ruling(self.repeatable);
-        self.may_have_run |= ruling.outcome != NotRun;
-        let outcome = self.outcome(ruling.outcome);
-        let least = budget.settings().least_left_ms;
-        let late = self.deadline.left_ms(now).is_some_and(|left| left < least);
-        let spent = self.tries >= budget.settings().tries;
-        if ruling.retry == RetryAdvice::Never || late || spent || !budget.take() {
+        let decision = stage_rule(stage).decision(self.repeatable);
+        self.may_have_run |= decision.outcome != NotRun;
+        let outcome = self.outcome(decision.outcome);
+        let min_left = budget.settings().least_left_ms;
+        let too_late = self.deadline.left_ms(now).is_some_and(|left| left < min_left);
+        let exhausted = self.tries >= budget.settings().tries;
+        if decision.retry == RetryAdvice::Never || too_late || exhausted || !budget.take() {
             return AttemptNext::End(outcome);
         }
-        match ruling.retry {
+        match decision.retry {
             RetryAdvice::Resume => AttemptNext::Resume,
             _ => AttemptNext::Again,
         }
     }
 
-    /// What is said of the whole request when its last try ended with `last`: a second try that
-    /// was not run takes nothing back of a first one that may have run.
+    /// Returns the outcome of the whole request when its last try ended with `last`. A last try
+    /// that did not run does not make the request "not run" if an earlier try may have run.
     #[must_use]
     pub fn outcome(&self, last: RequestOutcome) -> RequestOutcome {
         if last == NotRun && self.may_have_run { Unknown } else { last }
--- a/decision/src/check.rs
+++ b/decision/src/check.rs
@@ -1,9 +1,9 @@
-//! Whether a manifest may come into force.
+//! Validation of a manifest.
 //!
-//! Acceptance is part of the fold over the configuration stream, so every VM of every release has to
-//! reach the same verdict. The rules here are therefore frozen for the record format that carries
-//! the manifest: a stricter or laxer rule needs a new format number. See docs/OPERATORS.md,
-//! "Manifest", for the rules in an operator's words.
+//! Acceptance is part of the fold over the configuration stream, so all VMs, whatever their
+//! release, must reach the same verdict. The rules are therefore frozen for the record format that
+//! carries the manifest: a stricter or laxer rule needs a new format number. See docs/OPERATORS.md,
+//! "Manifest", for a description of the rules.
 //!
 //! ```
 //! use coltsfoothook_decision::check::check_manifest;
@@ -21,16 +21,17 @@
 };
 use crate::value;
 
-/// The most bytes in a name. Names travel in paths, in log lines and in slot names.
+/// Maximum bytes in a name. Names occur in paths, log lines and slot names.
 const MAX_NAME_BYTES: usize = 128;
-/// The most bytes in the path of an adapter's weights.
+/// Maximum bytes in the path of an adapter's weights.
 const MAX_WEIGHTS_BYTES: usize = 1_024;
-/// The most entries in a list of a manifest.
+/// Maximum entries in a list of a manifest.
 const MAX_ENTRIES: usize = 200_000;
-/// Characters that no name may hold, beside white space and control characters: `@` and `#` divide
-/// the parts of slot names and `/` those of paths; the others need escapes in URLs or in quotes.
+/// Characters not allowed in names, besides white space and control characters: `@` and `#`
+/// separate the parts of slot names and `/` those of paths; the others need escaping in URLs or
+/// quotes.
 const FORBIDDEN_NAME_CHARACTERS: &str = "@#/\\\"?%";
-/// The rule for names, as error messages tell it.
+/// The rule for names, for error messages.
 pub const NAME_RULE: &str = "1 to 128 bytes, no white space, no control characters, none of \
                              @#/\\\"?%, not \".\" or \"..\"";
 /// Hexadecimal digits in the SHA-256 hash of a credential.
@@ -49,37 +50,37 @@
 const LEAD_RANGE: RangeInclusive<u64> = 0..=86_400;
 const FULL_SPEED_RANGE: RangeInclusive<u64> = 1..=1_000;
 const GROUP_SERVERS_RANGE: RangeInclusive<u64> = 1..=256;
-const METHOD_LETTERS: RangeInclusive<usize> = 1..=20;
+const METHOD_LENGTH_RANGE: RangeInclusive<usize> = 1..=20;
 
 value! {
-    /// One thing that is wrong with a manifest.
+    /// One fault in a manifest or delta.
     #[derive(Eq)]
     pub struct ManifestFault {
-        /// Where: `adapters["chiller-log"].versions["7"].weights`. Entries stand under their names,
-        /// and under their positions where the name itself is at fault.
+        /// Location, such as `adapters["chiller-log"].versions["7"].weights`. Entries are given by
+        /// name, or by position if the name itself is empty or too long.
         pub path: String,
-        /// What kind of fault it is.
+        /// The kind of fault.
         pub kind: FaultKind,
-        /// What is wrong, with the offending value.
+        /// Description, with the offending value.
         pub detail: String,
-        /// The range or the values that are allowed.
+        /// The allowed range or values.
         pub allowed: String,
     }
 
     /// Kinds of faults.
     #[derive(Copy, Eq)]
     pub enum FaultKind {
-        /// A name, address or credential stands twice.
+        /// A name, address or credential occurs twice.
         Duplicate,
-        /// Something that is referred to is not there.
+        /// A reference to something that does not exist.
         Dangling,
-        /// A name or a text is empty, too long or holds a forbidden character.
+        /// A name or text is empty, too long, or contains a forbidden character.
         BadText,
-        /// A number lies outside its range or is not finite.
+        /// A number is outside its range or not finite.
         OutOfRange,
-        /// A list that must hold something is empty, or one is too long.
+        /// A list has too few or too many entries.
         BadLength,
-        /// Two statements contradict each other.
+        /// Two entries contradict each other.
         Conflict,
     }
 }
@@ -90,51 +91,51 @@
     }
 }
 
-/// Checks a whole manifest and tells every fault, in the order of the manifest's parts.
+/// Validates a manifest and returns all faults, in the order of the manifest's parts.
 ///
-/// The manifest need not be normalized, so that an offline check can name places in the file as it
-/// was written. The work grows with the size of the manifest times its logarithm.
+/// The manifest need not be normalized, so that an offline check can report positions in the file
+/// as written. Takes O(n log n) for a manifest of n entries.
 #[must_use]
 pub fn check_manifest(manifest: &ServingManifest) -> Vec<ManifestFault> {
     let names = KnownNames::collect(manifest);
-    let mut report = FaultReport::default();
-    report.check_lists(manifest);
-    report.check_duplicates(manifest);
+    let mut faults = FaultCollector::default();
+    faults.check_lists(manifest);
+    faults.check_duplicates(manifest);
     for (at, model) in manifest.models.iter().enumerate() {
-        report.name(&entry_path("models", at, model.name.as_str()), model.name.as_str());
+        faults.name(&entry_path("models", at, model.name.as_str()), model.name.as_str());
     }
     for (at, adapter) in manifest.adapters.iter().enumerate() {
-        report.adapter(at, adapter, &names);
+        faults.adapter(at, adapter, &names);
     }
     for (at, tenant) in manifest.tenants.iter().enumerate() {
-        report.tenant(at, tenant);
+        faults.tenant(at, tenant);
     }
-    report.credentials(&manifest.tenants);
+    faults.credentials(&manifest.tenants);
     for (at, server) in manifest.servers.iter().enumerate() {
-        report.server(at, server, &names);
+        faults.server(at, server, &names);
     }
-    report.addresses(&manifest.servers);
-    report.domains(&manifest.servers);
+    faults.addresses(&manifest.servers);
+    faults.domains(&manifest.servers);
     for (at, service) in manifest.services.iter().enumerate() {
-        report.service(at, service, &names);
+        faults.service(at, service, &names);
     }
     for class in &manifest.classes {
-        report.class(class);
+        faults.class(class);
     }
     for (at, schedule) in manifest.schedules.iter().enumerate() {
-        report.schedule(at, schedule, manifest, &names);
+        faults.schedule(at, schedule, manifest, &names);
     }
     for (at, store) in manifest.stores.iter().enumerate() {
-        report.store(at, store);
+        faults.store(at, store);
     }
-    report.real("policy.stall_weight", manifest.policy.stall_weight, &STALL_WEIGHT_RANGE);
+    faults.float("policy.stall_weight", manifest.policy.stall_weight, &STALL_WEIGHT_RANGE);
     let group_servers = u64::from(manifest.policy.group_servers);
-    report.whole("policy.group_servers", group_servers, &GROUP_SERVERS_RANGE);
-    report.faults
+    faults.integer("policy.group_servers", group_servers, &GROUP_SERVERS_RANGE);
+    faults.faults
 }
 
-/// Sorts every list of a manifest, as the look-ups of [`ServingManifest`] require, and writes
-/// credentials in lower case. A manifest without faults has one normal form.
+/// Sorts all lists of a manifest, as the binary searches of [`ServingManifest`] require, and
+/// lowercases credentials. A valid manifest has one normal form.
 pub fn normalize(manifest: &mut ServingManifest) {
     for adapter in &mut manifest.adapters {
         normalize_adapter(adapter);
@@ -172,10 +173,10 @@
     service.repeatable_methods.sort();
 }
 
-/// The names that references are looked up in, sorted.
+/// Sorted names for the lookup of references.
 struct KnownNames<'a> {
     models: Vec<&'a str>,
-    /// Adapters with their positions in the manifest, for schedules.
+    /// Adapter names with their indices in the manifest, for schedules.
     adapters: Vec<(&'a str, usize)>,
     tenants: Vec<&'a str>,
     services: Vec<&'a str>,
@@ -184,8 +185,8 @@
 
 impl<'a> KnownNames<'a> {
     fn collect(manifest: &'a ServingManifest) -> Self {
-        let places = manifest.adapters.iter().enumerate();
-        let mut adapters: Vec<_> = places.map(|(at, entry)| (entry.name.as_str(), at)).collect();
+        let locations = manifest.adapters.iter().enumerate();
+        let mut adapters: Vec<_> = locations.map(|(at, entry)| (entry.name.as_str(), at)).collect();
         adapters.sort_unstable();
         Self {
             models: sorted(manifest.models.iter().map(|entry| entry.name.as_str())),
@@ -208,7 +209,7 @@
     names
 }
 
-/// The path of an entry: under its name if that can be shown, else under its position.
+/// Path of an entry: by name, or by index if the name is empty or too long.
 fn entry_path(list: &str, at: usize, name: &str) -> String {
     if name.is_empty() || name.len() > MAX_NAME_BYTES {
         return format!("{list}[{at}]");
@@ -216,7 +217,7 @@
     format!("{list}[{name:?}]")
 }
 
-/// Whether `name` may stand for something; [`NAME_RULE`] tells the rule.
+/// Whether `name` satisfies [`NAME_RULE`].
 #[must_use]
 pub fn is_good_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len())
@@ -226,29 +227,29 @@
 }
 
 fn is_name_character(c: char) -> bool {
-    // Almost all are of these; the search below costs more than the rest of a check.
+    // Fast path for nearly all characters; the search below would dominate the cost of a check.
     if c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.') {
         return true;
     }
     !c.is_control() && !c.is_whitespace() && !FORBIDDEN_NAME_CHARACTERS.contains(c)
 }
 
-/// A value as it may stand in a message: quoted, and cut where it is too long.
-fn shown(text: &str) -> String {
-    const SHOWN_CHARACTERS: usize = 48;
-    if text.chars().count() <= SHOWN_CHARACTERS {
+/// Formats a value for a message: quoted, and truncated if too long.
+fn quoted(text: &str) -> String {
+    const MAX_CHARACTERS: usize = 48;
+    if text.chars().count() <= MAX_CHARACTERS {
         return format!("{text:?}");
     }
-    let start: String = text.chars().take(SHOWN_CHARACTERS).collect();
+    let start: String = text.chars().take(MAX_CHARACTERS).collect();
     format!("{start:?} and {} bytes more", text.len() - start.len())
 }
 
 #[derive(Default)]
-struct FaultReport {
+struct FaultCollector {
     faults: Vec<ManifestFault>,
 }
 
-impl FaultReport {
+impl FaultCollector {
     fn add(&mut self, path: &str, kind: FaultKind, detail: String, allowed: String) {
         self.faults.push(ManifestFault { path: path.to_owned(), kind, detail, allowed });
     }
@@ -257,11 +258,11 @@
         if is_good_name(name) {
             return;
         }
-        let detail = format!("the name {} is not allowed", shown(name));
+        let detail = format!("the name {} is not allowed", quoted(name));
         self.add(path, FaultKind::BadText, detail, NAME_RULE.to_owned());
     }
 
-    fn whole(&mut self, path: &str, value: u64, range: &RangeInclusive<u64>) {
+    fn integer(&mut self, path: &str, value: u64, range: &RangeInclusive<u64>) {
         if range.contains(&value) {
             return;
         }
@@ -269,7 +270,7 @@
         self.add(path, FaultKind::OutOfRange, format!("{value} is out of range"), allowed);
     }
 
-    fn real(&mut self, path: &str, value: f64, range: &RangeInclusive<f64>) {
+    fn float(&mut self, path: &str, value: f64, range: &RangeInclusive<f64>) {
         if range.contains(&value) {
             return;
         }
@@ -281,7 +282,7 @@
         if known.binary_search(&name).is_ok() {
             return;
         }
-        let detail = format!("there is no {what} {}", shown(name));
+        let detail = format!("there is no {what} {}", quoted(name));
         self.add(
             path,
             FaultKind::Dangling,
@@ -305,28 +306,28 @@
         }
     }
 
-    fn length(&mut self, path: &str, length: usize, least: usize) {
-        if (least..=MAX_ENTRIES).contains(&length) {
+    fn length(&mut self, path: &str, length: usize, min: usize) {
+        if (min..=MAX_ENTRIES).contains(&length) {
             return;
         }
-        let allowed = format!("{least} to {MAX_ENTRIES} entries");
+        let allowed = format!("{min} to {MAX_ENTRIES} entries");
         self.add(path, FaultKind::BadLength, format!("it has {length} entries"), allowed);
     }
 
-    /// Tells each name that stands more than once in a list, once.
+    /// Reports each name that occurs more than once in a list, once.
     fn distinct<'a>(&mut self, list: &str, names: impl Iterator<Item = &'a str> + Clone) {
-        // Accepted manifests are sorted, so a look at neighbours usually settles it.
+        // Accepted manifests are sorted, so comparing neighbours is usually enough.
         if names.clone().is_sorted_by(|a, b| a < b) {
             return;
         }
         let names = sorted(names);
-        let mut last_told = None;
+        let mut last_reported = None;
         for pair in names.windows(2) {
-            if pair[0] != pair[1] || last_told == Some(pair[0]) {
+            if pair[0] != pair[1] || last_reported == Some(pair[0]) {
                 continue;
             }
-            last_told = Some(pair[0]);
-            let detail = format!("{} stands more than once", shown(pair[0]));
+            last_reported = Some(pair[0]);
+            let detail = format!("{} stands more than once", quoted(pair[0]));
             self.add(
                 &entry_path(list, 0, pair[0]),
                 FaultKind::Duplicate,
@@ -350,7 +351,7 @@
     fn adapter(&mut self, at: usize, adapter: &AdapterEntry, names: &KnownNames<'_>) {
         let before = self.faults.len();
         self.adapter_parts(adapter, names);
-        // Almost every adapter is without fault, so its path is made only where one is told.
+        // Almost every adapter is valid, so its path is built only for a fault.
         if self.faults.len() > before {
             let prefix = entry_path("adapters", at, adapter.name.as_str());
             for fault in &mut self.faults[before..] {
@@ -371,7 +372,7 @@
             let known = adapter.versions.iter().any(|entry| entry.version == *default_version);
             if !known {
                 let detail =
-                    format!("the adapter has no version {}", shown(default_version.as_str()));
+                    format!("the adapter has no version {}", quoted(default_version.as_str()));
                 let allowed = "one of the adapter's versions".to_owned();
                 self.add(".default_version", FaultKind::Dangling, detail, allowed);
             }
@@ -398,12 +399,12 @@
         let before = self.faults.len();
         self.name(".version", version.version.as_str());
         let weights = &version.weights;
-        let good = !weights.trim().is_empty()
+        let valid = !weights.trim().is_empty()
             && weights.len() <= MAX_WEIGHTS_BYTES
             && !weights.contains(char::is_control);
-        if !good {
+        if !valid {
             let allowed = format!("1 to {MAX_WEIGHTS_BYTES} bytes without control characters");
-            let detail = format!("the path of the weights is {}", shown(weights));
+            let detail = format!("the path of the weights is {}", quoted(weights));
             self.add(".weights", FaultKind::BadText, detail, allowed);
         }
         if self.faults.len() > before {
@@ -418,43 +419,43 @@
         let path = entry_path("tenants", at, tenant.name.as_str());
         self.name(&format!("{path}.name"), tenant.name.as_str());
         if let Some(rate) = tenant.requests_per_s {
-            self.real(&format!("{path}.requests_per_s"), rate, &RATE_RANGE);
+            self.float(&format!("{path}.requests_per_s"), rate, &RATE_RANGE);
         }
-        self.whole(&format!("{path}.burst"), u64::from(tenant.burst), &BURST_RANGE);
-        self.real(&format!("{path}.weight"), tenant.weight, &WEIGHT_RANGE);
-        for (place, credential) in tenant.credentials.iter().enumerate() {
-            let good = credential.len() == CREDENTIAL_DIGITS
+        self.integer(&format!("{path}.burst"), u64::from(tenant.burst), &BURST_RANGE);
+        self.float(&format!("{path}.weight"), tenant.weight, &WEIGHT_RANGE);
+        for (index, credential) in tenant.credentials.iter().enumerate() {
+            let valid = credential.len() == CREDENTIAL_DIGITS
                 && credential.bytes().all(|digit| digit.is_ascii_hexdigit());
-            if good {
+            if valid {
                 continue;
             }
-            // The value is left out: somebody may have put the credential itself in its place.
+            // The value is omitted, since it may be the credential itself instead of its hash.
             let detail = "it is not the SHA-256 hash of a credential".to_owned();
             let allowed = format!("{CREDENTIAL_DIGITS} hexadecimal digits");
-            self.add(&format!("{path}.credentials[{place}]"), FaultKind::BadText, detail, allowed);
+            self.add(&format!("{path}.credentials[{index}]"), FaultKind::BadText, detail, allowed);
         }
     }
 
-    /// A credential names one tenant; with two, the account that a request runs on is not known.
+    /// Reports credentials used by two tenants; the customer of a request would be ambiguous.
     fn credentials(&mut self, tenants: &[TenantEntry]) {
-        let mut places = Vec::new();
+        let mut locations = Vec::new();
         for (at, tenant) in tenants.iter().enumerate() {
-            for (place, credential) in tenant.credentials.iter().enumerate() {
-                places.push((credential.to_ascii_lowercase(), at, place));
+            for (index, credential) in tenant.credentials.iter().enumerate() {
+                locations.push((credential.to_ascii_lowercase(), at, index));
             }
         }
-        places.sort_unstable();
-        for pair in places.windows(2) {
+        locations.sort_unstable();
+        for pair in locations.windows(2) {
             if pair[0].0 != pair[1].0 {
                 continue;
             }
-            let (_, at, place) = pair[1];
+            let (_, at, index) = pair[1];
             let path = entry_path("tenants", at, tenants[at].name.as_str());
             let first = tenants[pair[0].1].name.as_str();
-            let detail = format!("the credential belongs to tenant {} too", shown(first));
+            let detail = format!("the credential also belongs to tenant {}", quoted(first));
             let allowed = "each credential once in the manifest".to_owned();
             self.add(
-                &format!("{path}.credentials[{place}]"),
+                &format!("{path}.credentials[{index}]"),
                 FaultKind::Duplicate,
                 detail,
                 allowed,
@@ -469,15 +470,15 @@
         self.name(&format!("{path}.region"), server.region.as_str());
         let ip = server.address.ip();
         if server.address.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
-            let detail = format!("nothing can be reached at {}", server.address);
+            let detail = format!("{} is not a valid server address", server.address);
             let allowed = "the IP number of one host and a port from 1 to 65535".to_owned();
             self.add(&format!("{path}.address"), FaultKind::OutOfRange, detail, allowed);
         }
         match &server.serves {
             ServerKind::Engine(engine) => self.engine(&path, server, engine, names),
             ServerKind::Service { service } => {
-                let place = format!("{path}.serves.service.service");
-                self.reference(&place, service.as_str(), &names.services, "service");
+                let path = format!("{path}.serves.service.service");
+                self.reference(&path, service.as_str(), &names.services, "service");
             }
         }
     }
@@ -493,49 +494,50 @@
         let model = engine.model.as_str();
         self.reference(&format!("{engine_path}.model"), model, &names.models, "model");
         let adapter_slots = u64::from(engine.adapter_slots);
-        self.whole(&format!("{engine_path}.adapter_slots"), adapter_slots, &ADAPTER_SLOTS_RANGE);
+        self.integer(&format!("{engine_path}.adapter_slots"), adapter_slots, &ADAPTER_SLOTS_RANGE);
         let batch_slots = u64::from(engine.batch_slots);
-        self.whole(&format!("{engine_path}.batch_slots"), batch_slots, &BATCH_SLOTS_RANGE);
+        self.integer(&format!("{engine_path}.batch_slots"), batch_slots, &BATCH_SLOTS_RANGE);
         if names.regions.binary_search(&server.region.as_str()).is_err() {
-            let detail = format!("region {} has no weight store", shown(server.region.as_str()));
-            let allowed = "a region that stands in `stores`".to_owned();
+            let detail = format!("region {} has no weight store", quoted(server.region.as_str()));
+            let allowed = "a region listed in `stores`".to_owned();
             self.add(&format!("{path}.region"), FaultKind::Dangling, detail, allowed);
         }
     }
 
-    /// Two servers at one address would be given work and orders for each other's slots.
+    /// Reports addresses used by two servers; each would receive requests and orders for the
+    /// other's slots.
     fn addresses(&mut self, servers: &[ServerEntry]) {
-        let places = servers.iter().enumerate();
-        let mut places: Vec<_> = places.map(|(at, server)| (server.address, at)).collect();
-        places.sort_unstable();
-        for pair in places.windows(2) {
+        let locations = servers.iter().enumerate();
+        let mut locations: Vec<_> = locations.map(|(at, server)| (server.address, at)).collect();
+        locations.sort_unstable();
+        for pair in locations.windows(2) {
             if pair[0].0 != pair[1].0 {
                 continue;
             }
             let path = entry_path("servers", pair[1].1, servers[pair[1].1].name.as_str());
             let first = servers[pair[0].1].name.as_str();
-            let detail = format!("server {} has the address {} too", shown(first), pair[1].0);
+            let detail = format!("server {} also has the address {}", quoted(first), pair[1].0);
             let allowed = "each address once in the manifest".to_owned();
             self.add(&format!("{path}.address"), FaultKind::Duplicate, detail, allowed);
         }
     }
 
-    /// A failure domain lies in one region; otherwise the loss of the domain cannot be reckoned with.
+    /// Reports failure domains that span regions; what fails together must be in one region.
     fn domains(&mut self, servers: &[ServerEntry]) {
-        let places = servers.iter().enumerate();
-        let mut places: Vec<_> = places
+        let locations = servers.iter().enumerate();
+        let mut locations: Vec<_> = locations
             .map(|(at, server)| (server.domain.as_str(), server.region.as_str(), at))
             .collect();
-        places.sort_unstable();
-        for pair in places.windows(2) {
+        locations.sort_unstable();
+        for pair in locations.windows(2) {
             if pair[0].0 != pair[1].0 || pair[0].1 == pair[1].1 {
                 continue;
             }
             let path = entry_path("servers", pair[1].2, servers[pair[1].2].name.as_str());
             let detail = format!(
-                "failure domain {} lies in region {} too",
-                shown(pair[1].0),
-                shown(pair[0].1)
+                "failure domain {} is also in region {}",
+                quoted(pair[1].0),
+                quoted(pair[0].1)
             );
             let allowed = "each failure domain in one region".to_owned();
             self.add(&format!("{path}.domain"), FaultKind::Conflict, detail, allowed);
@@ -550,12 +552,12 @@
             service.tenants.iter().map(|name| name.as_str()),
             names,
         );
-        for (place, method) in service.repeatable_methods.iter().enumerate() {
-            let good = METHOD_LETTERS.contains(&method.len())
-                && method.bytes().all(|letter| letter.is_ascii_uppercase());
-            if !good {
-                let path = format!("{path}.repeatable_methods[{place}]");
-                let detail = format!("{} is no method", shown(method));
+        for (index, method) in service.repeatable_methods.iter().enumerate() {
+            let valid = METHOD_LENGTH_RANGE.contains(&method.len())
+                && method.bytes().all(|byte| byte.is_ascii_uppercase());
+            if !valid {
+                let path = format!("{path}.repeatable_methods[{index}]");
+                let detail = format!("{} is not an HTTP method", quoted(method));
                 let allowed = "an HTTP method in upper case, such as GET".to_owned();
                 self.add(&path, FaultKind::BadText, detail, allowed);
             }
@@ -564,8 +566,8 @@
 
     fn class(&mut self, class: &ClassEntry) {
         let path = entry_path("classes", 0, class.class.as_str());
-        self.whole(&format!("{path}.deadline_ms"), class.deadline_ms, &DEADLINE_RANGE);
-        self.whole(&format!("{path}.queue"), u64::from(class.queue), &QUEUE_RANGE);
+        self.integer(&format!("{path}.deadline_ms"), class.deadline_ms, &DEADLINE_RANGE);
+        self.integer(&format!("{path}.queue"), u64::from(class.queue), &QUEUE_RANGE);
     }
 
     fn schedule(
@@ -579,7 +581,7 @@
         self.name(&format!("{path}.name"), &schedule.name);
         match names.adapter(schedule.adapter.as_str(), manifest) {
             None => {
-                let detail = format!("there is no adapter {}", shown(schedule.adapter.as_str()));
+                let detail = format!("there is no adapter {}", quoted(schedule.adapter.as_str()));
                 let allowed = "the name of an adapter in the manifest".to_owned();
                 self.add(&format!("{path}.adapter"), FaultKind::Dangling, detail, allowed);
             }
@@ -588,23 +590,23 @@
                 if !known {
                     let detail = format!(
                         "adapter {} has no version {}",
-                        shown(adapter.name.as_str()),
-                        shown(schedule.version.as_str())
+                        quoted(adapter.name.as_str()),
+                        quoted(schedule.version.as_str())
                     );
                     let allowed = "one of the adapter's versions".to_owned();
                     self.add(&format!("{path}.version"), FaultKind::Dangling, detail, allowed);
                 }
             }
         }
-        self.whole(&format!("{path}.due_s"), u64::from(schedule.due_s), &DUE_RANGE);
-        self.whole(&format!("{path}.every_s"), u64::from(schedule.every_s), &PERIOD_RANGE);
-        self.whole(&format!("{path}.lead_s"), u64::from(schedule.lead_s), &LEAD_RANGE);
+        self.integer(&format!("{path}.due_s"), u64::from(schedule.due_s), &DUE_RANGE);
+        self.integer(&format!("{path}.every_s"), u64::from(schedule.every_s), &PERIOD_RANGE);
+        self.integer(&format!("{path}.lead_s"), u64::from(schedule.lead_s), &LEAD_RANGE);
     }
 
     fn store(&mut self, at: usize, store: &StoreEntry) {
         let path = entry_path("stores", at, store.region.as_str());
         self.name(&format!("{path}.region"), store.region.as_str());
-        self.real(&format!("{path}.loads_per_s"), store.loads_per_s, &RATE_RANGE);
-        self.whole(&format!("{path}.full_speed"), u64::from(store.full_speed), &FULL_SPEED_RANGE);
+        self.float(&format!("{path}.loads_per_s"), store.loads_per_s, &RATE_RANGE);
+        self.integer(&format!("{path}.full_speed"), u64::from(store.full_speed), &FULL_SPEED_RANGE);
     }
 }
--- a/decision/src/claim.rs
+++ b/decision/src/claim.rs
@@ -1,8 +1,8 @@
-//! Requests that must not run twice: claims in the log, and keys that one VM alone may run.
+//! At-most-once execution of requests with an idempotency key: claims in the log, and issued keys.
 //!
-//! A caller's own key is claimed in the log before the run; the first claim in offset order wins.
-//! A key that a VM issued with its list of addresses is run by that life of that VM alone, without
-//! the log. See docs/AGREEMENT.md, "Claims", for what a resend is told in each case.
+//! A key chosen by the caller is claimed in the log before the run; the first claim in offset order
+//! wins. A key issued by a VM with its list of addresses is run only by that incarnation of that
+//! VM, without the log. See docs/AGREEMENT.md, "Claims", for the answer to a resend in each case.
 //!
 //! ```
 //! use coltsfoothook_decision::claim::{ClaimAsk, ClaimSettings, ClaimStart, ClaimTable};
@@ -11,7 +11,7 @@
 //! let vm = VmIdentity { vm: "vm-1".into(), incarnation: VmIncarnation(7) };
 //! let mut table = ClaimTable::new(ClaimSettings::default(), vm);
 //! let key = table.issue();
-//! let ask = ClaimAsk {
+//! let request = ClaimAsk {
 //!     tenant: "ramsa",
 //!     key: key.as_str(),
 //!     fingerprint: RequestFingerprint(1),
@@ -19,8 +19,8 @@
 //!     wall_ms: 0,
 //!     log_up: false,
 //! };
-//! assert_eq!(table.begin(TimePoint(0), &ask), ClaimStart::Run);
-//! assert_ne!(table.begin(TimePoint(0), &ask), ClaimStart::Run);
+//! assert_eq!(table.begin(TimePoint(0), &request), ClaimStart::Run);
+//! assert_ne!(table.begin(TimePoint(0), &request), ClaimStart::Run);
 //! ```
 
 use crate::follow::StreamCursor;
@@ -33,29 +33,29 @@
 use crate::outcome::{RefusalReason, RequestOutcome};
 use crate::record::{ClaimEntry, ClaimRecord};
 
-/// What an issued key begins with; `cf1.<vm>.<incarnation>.<n>`.
+/// Prefix of an issued key, `cf1.<vm>.<incarnation>.<n>`.
 const ISSUED_PREFIX: &str = "cf1.";
-/// The buckets of the claim window. Each is a short sorted vector, so an insertion moves little.
+/// Buckets of the claim window. Each is a short sorted vector, which keeps insertions cheap.
 const CLAIM_BUCKETS: usize = 256;
-/// Bits in a word of the set of used issued keys.
+/// Bits per word of the bitmap of used issued keys.
 const WORD_BITS: u64 = 64;
 
 /// Settings of claims.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClaimSettings {
-    /// How many claims are remembered, the latest in offset order. Counted and not timed, because
-    /// readers whose clocks differ must forget the same ones.
+    /// Number of claims remembered, the latest in offset order. A count and not a time, because
+    /// readers whose clocks differ must forget the same claims.
     pub window_claims: usize,
-    /// Milliseconds for which a key is protected at least; it must be shorter than the log's
-    /// retention. A key that tells its own age (UUID version 7) and is older is refused.
+    /// Minimum milliseconds for which a key is protected; must be shorter than the log's retention.
+    /// An older key that contains its own time (UUID version 7) is refused.
     pub window_ms: u64,
     /// Milliseconds by which the clocks of callers and VMs may differ.
     pub clock_ms: u64,
-    /// Issued keys whose outcome is remembered. Of older ones only their use is.
+    /// Issued keys whose outcome is remembered. Of older ones only the fact of their use is.
     pub issued_kept: usize,
-    /// The most keys that a life of a VM issues, at one bit of memory each.
-    pub issued_most: u64,
-    /// Claims in one append.
+    /// Upper bound of keys that one incarnation of a VM issues, at one bit of memory each.
+    pub max_issued: u64,
+    /// Maximum claims in one append.
     pub batch: usize,
     /// Milliseconds that a claim waits for others to share its append.
     pub flush_ms: u64,
@@ -72,7 +72,7 @@
             window_ms: 3_600_000,
             clock_ms: 30_000,
             issued_kept: 65_536,
-            issued_most: 16_777_216,
+            max_issued: 16_777_216,
             batch: 256,
             flush_ms: 3,
             repeat_ms: 500,
@@ -81,36 +81,36 @@
     }
 }
 
-/// What the fold made of the claim of one request.
+/// Result of folding one claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimVerdict {
-    /// The first claim of the key: its claimer, and nobody else, may run it.
+    /// The first claim of the key: only its claimer may run the request.
     Won,
     /// The same claimer claimed it before, for instance because the append's answer was lost.
     Repeated,
-    /// Another claim came first.
+    /// Another VM's claim came first.
     Lost(KeptClaim),
 }
 
 /// The first claim of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeptClaim {
-    /// Who claimed it.
+    /// The VM that claimed it.
     pub claimer: VmIdentity,
-    /// What was asked.
+    /// Hash of the request's content.
     pub fingerprint: RequestFingerprint,
-    /// Its place in the log.
+    /// Offset of the claim in the log.
     pub offset: u64,
 }
 
-/// A claim's verdict.
+/// A folded claim with its verdict.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClaimRuling {
-    /// The claimer.
+pub struct ClaimResolution {
+    /// The VM that wrote the claim.
     pub claimer: VmIdentity,
-    /// The claim.
+    /// The claim as read from the log.
     pub entry: ClaimEntry,
-    /// What was made of it.
+    /// Result of folding it.
     pub verdict: ClaimVerdict,
 }
 
@@ -120,7 +120,7 @@
     claim: KeptClaim,
 }
 
-/// Which VM claimed which key first, as far as the log was read.
+/// The first claim of each key, up to the last record read from the log.
 #[derive(Clone, Debug)]
 pub struct ClaimFold {
     window: usize,
@@ -130,20 +130,20 @@
 }
 
 impl ClaimFold {
-    /// An empty fold that remembers the latest `window` claims.
+    /// Creates an empty fold that remembers the latest `window` claims.
     #[must_use]
     pub fn new(window: usize) -> Self {
         let buckets = vec![Vec::new(); CLAIM_BUCKETS];
         Self { window, cursor: StreamCursor::default(), buckets, order: Default::default() }
     }
 
-    /// The offset from which the log is to be read on.
+    /// The next log offset to read.
     #[must_use]
     pub fn next(&self) -> u64 {
         self.cursor.next()
     }
 
-    /// The first claim of a key, if it is remembered.
+    /// The first claim of a key; `None` if there is none or it is no longer remembered.
     #[must_use]
     pub fn claim(&self, tenant: &str, key: &str) -> Option<&KeptClaim> {
         let hash = key_hash(tenant, key);
@@ -152,25 +152,25 @@
         found.ok().map(|at| &bucket[at].claim)
     }
 
-    /// Folds the record at `offset`; none for one that was folded before.
-    pub fn fold(&mut self, offset: u64, record: ClaimRecord) -> Vec<ClaimRuling> {
-        if !self.cursor.reaches(offset) {
+    /// Folds the record at `offset`; returns nothing for a record that was folded before.
+    pub fn fold(&mut self, offset: u64, record: ClaimRecord) -> Vec<ClaimResolution> {
+        if !self.cursor.advance(offset) {
             return Vec::new();
         }
         let ClaimRecord { claimer, claims } = record;
-        let judged = claims.into_iter().map(|entry| {
-            let verdict = self.judge(offset, &claimer, &entry);
-            ClaimRuling { claimer: claimer.clone(), entry, verdict }
+        let resolutions = claims.into_iter().map(|entry| {
+            let verdict = self.resolve(offset, &claimer, &entry);
+            ClaimResolution { claimer: claimer.clone(), entry, verdict }
         });
-        judged.collect()
+        resolutions.collect()
     }
 
-    /// Passes over a record that cannot be read.
+    /// Skips a record that cannot be decoded.
     pub fn skip(&mut self, offset: u64) {
-        let _ = self.cursor.reaches(offset);
+        let _ = self.cursor.advance(offset);
     }
 
-    fn judge(&mut self, offset: u64, claimer: &VmIdentity, entry: &ClaimEntry) -> ClaimVerdict {
+    fn resolve(&mut self, offset: u64, claimer: &VmIdentity, entry: &ClaimEntry) -> ClaimVerdict {
         let hash = key_hash(entry.tenant.as_str(), entry.key.as_str());
         let bucket = &mut self.buckets[bucket_of(hash)];
         let at = match bucket.binary_search_by_key(&hash, |entry| entry.hash) {
@@ -201,47 +201,48 @@
     (hash % CLAIM_BUCKETS as u128) as usize
 }
 
-/// Two independent hashes make an accidental match of two keys, which would refuse a request
-/// wrongly, too rare to meet.
+/// Combines two independent 64-bit hashes: a collision of two keys would wrongly refuse a request,
+/// and is negligible at 128 bits.
 fn key_hash(tenant: &str, key: &str) -> u128 {
     let high = stable_hash(&[tenant, key]);
     let low = stable_hash(&[key, "claim", tenant]);
     (u128::from(high) << 64) | u128::from(low)
 }
 
-/// A request with a key that is about to run, or not.
+/// A request with an idempotency key, before it is run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClaimAsk<'a> {
-    /// The tenant.
+    /// The customer; keys of different customers are independent.
     pub tenant: &'a str,
-    /// The key.
+    /// The idempotency key.
     pub key: &'a str,
-    /// What is asked.
+    /// Hash of the request's content.
     pub fingerprint: RequestFingerprint,
-    /// Whether the caller states that it sent the key to nobody before, and sends it to nobody
-    /// else while it waits for this answer. Only then may a VM that cannot ask the log say "not
-    /// run": another try may have run elsewhere.
+    /// Whether the caller states that it sent the key nowhere before and sends it nowhere else
+    /// while it waits for this answer. Only then may a VM that cannot query the log answer "not
+    /// run": otherwise another try may have run elsewhere.
     pub first_try: bool,
-    /// Wall-clock milliseconds since 1970, for keys that tell their age.
+    /// Wall-clock milliseconds since 1970, for keys that contain their time.
     pub wall_ms: u64,
-    /// Whether the log answers appends and reads now.
+    /// Whether the log currently answers appends and reads.
     pub log_up: bool,
 }
 
-/// What is to become of a request with a key.
+/// What to do with a request that has a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimStart {
     /// It may run now, once.
     Run,
     /// Its claim waits for its append to be read back; see [`ClaimTable::read_back`].
     Claiming,
-    /// Another VM alone may run it: ask that one to revoke it, then [`ClaimTable::revoked`].
+    /// Only this other VM may run it: request a revocation there, then call
+    /// [`ClaimTable::revoked`].
     AskRevoke(VmIdentity),
     /// It does not run here.
     Answer(ClaimAnswer),
 }
 
-/// What the caller is told of a request that does not run here.
+/// The answer to the caller of a request that does not run here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimAnswer {
     /// What became of the request under this key, as far as is known.
@@ -259,8 +260,8 @@
         Self { outcome: RequestOutcome::Unknown, reason }
     }
 
-    /// The log cannot be asked. Nothing ran here; whether an earlier try ran elsewhere is known
-    /// only if there was none.
+    /// The answer while the log cannot be queried. Nothing ran here; "not run" is certain only if
+    /// there was no earlier try elsewhere.
     const fn without_log(first_try: bool) -> Self {
         match first_try {
             true => Self::not_run(RefusalReason::LogUnavailable),
@@ -269,18 +270,18 @@
     }
 }
 
-/// What became of a key at this VM.
+/// State of a key at this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum KeyState {
-    /// Its claim is not read back yet. `first_try` is that of the request which waits.
+    /// The claim is not read back yet. `first_try` is that of the waiting request.
     Claiming { first_try: bool },
-    /// The waiting request was answered; when its claim wins, it must not run.
+    /// The waiting request was already answered; the request must not run if the claim wins.
     GivenUp,
-    /// It runs.
+    /// The request is running.
     Running,
-    /// It ended with this outcome.
+    /// The run ended with this outcome.
     Ended(RequestOutcome),
-    /// It never ran and never will.
+    /// The request never ran and never will.
     Revoked,
 }
 
@@ -291,16 +292,16 @@
     state: KeyState,
 }
 
-/// A key that some VM issued.
+/// A key issued by some VM.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IssuedKey {
-    /// The issuer.
+    /// The incarnation that issued the key, which alone may run it.
     pub issuer: VmIdentity,
-    /// The issuer's number for the key.
+    /// The issuer's counter, from 1.
     pub number: u64,
 }
 
-/// Reads a key of the form `cf1.<vm>.<incarnation>.<n>`; none for any other key.
+/// Parses a key of the form `cf1.<vm>.<incarnation>.<n>`; returns `None` for any other key.
 #[must_use]
 pub fn parse_issued(key: &str) -> Option<IssuedKey> {
     let rest = key.strip_prefix(ISSUED_PREFIX)?;
@@ -309,13 +310,13 @@
     let incarnation = VmIncarnation(parts.next()?.parse().ok()?);
     let vm = parts.next().filter(|vm| !vm.is_empty())?.into();
     let read = IssuedKey { issuer: VmIdentity { vm, incarnation }, number };
-    // `+7` and `07` also read as 7: only the form that is handed out is one of ours, or two keys
-    // would stand for one number.
+    // `+7` and `07` also parse as 7. Accepting only the canonical form keeps two keys from standing
+    // for one number.
     (read.to_key().as_str() == key).then_some(read)
 }
 
 impl IssuedKey {
-    /// The key's text.
+    /// Formats the key.
     #[must_use]
     pub fn to_key(&self) -> IdempotencyKey {
         let VmIdentity { vm, incarnation } = &self.issuer;
@@ -323,7 +324,8 @@
     }
 }
 
-/// The time that a key states of itself: UUID version 7 begins with 48 bits of milliseconds.
+/// Returns the time contained in a UUID of version 7, whose first 48 bits are milliseconds since
+/// 1970; `None` for other keys.
 fn key_time_ms(key: &str) -> Option<u64> {
     let bytes = key.as_bytes();
     let dashes = [8, 13, 18, 23].iter().all(|&at| bytes.get(at) == Some(&b'-'));
@@ -333,7 +335,7 @@
     u64::from_str_radix(&format!("{}{}", &key[..8], &key[9..13]), 16).ok()
 }
 
-/// What one VM does with the keys of requests that it is sent.
+/// State of the idempotency keys of requests sent to one VM.
 #[derive(Clone, Debug)]
 pub struct ClaimTable {
     settings: ClaimSettings,
@@ -348,8 +350,8 @@
 }
 
 impl ClaimTable {
-    /// The table of a VM that has just started. A VM keeps nothing, so keys of its earlier lives
-    /// are as strange to it as those of other VMs, and never run.
+    /// Creates the table of a VM that has just started. A VM persists nothing, so keys of its
+    /// earlier incarnations are as unknown to it as those of other VMs, and never run.
     #[must_use]
     pub fn new(settings: ClaimSettings, vm: VmIdentity) -> Self {
         Self {
@@ -365,13 +367,13 @@
         }
     }
 
-    /// The first claims that the log holds.
+    /// The first claims read from the log.
     #[must_use]
     pub fn fold(&self) -> &ClaimFold {
         &self.fold
     }
 
-    /// Passes over a record of the claim stream that cannot be read.
+    /// Skips a record of the claim stream that cannot be decoded.
     pub fn skip(&mut self, offset: u64) {
         self.fold.skip(offset);
     }
@@ -381,100 +383,100 @@
         &mut self.batcher
     }
 
-    /// The checks made here.
+    /// Results of the invariant checks.
     #[must_use]
     pub fn invariants(&self) -> &InvariantLog {
         &self.invariants
     }
 
-    /// Hands out a key that this life of this VM alone will run. When the life has issued its most
-    /// keys the last one is handed out again; it runs once like any other.
+    /// Issues a key that only this incarnation of this VM runs. Once [`ClaimSettings::max_issued`]
+    /// keys have been issued, the last one is returned again; it runs once like any other.
     pub fn issue(&mut self) -> IdempotencyKey {
-        self.issued = (self.issued + 1).min(self.settings.issued_most);
+        self.issued = (self.issued + 1).min(self.settings.max_issued);
         IssuedKey { issuer: self.vm.clone(), number: self.issued }.to_key()
     }
 
-    /// Decides what becomes of a request with a key.
-    pub fn begin(&mut self, now: TimePoint, ask: &ClaimAsk<'_>) -> ClaimStart {
-        match parse_issued(ask.key) {
-            Some(issued) => self.begin_issued(&issued, ask),
-            None => self.begin_claim(now, ask),
+    /// Decides what to do with a request that has a key.
+    pub fn begin(&mut self, now: TimePoint, request: &ClaimAsk<'_>) -> ClaimStart {
+        match parse_issued(request.key) {
+            Some(issued) => self.begin_issued(&issued, request),
+            None => self.begin_claim(now, request),
         }
     }
 
-    fn begin_issued(&mut self, issued: &IssuedKey, ask: &ClaimAsk<'_>) -> ClaimStart {
+    fn begin_issued(&mut self, issued: &IssuedKey, request: &ClaimAsk<'_>) -> ClaimStart {
         if issued.issuer.vm != self.vm.vm {
             return ClaimStart::AskRevoke(issued.issuer.clone());
         }
-        // A VM that restarted knows nothing of what its earlier life ran.
+        // After a restart nothing is known of what the earlier incarnation ran.
         if issued.issuer.incarnation != self.vm.incarnation {
             return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::KeyExpired));
         }
         if issued.number == 0 || issued.number > self.issued {
             return ClaimStart::Answer(ClaimAnswer::not_run(RefusalReason::KeyExpired));
         }
-        if let Some(entry) = self.entry(ask.tenant, ask.key) {
-            return known_answer(entry, ask);
+        if let Some(entry) = self.entry(request.tenant, request.key) {
+            return known_answer(entry, request);
         }
         if self.is_used(issued.number) {
             return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::KeyExpired));
         }
         self.set_used(issued.number);
-        self.remember(ask, KeyState::Running);
+        self.remember(request, KeyState::Running);
         ClaimStart::Run
     }
 
-    fn begin_claim(&mut self, now: TimePoint, ask: &ClaimAsk<'_>) -> ClaimStart {
-        let given_up = match self.entry(ask.tenant, ask.key) {
+    fn begin_claim(&mut self, now: TimePoint, request: &ClaimAsk<'_>) -> ClaimStart {
+        let retried = match self.entry(request.tenant, request.key) {
             Some(entry) if entry.state == KeyState::GivenUp => true,
-            Some(entry) => return known_answer(entry, ask),
+            Some(entry) => return known_answer(entry, request),
             None => false,
         };
-        if let Some(claim) = self.fold.claim(ask.tenant, ask.key) {
-            return claimed_answer(claim, &self.vm, ask.fingerprint);
+        if let Some(claim) = self.fold.claim(request.tenant, request.key) {
+            return claimed_answer(claim, &self.vm, request.fingerprint);
         }
-        let oldest = ask.wall_ms.saturating_sub(self.settings.window_ms);
+        let oldest = request.wall_ms.saturating_sub(self.settings.window_ms);
         let limit = oldest + self.settings.clock_ms;
-        if oldest > 0 && key_time_ms(ask.key).is_some_and(|time| time < limit) {
+        if oldest > 0 && key_time_ms(request.key).is_some_and(|time| time < limit) {
             return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::KeyExpired));
         }
-        if !ask.log_up {
-            return ClaimStart::Answer(ClaimAnswer::without_log(ask.first_try));
+        if !request.log_up {
+            return ClaimStart::Answer(ClaimAnswer::without_log(request.first_try));
         }
         let entry = ClaimEntry {
-            tenant: ask.tenant.into(),
-            key: ask.key.into(),
-            fingerprint: ask.fingerprint,
-            at_ms: ask.wall_ms,
+            tenant: request.tenant.into(),
+            key: request.key.into(),
+            fingerprint: request.fingerprint,
+            at_ms: request.wall_ms,
         };
         if !self.batcher.push(now, entry) {
             let reason = RefusalReason::Overloaded;
-            let outcome = ClaimAnswer::without_log(ask.first_try).outcome;
+            let outcome = ClaimAnswer::without_log(request.first_try).outcome;
             return ClaimStart::Answer(ClaimAnswer { outcome, reason });
         }
-        if given_up {
-            self.forget(ask.tenant, ask.key);
+        if retried {
+            self.forget(request.tenant, request.key);
         }
-        self.remember(ask, KeyState::Claiming { first_try: ask.first_try });
+        self.remember(request, KeyState::Claiming { first_try: request.first_try });
         ClaimStart::Claiming
     }
 
-    /// Folds a record of the claim stream and decides on the requests that waited for it. Entries
-    /// that are not this VM's, or that wait no longer, bring nothing.
+    /// Folds a record of the claim stream and decides the requests that waited for it. Entries of
+    /// other VMs, or that no request waits for, have no outcome.
     pub fn read_back(&mut self, offset: u64, record: ClaimRecord) -> Vec<ClaimOutcome> {
-        let rulings = self.fold.fold(offset, record);
+        let resolutions = self.fold.fold(offset, record);
         let mut outcomes = Vec::new();
-        for ruling in rulings {
-            if ruling.claimer == self.vm {
-                self.batcher.landed(&ruling.entry);
+        for resolution in resolutions {
+            if resolution.claimer == self.vm {
+                self.batcher.confirm(&resolution.entry);
             }
-            outcomes.extend(self.decide(ruling));
+            outcomes.extend(self.decide(resolution));
         }
         outcomes
     }
 
-    fn decide(&mut self, ruling: ClaimRuling) -> Option<ClaimOutcome> {
-        let (tenant, key) = (ruling.entry.tenant, ruling.entry.key);
+    fn decide(&mut self, resolution: ClaimResolution) -> Option<ClaimOutcome> {
+        let (tenant, key) = (resolution.entry.tenant, resolution.entry.key);
         let claim = self.fold.claim(tenant.as_str(), key.as_str()).cloned()?;
         let won = claim.claimer == self.vm;
         let entry = self.entry_mut(tenant.as_str(), key.as_str())?;
@@ -493,21 +495,22 @@
             }
             _ => None,
         };
-        // The claim of another VM came first: this VM will never run the key, and forgets it, so
-        // that a resend asks that VM.
+        // Another VM's claim came first, so this VM will never run the key. Forgetting it makes a
+        // resend query that VM.
         if !won {
             self.batcher.drop_claim(tenant.as_str(), key.as_str());
             self.forget(tenant.as_str(), key.as_str());
         }
         let start = start?;
         self.invariants.check(InvariantName::AtMostOnce, won == (start == ClaimStart::Run), || {
-            format!("key {key} of {tenant} starts without the first claim")
+            format!("key {key} of {tenant} started without holding the first claim")
         });
         Some(ClaimOutcome { tenant, key, start })
     }
 
-    /// The request no longer waits for its claim: its deadline passed, its caller went away, or
-    /// the log went down. Nothing ran and nothing will, even if the claim lands later.
+    /// Ends the wait for a claim because the deadline passed, the caller disconnected or the log
+    /// became unavailable. The request did not run and will not, even if the claim is read back
+    /// later.
     pub fn give_up(&mut self, tenant: &str, key: &str, reason: RefusalReason) -> ClaimAnswer {
         self.batcher.drop_claim(tenant, key);
         let Some(entry) = self.entry_mut(tenant, key) else {
@@ -521,18 +524,19 @@
         ClaimAnswer { outcome, reason }
     }
 
-    /// The run ended. With "not run" the key stays usable nowhere: a resend is told so again.
+    /// Records the end of a run. After "not run" the key cannot be used anywhere: a resend gets the
+    /// same answer.
     pub fn end(&mut self, tenant: &str, key: &str, outcome: RequestOutcome) {
         let entry = self.entry_mut(tenant, key);
         let running = entry.as_ref().is_some_and(|entry| entry.state == KeyState::Running);
-        let detail = || format!("key {key} of {tenant} ended without running");
+        let message = || format!("key {key} of {tenant} ended, but was not running");
         if let Some(entry) = entry {
             entry.state = KeyState::Ended(outcome);
         }
-        self.invariants.check(InvariantName::AtMostOnce, running, detail);
+        self.invariants.check(InvariantName::AtMostOnce, running, message);
     }
 
-    /// Another VM asks to revoke a key that this VM alone may run.
+    /// Handles another VM's request to revoke a key that only this VM may run.
     pub fn revoke(&mut self, call: &RevokeCall) -> RevokeReply {
         let (tenant, key) = (call.tenant.as_str(), call.key.as_str());
         if let Some(entry) = self.entry_mut(tenant, key) {
@@ -540,9 +544,9 @@
         }
         let Some(issued) = parse_issued(key) else {
             let claim = self.fold.claim(tenant, key);
-            let mine = claim.is_some_and(|claim| claim.claimer == self.vm);
-            let doubt = if mine { RevokeDoubt::NoAnswer } else { RevokeDoubt::NotMine };
-            return RevokeReply::Unknown(doubt);
+            let own = claim.is_some_and(|claim| claim.claimer == self.vm);
+            let reason = if own { RevokeDoubt::NoAnswer } else { RevokeDoubt::NotMine };
+            return RevokeReply::Unknown(reason);
         };
         if issued.issuer.vm != self.vm.vm || issued.number == 0 {
             return RevokeReply::Unknown(RevokeDoubt::NotMine);
@@ -557,7 +561,7 @@
             return RevokeReply::Unknown(RevokeDoubt::NoAnswer);
         }
         self.set_used(issued.number);
-        let ask = ClaimAsk {
+        let request = ClaimAsk {
             tenant,
             key,
             fingerprint: call.fingerprint,
@@ -565,12 +569,12 @@
             wall_ms: 0,
             log_up: false,
         };
-        self.remember(&ask, KeyState::Revoked);
+        self.remember(&request, KeyState::Revoked);
         RevokeReply::Revoked
     }
 
-    /// What the caller is told after the VM that alone may run the key was asked; `reply` is none
-    /// if it could not be reached.
+    /// Returns the answer to the caller after a revocation request to the VM that alone may run the
+    /// key. `reply` is `None` if that VM was unreachable.
     #[must_use]
     pub fn revoked(reply: Option<RevokeReply>) -> ClaimAnswer {
         match reply {
@@ -613,17 +617,18 @@
         found.ok().map(|at| &mut bucket[at])
     }
 
-    fn remember(&mut self, ask: &ClaimAsk<'_>, state: KeyState) {
-        let hash = key_hash(ask.tenant, ask.key);
+    fn remember(&mut self, request: &ClaimAsk<'_>, state: KeyState) {
+        let hash = key_hash(request.tenant, request.key);
         let bucket = &mut self.buckets[bucket_of(hash)];
         if let Err(at) = bucket.binary_search_by_key(&hash, |entry| entry.hash) {
-            bucket.insert(at, KeyEntry { hash, fingerprint: ask.fingerprint, state });
+            bucket.insert(at, KeyEntry { hash, fingerprint: request.fingerprint, state });
             self.order.push_back(hash);
         }
         self.drop_old_keys();
     }
 
-    /// Forgets the outcomes of old keys, never one that claims or runs: those go to the back.
+    /// Forgets the outcome of the oldest key; a key that is being claimed or run is kept and moved
+    /// to the back.
     fn drop_old_keys(&mut self) {
         if self.order.len() <= self.settings.issued_kept {
             return;
@@ -649,14 +654,14 @@
     }
 }
 
-/// What becomes of a request whose claim was read back.
+/// Decision on a request whose claim was read back.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClaimOutcome {
-    /// The tenant.
+    /// The customer.
     pub tenant: CustomerName,
-    /// The key.
+    /// The idempotency key.
     pub key: IdempotencyKey,
-    /// Run, ask another VM, or answer.
+    /// What to do with the request; never [`ClaimStart::Claiming`].
     pub start: ClaimStart,
 }
 
@@ -675,9 +680,9 @@
     }
 }
 
-/// The answer to a resend of a key that this VM remembers.
-fn known_answer(entry: &KeyEntry, ask: &ClaimAsk<'_>) -> ClaimStart {
-    if entry.fingerprint != ask.fingerprint {
+/// Returns the answer to a resend of a key that this VM remembers.
+fn known_answer(entry: &KeyEntry, request: &ClaimAsk<'_>) -> ClaimStart {
+    if entry.fingerprint != request.fingerprint {
         return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::KeyReused));
     }
     let reason = RefusalReason::AlreadyClaimed;
@@ -691,12 +696,16 @@
     ClaimStart::Answer(ClaimAnswer { outcome, reason })
 }
 
-/// The answer to a key that the log says was claimed.
-fn claimed_answer(claim: &KeptClaim, vm: &VmIdentity, asked: RequestFingerprint) -> ClaimStart {
-    if claim.fingerprint != asked {
+/// Returns the answer for a key that is already claimed in the log.
+fn claimed_answer(
+    claim: &KeptClaim,
+    vm: &VmIdentity,
+    fingerprint: RequestFingerprint,
+) -> ClaimStart {
+    if claim.fingerprint != fingerprint {
         return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::KeyReused));
     }
-    // Claimed by this very VM and forgotten, or by its earlier life: it may have run.
+    // Claimed by this VM and since forgotten, or by its earlier incarnation: it may have run.
     if claim.claimer.vm == vm.vm {
         return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::AlreadyClaimed));
     }
@@ -710,7 +719,7 @@
     sent: Option<TimePoint>,
 }
 
-/// Puts the claims of many requests into one append.
+/// Batches the claims of many requests into one append.
 #[derive(Clone, Debug)]
 pub struct ClaimBatcher {
     vm: VmIdentity,
@@ -733,7 +742,7 @@
         }
     }
 
-    /// Adds a claim; false if the queue is full.
+    /// Queues a claim; returns false if the queue is full.
     fn push(&mut self, now: TimePoint, entry: ClaimEntry) -> bool {
         if self.open.len() >= self.queue {
             return false;
@@ -742,11 +751,12 @@
         true
     }
 
-    /// The record to append now, if one is due: enough claims wait, or one waited long enough.
+    /// Returns the record to append now: when a full batch waits, or the oldest claim has waited
+    /// for the flush time.
     ///
-    /// A claim stays open until it is read back. An append whose answer was lost may have taken
-    /// effect; its claims are appended again only after a while, and a second claim of the same VM
-    /// changes nothing.
+    /// A claim stays queued until it is read back. An append whose answer was lost may have taken
+    /// effect; its claims are appended again after the repeat time. A second claim by the same VM
+    /// has no effect.
     pub fn take_due(&mut self, now: TimePoint) -> Option<ClaimRecord> {
         let waits = self.open.iter().filter(|claim| claim.due(now, self.repeat));
         let count = waits.clone().count();
@@ -764,7 +774,7 @@
         Some(ClaimRecord { claimer: self.vm.clone(), claims })
     }
 
-    /// When [`Self::take_due`] is to be called next; none while nothing waits.
+    /// When [`Self::take_due`] is to be called next; `None` while no claim waits.
     #[must_use]
     pub fn next_due(&self) -> Option<TimePoint> {
         let due = self.open.iter().map(|claim| match claim.sent {
@@ -774,7 +784,7 @@
         due.min()
     }
 
-    fn landed(&mut self, entry: &ClaimEntry) {
+    fn confirm(&mut self, entry: &ClaimEntry) {
         self.drop_claim(entry.tenant.as_str(), entry.key.as_str());
     }
 
--- a/decision/src/config.rs
+++ b/decision/src/config.rs
@@ -1,9 +1,9 @@
-//! Which configuration is in force: a pure fold over the log that every reader computes alike.
+//! Fold over the configuration stream: the configuration in force.
 //!
-//! A publication is accepted if its base is the version in force at its place in the log, so of two
-//! racing operators the first in offset order wins and the other is told. A reader that starts
-//! after retention took the beginning waits for a snapshot behind which it can fold every record.
-//! See docs/AGREEMENT.md, "Configuration".
+//! A publication is accepted if its base is the version in force at its offset, so of two racing
+//! operators the first in offset order wins and the other gets [`ConfigVerdict::Stale`]. A reader
+//! that starts after retention dropped the beginning of the stream waits for a snapshot from which
+//! it can fold all later records. See docs/AGREEMENT.md, "Configuration".
 //!
 //! ```
 //! use coltsfoothook_decision::config::{ConfigFold, ConfigVerdict};
@@ -31,11 +31,11 @@
 use crate::manifest::{ServingManifest, VersionedManifest};
 use crate::record::{ConfigChange, ConfigRecord, RecentPublish};
 
-/// How many accepted publications are remembered, so that a repeat is known as one. At the target's
-/// 5,000 changes a day this is an hour, far longer than any tool repeats a publication.
+/// Accepted publications that are remembered to recognise repeats. At 5,000 changes a day this
+/// covers an hour, far longer than any tool repeats a publication.
 pub const RECENT_PUBLISHES: usize = 256;
 
-/// What the fold made of a record.
+/// Result of folding one record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigVerdict {
     /// The publication is in force as this version.
@@ -44,31 +44,31 @@
     Repeated(ConfigVersion),
     /// Another publication came first: the base is not the version in force.
     Stale {
-        /// The version that the publication builds on.
+        /// The version that the publication was made against.
         base: ConfigVersion,
-        /// The version in force at its place.
+        /// The version in force at its offset.
         in_force: ConfigVersion,
     },
-    /// The manifest, or the one that the delta gives, has faults; it is never in force.
+    /// The manifest, or the one that results from the delta, has faults and never comes into force.
     Rejected(Vec<ManifestFault>),
-    /// A snapshot gave a reader that had missed records this version.
+    /// A reader that had missed records took this version from a snapshot.
     Adopted(ConfigVersion),
-    /// The record changes nothing: a snapshot of what is known, or a record folded before.
+    /// The record has no effect: a snapshot of known state, or a record folded before.
     Nothing,
 }
 
-/// A record's verdict, with what is needed to tell the publisher.
+/// A folded record's verdict, with the id needed to answer the publisher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigRuling {
     /// The record's offset.
     pub offset: u64,
-    /// The publisher's id, for a publication.
+    /// The publisher's id; `None` unless the record is a publication.
     pub publish_id: Option<String>,
-    /// What was made of it.
+    /// Result of folding it.
     pub verdict: ConfigVerdict,
 }
 
-/// The configuration in force, as far as the log was read.
+/// The configuration in force up to the last record read.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigFold {
     cursor: StreamCursor<ConfigRecord>,
@@ -91,82 +91,85 @@
         &self.manifest
     }
 
-    /// The version and manifest in force.
+    /// The version in force with a copy of its manifest.
     #[must_use]
     pub fn in_force(&self) -> VersionedManifest {
         VersionedManifest { version: self.version, manifest: (*self.manifest).clone() }
     }
 
-    /// The offset from which the log is to be read on.
+    /// The next log offset to read.
     #[must_use]
     pub fn next(&self) -> u64 {
         self.cursor.next()
     }
 
-    /// Whether every record up to [`Self::next`] is reflected. A VM that started after retention,
-    /// or that retention overtook, is not whole until it has a snapshot, and must not take work on
-    /// the strength of this fold.
+    /// Whether the state includes every record before [`Self::next`]. A VM that missed records
+    /// because of retention is not complete until it has a snapshot, and must not accept requests
+    /// based on this fold.
     #[must_use]
     pub fn whole(&self) -> bool {
-        self.cursor.whole()
+        self.cursor.is_complete()
     }
 
-    /// The checks made here.
+    /// Results of the invariant checks.
     #[must_use]
     pub fn invariants(&self) -> &InvariantLog {
         &self.invariants
     }
 
-    /// Folds the record at `offset`. Usually one ruling comes back; a snapshot that makes the fold
-    /// whole brings those of the records that waited for it.
+    /// Folds the record at `offset`. Usually returns one verdict; a snapshot that completes the
+    /// state also returns those of the records that were buffered for it.
     pub fn fold(&mut self, offset: u64, record: ConfigRecord) -> Vec<ConfigRuling> {
-        if !self.cursor.reaches(offset) {
+        if !self.cursor.advance(offset) {
             return vec![ConfigRuling::of(offset, &record, ConfigVerdict::Nothing)];
         }
-        if self.cursor.whole() {
+        if self.cursor.is_complete() {
             return vec![self.apply(offset, record)];
         }
-        let usable = matches!(&record, ConfigRecord::Snapshot { through, .. } if self.cursor.usable(*through));
+        let usable = matches!(&record, ConfigRecord::Snapshot { through, .. } if self.cursor.can_continue_from(*through));
         if !usable {
-            self.cursor.hold(offset, record);
+            self.cursor.buffer(offset, record);
             return Vec::new();
         }
         let verdict = self.take_snapshot(record);
-        let mut rulings = vec![ConfigRuling { offset, publish_id: None, verdict }];
-        for (offset, record) in self.cursor.release() {
-            rulings.push(self.apply(offset, record));
+        let mut resolutions = vec![ConfigRuling { offset, publish_id: None, verdict }];
+        for (offset, record) in self.cursor.take_buffered() {
+            resolutions.push(self.apply(offset, record));
         }
-        rulings
+        resolutions
     }
 
-    /// Tells the fold which offset the log still holds. A reader that has not read so far will
-    /// never see the records before it, and a stream that retention emptied looks like a new one.
+    /// Sets the first offset that the log still holds. A reader that has not read that far will
+    /// never see the records before it, and a stream emptied by retention would look like a new
+    /// one.
     pub fn retained_from(&mut self, first: u64) {
         self.cursor.retained_from(first);
     }
 
-    /// Passes over a record that cannot be read: of an unknown format, or none of ours. Every
-    /// reader of a release passes over the same ones.
+    /// Skips a record that cannot be decoded because of its format. All readers of one release skip
+    /// the same records.
     pub fn skip(&mut self, offset: u64) {
-        let _ = self.cursor.reaches(offset);
+        let _ = self.cursor.advance(offset);
     }
 
-    /// Takes a peer's snapshot if it holds more of the log than this fold, which then reads on
-    /// behind it. Returns the version that came into force, if any did.
+    /// Takes over a peer's snapshot if it includes more of the log than this fold, which continues
+    /// reading after it. Returns the version in force afterwards, or `None` if the snapshot was not
+    /// used.
     pub fn adopt(&mut self, record: ConfigRecord) -> Option<ConfigVersion> {
         let ConfigRecord::Snapshot { through, version, .. } = record else { return None };
-        if !self.cursor.gains(through) || version < self.version {
+        if !self.cursor.is_behind(through) || version < self.version {
             return None;
         }
         self.take_snapshot(record);
-        self.cursor.jump(through);
-        for (offset, record) in self.cursor.release() {
+        self.cursor.advance_to(through);
+        for (offset, record) in self.cursor.take_buffered() {
             self.apply(offset, record);
         }
         Some(self.version)
     }
 
-    /// The record that holds the whole state, for the log and for peers; none while not whole.
+    /// The record that holds the whole state, for the log and for peers; `None` while records are
+    /// missing.
     #[must_use]
     pub fn snapshot(&self) -> Option<ConfigRecord> {
         self.whole().then(|| ConfigRecord::Snapshot {
@@ -183,17 +186,18 @@
                 ConfigRuling { offset, publish_id: None, verdict: ConfigVerdict::Nothing }
             }
             ConfigRecord::Publish { base, publish_id, change } => {
-                let verdict = self.judge(base, &publish_id, change);
+                let verdict = self.resolve(base, &publish_id, change);
                 ConfigRuling { offset, publish_id: Some(publish_id), verdict }
             }
         }
     }
 
-    fn judge(&mut self, base: ConfigVersion, id: &str, change: ConfigChange) -> ConfigVerdict {
+    fn resolve(&mut self, base: ConfigVersion, id: &str, change: ConfigChange) -> ConfigVerdict {
         if let Some(known) = self.recent.iter().find(|known| known.publish_id == id) {
             return ConfigVerdict::Repeated(known.version);
         }
-        // Two operators who publish on the same base would otherwise undo each other's change.
+        // Prevents two operators who publish against the same base from undoing each other's
+        // change.
         if base != self.version {
             return ConfigVerdict::Stale { base, in_force: self.version };
         }
@@ -230,7 +234,7 @@
         let ConfigRecord::Snapshot { version, through, recent, manifest } = record else {
             return ConfigVerdict::Nothing;
         };
-        self.cursor.begin_at(through);
+        self.cursor.complete_with(through);
         self.recent = recent;
         self.recent.truncate(RECENT_PUBLISHES);
         self.set(version, manifest);
@@ -238,9 +242,9 @@
     }
 
     fn set(&mut self, version: ConfigVersion, manifest: ServingManifest) {
-        let was = self.version;
-        self.invariants.check(InvariantName::ConfigNeverReverts, version >= was, || {
-            format!("version {was} was in force, then {version}")
+        let before = self.version;
+        self.invariants.check(InvariantName::ConfigNeverReverts, version >= before, || {
+            format!("version {before} was in force, then {version}")
         });
         self.version = version;
         self.manifest = Arc::new(manifest);
--- a/decision/src/control.rs
+++ b/decision/src/control.rs
@@ -1,7 +1,8 @@
-//! Ownership, orders, drains and suspects: the fold over the control stream.
+//! Fold over the control stream: group ownership, load order intents, drains and suspects.
 //!
-//! The first record in offset order wins: a takeover counts if it names the epoch in force at its
-//! place, an intent if its epoch is in force there. See docs/AGREEMENT.md, "Ownership".
+//! The first record in offset order wins: a takeover is accepted if it names the epoch in force at
+//! its offset, an intent is valid if its epoch is in force there. See docs/AGREEMENT.md,
+//! "Ownership".
 //!
 //! ```
 //! use coltsfoothook_decision::control::{ControlFold, ControlVerdict};
@@ -23,52 +24,52 @@
 };
 use crate::invariant::{InvariantLog, InvariantName};
 use crate::record::{
-    ControlRecord, ControlSnapshot, CrashedLife, GroupOwnership, OpenIntent, SuspectEntry,
+    ControlRecord, ControlSnapshot, CrashedIncarnation, GroupOwnership, OpenIntent, SuspectEntry,
 };
 
-/// Open orders that are kept for each engine. An owner sends an order right after it reads the
-/// intent back and has few in flight, so older ones have long had their effect.
-const INTENTS_KEPT: usize = 16;
-/// Ended lives that are kept for each server, to count a crash once.
-const LIVES_KEPT: usize = 8;
-/// Suspects that are kept; beyond it those with the fewest crashes are forgotten.
-const SUSPECTS_KEPT: usize = 4_096;
+/// Intents kept per engine. An owner sends an order right after reading the intent back and has few
+/// in flight, so the orders of older intents have taken effect.
+const MAX_INTENTS: usize = 16;
+/// Crashed incarnations kept per server, to count each crash once.
+const MAX_CRASHES: usize = 8;
+/// Suspects kept; beyond that, the ones with the fewest crashes as the only suspect are dropped.
+const MAX_SUSPECTS: usize = 4_096;
 
-/// What the fold made of a record.
+/// Result of folding one record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlVerdict {
-    /// The takeover counts; this is the ownership in force.
+    /// The takeover is accepted; this ownership is in force.
     Owned(GroupOwnership),
-    /// The takeover does not count: this epoch is in force already.
+    /// The takeover is rejected; this epoch is already in force.
     Superseded(OwnerEpoch),
     /// The intent is valid: its owner may send the order.
     IntentValid(OpenIntent),
-    /// The intent is void: this epoch is in force. The order must never be sent.
+    /// The intent is void because this epoch is in force. The order must never be sent.
     IntentVoid(OpenIntent, OwnerEpoch),
-    /// A server drains or no longer does.
+    /// The server's drain was started (true) or ended (false).
     ServerDrain(ServerName, bool),
-    /// A VM drains or no longer does.
+    /// The VM's drain was started (true) or ended (false).
     VmDrain(VmName, bool),
     /// A crash was counted against these suspects.
     Crashed(Vec<SuspectEntry>),
-    /// The suspect is none any more.
+    /// The request is no longer a suspect.
     Cleared(RequestFingerprint),
-    /// A snapshot gave a reader that had missed records its state.
+    /// A reader that had missed records took its state from a snapshot.
     Adopted,
-    /// The record changes nothing.
+    /// The record has no effect.
     Nothing,
 }
 
-/// A record's verdict.
+/// A folded record's offset and verdict.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlRuling {
     /// The record's offset.
     pub offset: u64,
-    /// What was made of it.
+    /// Result of folding it.
     pub verdict: ControlVerdict,
 }
 
-/// The state of the control stream, as far as it was read.
+/// State of the control stream up to the last record read.
 #[derive(Clone, Debug, Default)]
 pub struct ControlFold {
     cursor: StreamCursor<ControlRecord>,
@@ -83,32 +84,32 @@
         &self.state.owners
     }
 
-    /// The ownership of `group`, if it was ever taken.
+    /// The ownership of `group`; `None` if it never had an owner.
     #[must_use]
     pub fn owner(&self, group: &str) -> Option<&GroupOwnership> {
         self.find(group).ok().map(|at| &self.state.owners[at])
     }
 
-    /// The epoch in force of `group`; 0 if it was never taken.
+    /// The epoch in force of `group`; 0 if it never had an owner.
     #[must_use]
     pub fn epoch(&self, group: &str) -> OwnerEpoch {
         self.owner(group).map_or(OwnerEpoch(0), |owner| owner.epoch)
     }
 
-    /// The orders that owners of `group` may still send or have sent of late, in offset order. A
-    /// new owner treats the slots that they name as unknown until the engine reports them.
+    /// The orders that owners of `group` may still send or have sent recently, in offset order. A
+    /// new owner treats the slots named in them as unknown until the engine reports them.
     pub fn intents<'a>(&'a self, group: &'a str) -> impl Iterator<Item = &'a OpenIntent> {
         self.state.intents.iter().filter(move |intent| intent.group.as_str() == group)
     }
 
-    /// Whether an operator drains the server.
+    /// Whether the server is being drained by an operator.
     #[must_use]
     pub fn server_drains(&self, server: &str) -> bool {
         let servers = &self.state.draining_servers;
         servers.binary_search_by(|name| name.as_str().cmp(server)).is_ok()
     }
 
-    /// Whether an operator drains the VM.
+    /// Whether the VM is being drained by an operator.
     #[must_use]
     pub fn vm_drains(&self, vm: &str) -> bool {
         self.state.draining_vms.binary_search_by(|name| name.as_str().cmp(vm)).is_ok()
@@ -120,19 +121,19 @@
         &self.state.suspects
     }
 
-    /// The offset from which the log is to be read on.
+    /// The next log offset to read.
     #[must_use]
     pub fn next(&self) -> u64 {
         self.cursor.next()
     }
 
-    /// Whether every record up to [`Self::next`] is reflected.
+    /// Whether the state includes every record before [`Self::next`].
     #[must_use]
     pub fn whole(&self) -> bool {
-        self.cursor.whole()
+        self.cursor.is_complete()
     }
 
-    /// The checks made here.
+    /// Results of the invariant checks.
     #[must_use]
     pub fn invariants(&self) -> &InvariantLog {
         &self.invariants
@@ -140,54 +141,55 @@
 
     /// Folds the record at `offset`; see [`crate::config::ConfigFold::fold`].
     pub fn fold(&mut self, offset: u64, record: ControlRecord) -> Vec<ControlRuling> {
-        if !self.cursor.reaches(offset) {
+        if !self.cursor.advance(offset) {
             return vec![ControlRuling { offset, verdict: ControlVerdict::Nothing }];
         }
-        if self.cursor.whole() {
+        if self.cursor.is_complete() {
             return vec![self.apply(offset, record)];
         }
         match record {
-            ControlRecord::Snapshot(state) if self.cursor.usable(state.through) => {
+            ControlRecord::Snapshot(state) if self.cursor.can_continue_from(state.through) => {
                 self.take_snapshot(*state);
-                let mut rulings = vec![ControlRuling { offset, verdict: ControlVerdict::Adopted }];
-                for (offset, record) in self.cursor.release() {
-                    rulings.push(self.apply(offset, record));
+                let mut resolutions =
+                    vec![ControlRuling { offset, verdict: ControlVerdict::Adopted }];
+                for (offset, record) in self.cursor.take_buffered() {
+                    resolutions.push(self.apply(offset, record));
                 }
-                rulings
+                resolutions
             }
             record => {
-                self.cursor.hold(offset, record);
+                self.cursor.buffer(offset, record);
                 Vec::new()
             }
         }
     }
 
-    /// Passes over a record that cannot be read.
+    /// Skips a record that cannot be decoded.
     pub fn skip(&mut self, offset: u64) {
-        let _ = self.cursor.reaches(offset);
+        let _ = self.cursor.advance(offset);
     }
 
-    /// Tells the fold which offset the log still holds; see
+    /// Sets the first offset that the log still holds; see
     /// [`crate::config::ConfigFold::retained_from`].
     pub fn retained_from(&mut self, first: u64) {
         self.cursor.retained_from(first);
     }
 
-    /// Takes a peer's state if it holds more of the log than this fold. Returns whether it did.
+    /// Takes a peer's state if it includes more of the log than this fold. Returns whether it did.
     pub fn adopt(&mut self, state: ControlSnapshot) -> bool {
         let through = state.through;
-        if !self.cursor.gains(through) {
+        if !self.cursor.is_behind(through) {
             return false;
         }
         self.take_snapshot(state);
-        self.cursor.jump(through);
-        for (offset, record) in self.cursor.release() {
+        self.cursor.advance_to(through);
+        for (offset, record) in self.cursor.take_buffered() {
             self.apply(offset, record);
         }
         true
     }
 
-    /// The whole state, for the log and for peers; none while not whole.
+    /// The whole state, for the log and for peers; `None` while records are missing.
     #[must_use]
     pub fn snapshot(&self) -> Option<ControlSnapshot> {
         let through = self.cursor.next();
@@ -202,7 +204,7 @@
                 format!("group {} went from epoch {} to {epoch}", before.group, before.epoch)
             });
         }
-        self.cursor.begin_at(state.through);
+        self.cursor.complete_with(state.through);
         self.state = state;
     }
 
@@ -210,7 +212,15 @@
         let verdict = match record {
             ControlRecord::Takeover { group, after, owner } => self.take_over(group, after, owner),
             ControlRecord::Intent { group, epoch, number, server, incarnation, evict, load } => {
-                self.intend(OpenIntent { group, epoch, number, server, incarnation, evict, load })
+                self.record_intent(OpenIntent {
+                    group,
+                    epoch,
+                    number,
+                    server,
+                    incarnation,
+                    evict,
+                    load,
+                })
             }
             ControlRecord::DrainServer { server, draining } => {
                 set_name(&mut self.state.draining_servers, &server, draining);
@@ -243,8 +253,8 @@
         owner: VmIdentity,
     ) -> ControlVerdict {
         let in_force = self.epoch(group.as_str());
-        // Two VMs that saw the owner die both take over; without this the second would depose the
-        // first, whose orders are under way already.
+        // Two VMs that see the owner die may both append a takeover. The second must not depose the
+        // first, which already sends orders.
         if after != in_force {
             return ControlVerdict::Superseded(in_force);
         }
@@ -257,17 +267,17 @@
         ControlVerdict::Owned(ownership)
     }
 
-    fn intend(&mut self, intent: OpenIntent) -> ControlVerdict {
+    fn record_intent(&mut self, intent: OpenIntent) -> ControlVerdict {
         let in_force = self.epoch(intent.group.as_str());
-        // A paused owner wakes and writes an intent behind the takeover of its group: it is void,
-        // so the engine, which checks nothing, never sees the order.
+        // An owner that was paused may write an intent after the takeover of its group. The intent
+        // is void, so that an engine that does not check fencing numbers never receives the order.
         if intent.epoch != in_force || in_force == OwnerEpoch(0) {
             return ControlVerdict::IntentVoid(intent, in_force);
         }
         let intents = &mut self.state.intents;
         intents.push(intent.clone());
         let same = |other: &OpenIntent| other.server == intent.server;
-        if intents.iter().filter(|other| same(other)).count() > INTENTS_KEPT {
+        if intents.iter().filter(|other| same(other)).count() > MAX_INTENTS {
             let oldest = intents.iter().position(same).unwrap_or_default();
             intents.remove(oldest);
         }
@@ -280,27 +290,28 @@
         incarnation: ServerIncarnation,
         suspects: &[RequestFingerprint],
     ) -> ControlVerdict {
-        let life = CrashedLife { server, incarnation };
-        // Owner and runner both see the crash and may both record it; a repeated append brings it
-        // twice as well. Counted twice, one crash would condemn an innocent request.
-        let Err(at) = self.state.crashes.binary_search(&life) else {
+        let crash = CrashedIncarnation { server, incarnation };
+        // The owner and the VM that ran the request may both record the crash, and an append may be
+        // repeated. One crash counted twice could condemn an innocent request.
+        let Err(at) = self.state.crashes.binary_search(&crash) else {
             return ControlVerdict::Nothing;
         };
-        self.state.crashes.insert(at, life.clone());
-        self.drop_lives(&life);
+        self.state.crashes.insert(at, crash.clone());
+        self.drop_old_crashes(&crash);
         let alone = u32::from(suspects.len() == 1);
         let counted = suspects.iter().map(|suspect| self.count_suspect(*suspect, alone)).collect();
         self.drop_suspects();
         ControlVerdict::Crashed(counted)
     }
 
-    /// Lives are drawn numbers, so the oldest is not known by order; the ones before the newest
-    /// addition go first, and a life that ended long ago is no longer reported by anybody.
-    fn drop_lives(&mut self, newest: &CrashedLife) {
+    /// Bounds the crashed incarnations kept per server. Incarnations are random numbers, so their
+    /// age is unknown; any but the newest is dropped. An incarnation that ended long ago is no
+    /// longer reported by any VM.
+    fn drop_old_crashes(&mut self, newest: &CrashedIncarnation) {
         let crashes = &mut self.state.crashes;
-        let same = |life: &CrashedLife| life.server == newest.server;
-        if crashes.iter().filter(|life| same(life)).count() > LIVES_KEPT {
-            let drop = crashes.iter().position(|life| same(life) && life != newest);
+        let same = |crash: &CrashedIncarnation| crash.server == newest.server;
+        if crashes.iter().filter(|crash| same(crash)).count() > MAX_CRASHES {
+            let drop = crashes.iter().position(|crash| same(crash) && crash != newest);
             drop.map(|at| crashes.remove(at));
         }
     }
@@ -318,7 +329,7 @@
     }
 
     fn drop_suspects(&mut self) {
-        while self.state.suspects.len() > SUSPECTS_KEPT {
+        while self.state.suspects.len() > MAX_SUSPECTS {
             let weakest = self.state.suspects.iter().enumerate();
             let weakest = weakest.min_by_key(|(_, suspect)| (suspect.alone, suspect.crashes));
             let Some((at, _)) = weakest else { return };
--- a/decision/src/delta.rs
+++ b/decision/src/delta.rs
@@ -1,42 +1,43 @@
-//! Changes to a manifest, applied and checked.
+//! Application of a delta to a manifest.
 //!
-//! A publication of a few adapters out of tens of thousands travels as a delta. Its effect is part of
-//! the fold over the configuration stream, so the rules are frozen with the record format, as those
-//! of [`crate::check`] are.
+//! A publication that changes a few of tens of thousands of adapters is sent as a delta. Applying
+//! it is part of the fold over the configuration stream, so the rules are frozen with the record
+//! format, as are those of [`crate::check`].
 
 use crate::check::{FaultKind, ManifestFault, check_manifest, normalize};
 use crate::manifest::{ManifestDelta, ServingManifest};
 
 /// Applies `delta` to `base` and checks the result.
 ///
-/// `base` has to be normalized, as every accepted manifest is; the result is normalized too. Entries
-/// that are put in replace those of the same name whole.
+/// `base` must be normalized, as every accepted manifest is; the result is normalized too. Entries
+/// under `put` replace entries of the same name completely.
 ///
 /// # Errors
 ///
-/// Every fault of the delta itself (a name that is taken out but is not there, one that is put in
-/// twice or is put in and taken out), or else every fault of the manifest that it would make.
+/// All faults of the delta itself (a name in `remove` that `base` does not have, a name listed
+/// twice, or one listed in both `put` and `remove`); if there are none, all faults of the resulting
+/// manifest.
 pub fn apply_delta(
     base: &ServingManifest,
     delta: &ManifestDelta,
 ) -> Result<ServingManifest, Vec<ManifestFault>> {
     let mut merger = ListMerger::default();
     let put = &delta.put;
-    let out = &delta.remove;
+    let remove = &delta.remove;
     let mut merged = ServingManifest {
-        models: merger.merge("models", &base.models, &put.models, &out.models, |x| &x.name),
+        models: merger.merge("models", &base.models, &put.models, &remove.models, |x| &x.name),
         adapters: merger
-            .merge("adapters", &base.adapters, &put.adapters, &out.adapters, |x| &x.name),
-        tenants: merger.merge("tenants", &base.tenants, &put.tenants, &out.tenants, |x| &x.name),
-        servers: merger.merge("servers", &base.servers, &put.servers, &out.servers, |x| &x.name),
+            .merge("adapters", &base.adapters, &put.adapters, &remove.adapters, |x| &x.name),
+        tenants: merger.merge("tenants", &base.tenants, &put.tenants, &remove.tenants, |x| &x.name),
+        servers: merger.merge("servers", &base.servers, &put.servers, &remove.servers, |x| &x.name),
         services: merger
-            .merge("services", &base.services, &put.services, &out.services, |x| &x.name),
+            .merge("services", &base.services, &put.services, &remove.services, |x| &x.name),
         classes: merger.merge("classes", &base.classes, &put.classes, &[], |x| &x.class),
         schedules: merger.merge(
             "schedules",
             &base.schedules,
             &put.schedules,
-            &out.schedules,
+            &remove.schedules,
             |x| &x.name,
         ),
         stores: merger.merge("stores", &base.stores, &put.stores, &[], |x| &x.region),
@@ -57,7 +58,8 @@
 }
 
 impl ListMerger {
-    /// Merges sorted `base` with `put`, without the names of `remove`, in one pass over `base`.
+    /// Merges sorted `base` with `put` and leaves out the names in `remove`, in one pass over
+    /// `base`.
     fn merge<T, K>(
         &mut self,
         list: &str,
@@ -77,20 +79,25 @@
         for pair in added.windows(2) {
             if key(pair[0]) == key(pair[1]) {
                 let path = format!("put.{list}");
-                self.add(&path, key(pair[0]), FaultKind::Duplicate, "is put in twice");
+                self.add(&path, key(pair[0]), FaultKind::Duplicate, "is listed twice");
             }
         }
         let path = format!("remove.{list}");
         for pair in removed.windows(2) {
             if pair[0] == pair[1] {
-                self.add(&path, pair[0], FaultKind::Duplicate, "is taken out twice");
+                self.add(&path, pair[0], FaultKind::Duplicate, "is listed twice");
             }
         }
         for name in &removed {
             if added.binary_search_by(|entry| key(entry).cmp(name)).is_ok() {
-                self.add(&path, *name, FaultKind::Conflict, "is put in and taken out");
+                self.add(&path, *name, FaultKind::Conflict, "is listed both in put and in remove");
             } else if base.binary_search_by(|entry| key(entry).cmp(name)).is_err() {
-                self.add(&path, *name, FaultKind::Dangling, "is taken out but is not in the base");
+                self.add(
+                    &path,
+                    *name,
+                    FaultKind::Dangling,
+                    "is to be removed but is not in the base",
+                );
             }
         }
         let mut merged = Vec::with_capacity(base.len() + added.len());
--- a/decision/src/event.rs
+++ b/decision/src/event.rs
@@ -1,5 +1,5 @@
-//! What goes into a group's owner and comes out of it: [`OwnerEvent`]s that its process reports,
-//! [`OwnerAction`]s that the process carries out, and the orders to engines that both name.
+//! Interface of a group's owner: [`OwnerEvent`]s reported by its process, [`OwnerAction`]s that the
+//! process executes, and the orders to engines that both refer to.
 
 use crate::grant::{GrantRefusal, HeldGrant, ReleaseCall, RequestSpec, SlotGrant};
 use crate::id::{
@@ -10,257 +10,260 @@
 use crate::report::EngineReport;
 use crate::topology::GroupTopology;
 
-/// What an order asks of an engine.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineOrder {
-    /// Load `adapter` under the name `slot`.
+    /// Load `adapter` into a slot named `slot`.
     Load {
-        /// The slot's name.
+        /// The slot's name at the engine.
         slot: SlotName,
-        /// What to load.
+        /// The adapter and version to load.
         adapter: AdapterVersion,
     },
     /// Unload the slot.
     Unload {
-        /// The slot's name.
+        /// The slot's name at the engine.
         slot: SlotName,
     },
 }
 
-/// How an order ended.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The engine did it, or had done it before.
+    /// The engine executed it, now or earlier.
     Done,
     /// The engine refused it because it knows a later epoch: this owner is deposed.
     Stale,
-    /// The engine failed to do it; its state is as before.
+    /// The engine failed to execute it; its state is unchanged.
     Failed,
     /// There was no answer: the order may take effect at any time.
     Unknown,
 }
 
-/// What happens to an owner.
+/// Input of an owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerEvent {
-    /// A VM asks for a grant. `ticket` names the question until it is answered.
+    /// A VM requests a grant. `ticket` identifies the request until it is answered.
     Reserve {
-        /// Chosen by the process, not used before.
+        /// Chosen by the process; never reused.
         ticket: u64,
-        /// Who asks.
+        /// The requesting VM.
         asker: VmIdentity,
-        /// What is to run.
+        /// The request to place.
         spec: RequestSpec,
     },
-    /// The asker went away or withdrew the question. A grant that is out must be released instead.
+    /// The requester disconnected or withdrew the request. A grant already given must be released
+    /// instead.
     Withdraw {
-        /// The question.
+        /// The ticket of the request.
         ticket: u64,
     },
-    /// A grant is given back.
+    /// A grant was returned.
     Release(ReleaseCall),
-    /// An engine's report.
+    /// An engine sent a report.
     Report {
-        /// The engine.
+        /// The engine that sent it.
         server: ServerName,
-        /// What it said.
+        /// The report's content.
         report: EngineReport,
     },
-    /// An engine did not answer when it was asked for a report.
+    /// An engine did not answer a poll for its report.
     ReportFailed {
-        /// The engine.
+        /// The engine that was polled.
         server: ServerName,
     },
-    /// An order ended.
+    /// An order has a result.
     OrderDone {
-        /// Its number.
+        /// The order's number, from [`OwnerAction::SendOrder`].
         number: u64,
-        /// How.
+        /// The result.
         result: OrderResult,
     },
     /// An intent of this owner was read back from the log.
     IntentRead {
-        /// Its number.
+        /// The intent's number, from [`OwnerAction::AppendIntent`].
         number: u64,
-        /// Whether this owner's epoch was in force at its place.
+        /// Whether this owner's epoch was in force at its offset.
         valid: bool,
     },
-    /// An intent of an earlier epoch, whose owner may still send the order if it was paused.
+    /// An intent of an earlier epoch was read; if its owner was paused, it may still send the
+    /// order.
     OldIntent {
-        /// The engine.
+        /// The engine that the order is for.
         server: ServerName,
         /// The slot that may still be evicted.
         evict: Option<SlotName>,
     },
-    /// The VMs of the region that are listed, or were until a short while ago.
+    /// The VMs of the region that are listed, or were until recently.
     VmLive {
-        /// Their names.
+        /// The VMs' names.
         vms: Vec<VmName>,
-        /// Whether a majority of those listed is alive in this VM's view.
+        /// Whether a majority of the listed VMs is alive in this VM's view.
         majority: bool,
     },
-    /// A VM is gone in this VM's view.
+    /// A VM incarnation is dead in this VM's view.
     VmGone {
-        /// The VM and its life.
+        /// The VM and its incarnation.
         vm: VmIdentity,
     },
-    /// A VM tells which grants of earlier epochs it holds. It uses no further ones of them.
+    /// A VM reported the grants of earlier epochs that it holds. It will use no others of these
+    /// epochs.
     Held {
-        /// Who tells.
+        /// The reporting VM.
         vm: VmIdentity,
-        /// The grants.
+        /// The grants that it holds.
         grants: Vec<HeldGrant>,
     },
-    /// A backend server drains, or no longer does.
+    /// The drain of a backend server was started or ended.
     ServerDraining {
-        /// The engine.
+        /// The drained server.
         server: ServerName,
-        /// Whether it drains.
+        /// True if the server is being drained.
         draining: bool,
     },
-    /// The configuration changed.
+    /// The group's configuration changed.
     Topology(GroupTopology),
-    /// A summary is due, whose adapter should be loaded before.
+    /// A scheduled summary is coming up; its adapter should be loaded ahead.
     Schedule {
-        /// What it uses.
+        /// The adapter that it uses.
         adapter: AdapterVersion,
         /// Milliseconds until it is due.
         due_in_ms: u64,
-        /// Milliseconds before that at which its adapter should be loaded.
+        /// Milliseconds before the due time at which its adapter should be loaded.
         lead_ms: u64,
     },
-    /// The suspects by the control stream.
+    /// The suspects according to the control stream.
     Suspects(Vec<SuspectEntry>),
-    /// Whether the log can be written.
+    /// The log was found to be writable or not.
     LogState {
-        /// Whether it can.
+        /// Whether appends currently succeed.
         writable: bool,
     },
-    /// Time passes. Due every 20 to 100 ms.
+    /// Timer; due every 20 to 100 ms.
     Tick,
 }
 
-/// What the process does for an owner.
+/// An action for the owner's process to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerAction {
-    /// Answers a question: the request may run.
+    /// Answer a request: it may run.
     Grant {
-        /// The question.
+        /// The ticket of the request.
         ticket: u64,
-        /// The grant.
+        /// The grant to send to the requester.
         grant: SlotGrant,
     },
-    /// Answers a question: the request did not run and is no longer queued.
+    /// Answer a request: it did not run and is no longer queued.
     Refuse {
-        /// The question.
+        /// The ticket of the request.
         ticket: u64,
-        /// Why, and when to come back.
+        /// The reason, and when to retry.
         refusal: GrantRefusal,
     },
-    /// Appends an intent to the control stream and reports it once it is read back.
+    /// Append an intent to the control stream, and report it once it is read back.
     AppendIntent {
-        /// The intent's number.
+        /// Number to report in [`OwnerEvent::IntentRead`].
         number: u64,
-        /// The engine.
+        /// The engine that the order is for.
         server: ServerName,
-        /// The engine's life.
+        /// The engine's incarnation to which the order applies.
         incarnation: ServerIncarnation,
-        /// The slot that is to be evicted.
+        /// The slot to be evicted.
         evict: Option<SlotName>,
-        /// The slot that is to be loaded.
+        /// The slot to be loaded.
         load: Option<SlotName>,
     },
-    /// Sends an order to an engine, once, and reports how it ended.
+    /// Send an order to an engine, once, and report its result.
     SendOrder {
-        /// The order's number.
+        /// Number to report in [`OwnerEvent::OrderDone`].
         number: u64,
-        /// The engine.
+        /// The engine to send it to.
         server: ServerName,
-        /// The engine's life to which it applies.
+        /// The engine's incarnation to which it applies.
         incarnation: ServerIncarnation,
-        /// The fencing number.
+        /// The owner's epoch, sent as fencing number.
         epoch: OwnerEpoch,
-        /// What is ordered.
+        /// The order's content.
         order: EngineOrder,
     },
-    /// Asks VMs for the grants of earlier epochs that they hold.
+    /// Query VMs for the grants of earlier epochs that they hold.
     AskHeld {
-        /// Whom.
+        /// The VMs to query.
         vms: Vec<VmName>,
     },
-    /// Appends a crash to the control stream.
+    /// Append a crash to the control stream.
     RecordCrash {
-        /// The engine.
+        /// The engine that crashed.
         server: ServerName,
-        /// The life that ended.
+        /// The incarnation that ended.
         incarnation: ServerIncarnation,
-        /// What is suspected.
+        /// The requests that ran on it.
         suspects: Vec<RequestFingerprint>,
     },
-    /// Appends to the control stream that a suspect ran whole.
+    /// Append to the control stream that a suspect completed.
     RecordCleared {
-        /// The suspect.
+        /// Hash of the suspect's content.
         fingerprint: RequestFingerprint,
     },
-    /// Something worth a line in the log and a count.
+    /// Log the note and count it.
     Note(OwnerNote),
 }
 
-/// What an owner noticed.
+/// An occurrence for the log and the metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerNote {
-    /// A load ended well.
+    /// A load succeeded.
     Loaded {
-        /// The engine.
+        /// The engine that loaded it.
         server: ServerName,
-        /// What was loaded.
+        /// The loaded adapter.
         adapter: AdapterVersion,
         /// Milliseconds from the decision to the engine's answer.
         took_ms: u64,
         /// Whether it was loaded ahead of a schedule.
         ahead: bool,
     },
-    /// A load failed or its result is not known.
+    /// A load failed or its result is unknown.
     LoadFailed {
-        /// The engine.
+        /// The engine that was sent the order.
         server: ServerName,
-        /// What was to be loaded.
+        /// The adapter to be loaded.
         adapter: AdapterVersion,
-        /// Failures in a row.
+        /// Consecutive failures.
         failures: u32,
     },
-    /// An adapter was unloaded for another.
+    /// An adapter was unloaded to free its slot for another.
     Evicted {
-        /// The engine.
+        /// The engine that unloaded it.
         server: ServerName,
-        /// The slot.
+        /// The slot's name.
         slot: SlotName,
     },
-    /// An engine runs in a new life.
+    /// An engine runs as a new incarnation.
     Restarted {
-        /// The engine.
+        /// The engine that restarted.
         server: ServerName,
-        /// The new life.
+        /// The new incarnation.
         incarnation: ServerIncarnation,
-        /// Grants that were out.
+        /// Grants on the engine at that time.
         grants: u32,
     },
     /// An engine is down.
     Down {
-        /// The engine.
+        /// The engine that is down.
         server: ServerName,
     },
     /// An engine lost a slot without an order of this owner.
     SlotLost {
-        /// The engine.
+        /// The engine that lost it.
         server: ServerName,
-        /// The slot.
+        /// The slot's name.
         slot: SlotName,
-        /// Grants that were out on it.
+        /// Grants on the slot at that time.
         grants: u32,
     },
-    /// Slots of earlier epochs may be evicted from now on.
+    /// Slots inherited from earlier epochs may be evicted from now on.
     InheritedFree,
-    /// Another VM owns the group by a later epoch; no further order goes out.
+    /// Another VM owns the group in a later epoch; this owner sends no further orders.
     Deposed,
 }
--- a/decision/src/grant.rs
+++ b/decision/src/grant.rs
@@ -1,9 +1,9 @@
-//! The protocol between an entry VM that holds a request and the VM that owns its group.
+//! Messages between an entry VM, which holds a request, and the VM that owns the request's group.
 //!
-//! The entry VM asks the owner for a *grant*, runs the request on the engine that the grant names,
-//! and releases the grant. The owner pins the adapter's slot from the grant to its release, and it
-//! is the only one that orders loads and evictions, so an adapter in use is never evicted. The
-//! answer's bytes never pass through the owner. See docs/DESIGN.md, "Groups and grants".
+//! The entry VM requests a *grant* from the owner, runs the request on the engine that the grant
+//! names, and releases the grant. The owner pins the adapter's slot from the grant to its release,
+//! and only the owner orders loads and evictions, so an adapter in use is never evicted. Response
+//! bodies do not pass through the owner. See docs/DESIGN.md, "Groups and grants".
 
 use crate::id::{
     AdapterVersion, CustomerName, GroupName, ModelName, OwnerEpoch, RequestFingerprint, RequestId,
@@ -13,59 +13,62 @@
 use crate::value;
 
 value! {
-    /// What the owner needs to know of a request to place it.
+    /// What the owner needs to place a request.
     pub struct RequestSpec {
         /// The request's id, for logs and for `explain`.
         pub id: RequestId,
-        /// On whose account it runs.
+        /// The customer on whose account it runs.
         pub tenant: CustomerName,
-        /// The adapter and version it must run on.
+        /// The adapter and version to run it on.
         pub adapter: AdapterVersion,
         /// The base model of the adapter.
         pub model: ModelName,
-        /// Its class.
+        /// Sets the queue, the priority and the default deadline.
         pub class: RequestClass,
-        /// Milliseconds left until its deadline when the message was sent; none means no deadline.
+        /// Milliseconds until the deadline when the message was sent. `None`: the class default
+        /// applies.
         pub deadline_left_ms: Option<u64>,
         /// Whether it may run more than once.
         pub repeatable: bool,
-        /// What it asks, for the quarantine of poison requests.
+        /// Hash of the request's content, for the quarantine of poison requests.
         pub fingerprint: RequestFingerprint,
-        /// A hash of the prompt's beginning, for prefix-cache affinity.
+        /// Hash of the beginning of the prompt, for prefix-cache affinity.
         pub prefix: u64,
         /// Estimated tokens of the prompt.
         pub prompt_tokens: u32,
-        /// The most tokens it may generate.
+        /// Upper bound of generated tokens.
         pub max_tokens: u32,
-        /// Servers that failed it before, which the owner avoids where it can.
+        /// Servers on which it failed before; the owner avoids them where it can.
         pub avoid: Vec<ServerName>,
     }
 
-    /// Names a grant; the epoch makes grants of a deposed owner distinguishable.
+    /// Identifies a grant. The epoch distinguishes grants of a deposed owner.
     #[derive(Eq, PartialOrd, Ord, Hash)]
     pub struct GrantId {
         /// The group whose owner gave it.
         pub group: GroupName,
         /// The owner's epoch.
         pub epoch: OwnerEpoch,
-        /// A counter of the owner.
+        /// Counter, unique within the epoch.
         pub number: u64,
     }
 
-    /// The right to run one request on one slot of one engine, once.
+    /// Permission to run one request once, on one slot of one engine.
     pub struct SlotGrant {
-        /// The grant's name.
+        /// Identifies the grant on release.
         pub id: GrantId,
-        /// The engine.
+        /// The engine to send the request to.
         pub server: ServerName,
-        /// The engine's life in which the slot was loaded. An answer of another life is refused.
+        /// The engine's incarnation in which the slot was loaded. An answer from another
+        /// incarnation is rejected.
         pub incarnation: ServerIncarnation,
-        /// The slot's name at the engine, to be sent as `model`.
+        /// The slot's name at the engine, sent as `model`.
         pub slot: SlotName,
-        /// The engine's priority for the request; lower is sooner.
+        /// The engine's priority for the request; lower runs sooner.
         pub priority: i32,
-        /// The request must be sent within this many milliseconds after the grant was asked for,
-        /// by the asker's own clock; later the grant is void and must be released as not run.
+        /// Milliseconds within which the request must be sent, from the time the grant was
+        /// requested, by the requester's clock. After that the grant is void and must be released
+        /// as not run.
         pub use_within_ms: u64,
         /// Milliseconds that the request waited for its adapter to load.
         pub stall_ms: u64,
@@ -78,31 +81,31 @@
     /// Why an engine was chosen.
     #[derive(Copy, Eq)]
     pub enum PlacementReason {
-        /// The adapter was loaded there and there was room in the batch.
+        /// The adapter was loaded there and the batch had room.
         Loaded,
         /// The adapter was loaded there for this request.
         LoadedOnDemand,
         /// The adapter was loaded there ahead of a schedule.
         LoadedAhead,
-        /// A further copy was loaded because the others were full.
+        /// A further copy was loaded there because the others were full.
         ExtraCopy,
-        /// A suspect request runs apart from other suspects.
+        /// The request is a suspect and runs apart from other suspects.
         Isolated,
-        /// No owner could be established; the slot was known to be loaded.
+        /// No owner could be determined; the slot was known to be loaded.
         WithoutOwner,
     }
 
-    /// A request to an owner.
+    /// Requests a grant from an owner.
     pub struct ReserveCall {
-        /// Who asks.
+        /// The requesting VM.
         pub asker: VmIdentity,
-        /// The group that the asker takes the adapter to belong to.
+        /// The group that the requester assigns the adapter to.
         pub group: GroupName,
-        /// What is to run.
+        /// The request to place.
         pub spec: RequestSpec,
     }
 
-    /// The owner's answer.
+    /// The owner's answer to a [`ReserveCall`].
     pub enum ReserveReply {
         /// The request may run now.
         Granted(SlotGrant),
@@ -110,12 +113,12 @@
         Refused(GrantRefusal),
     }
 
-    /// Why there is no grant, and when to come back.
+    /// Why no grant was given, and when to retry.
     #[derive(Copy, Eq)]
     pub struct GrantRefusal {
-        /// The reason.
+        /// The reason for the refusal.
         pub reason: RefusalReason,
-        /// When trying again may help, in milliseconds.
+        /// Milliseconds after which a retry may succeed.
         pub retry_after_ms: u64,
     }
 
@@ -124,41 +127,41 @@
     pub enum GrantEnd {
         /// The whole answer was read.
         Done,
-        /// The caller went away and the engine was told to cancel.
+        /// The caller disconnected and the engine was sent a cancellation.
         Cancelled,
-        /// Nothing was sent, or the engine refused before it ran.
+        /// Nothing was sent, or the engine refused before running it.
         NotRun,
         /// No connection to the engine could be opened; nothing was sent.
         Unreachable,
-        /// The engine does not know the slot: its report was stale or it restarted.
+        /// The engine does not know the slot: the owner's data was stale or the engine restarted.
         SlotMissing,
         /// The connection broke after the request was sent; the engine may have crashed.
         Broken,
-        /// The engine answered with an error for this request alone.
+        /// The engine answered with an error that concerns this request only.
         Failed,
     }
 
-    /// Gives a grant back.
+    /// Returns a grant to the owner.
     pub struct ReleaseCall {
-        /// Who held it.
+        /// The VM that held it.
         pub holder: VmIdentity,
-        /// The grant.
+        /// The grant to release.
         pub grant: GrantId,
-        /// How it ended.
+        /// How its use ended.
         pub end: GrantEnd,
-        /// Tokens generated, for the owner's account of load.
+        /// Tokens generated, for the owner's load accounting.
         pub tokens: u32,
     }
 
-    /// A grant that a VM holds, told to a new owner so that it knows what is in use.
+    /// A grant that a VM holds, reported to a new owner so that it knows which slots are in use.
     pub struct HeldGrant {
-        /// The grant.
+        /// The grant's id, of any epoch.
         pub grant: GrantId,
         /// The engine it runs on.
         pub server: ServerName,
         /// The slot in use.
         pub slot: SlotName,
-        /// What runs, for the quarantine.
+        /// Hash of the running request's content, for the quarantine.
         pub fingerprint: RequestFingerprint,
     }
 }
--- a/decision/src/job.rs
+++ b/decision/src/job.rs
@@ -1,8 +1,8 @@
-//! Audit jobs: accepted once read back from the log, run by one VM at a time, one result each.
+//! Audit jobs: accepted once read back from the log, run by one VM at a time, with one result each.
 //!
-//! A run may repeat after a crash; the first result in offset order is the job's result and every
-//! reader takes the same one. Jobs and results are written again before retention takes them.
-//! See docs/AGREEMENT.md, "Jobs".
+//! A run may repeat after a crash; the first result in offset order is the job's result, so all
+//! readers agree on it. Jobs and results are rewritten before the log's retention drops them. See
+//! docs/AGREEMENT.md, "Jobs".
 
 use crate::follow::StreamCursor;
 use crate::id::{CustomerName, JobId, MICROS_PER_MILLI, TimePoint, VmIdentity};
@@ -10,30 +10,30 @@
 use crate::member::{MemberState, MemberTable};
 use crate::outcome::RequestOutcome;
 use crate::record::{JobEntry, JobRecord};
-use crate::takeover::{PauseWatch, rank_among_live};
-
-/// Forgotten jobs that are remembered as such, so that a job that was written again at the very
-/// moment it was forgotten does not come back to life.
-const TOMBSTONES: usize = 16_384;
-/// Runners that are remembered of a job, the first in offset order first.
-const STARTS_KEPT: usize = 16;
-/// The result of a job that its caller withdrew.
+use crate::takeover::{PauseDetector, rank_among_live};
+
+/// Number of tombstones of forgotten jobs. A tombstone keeps a job from reappearing that was
+/// rewritten while it was being forgotten.
+const MAX_TOMBSTONES: usize = 16_384;
+/// Runners remembered per job, in offset order of their starts.
+const MAX_STARTS: usize = 16;
+/// Result text of a job that its caller cancelled.
 const CANCELLED: &str = "cancelled";
 
 /// Settings of jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobSettings {
-    /// The most jobs that are kept; further ones are refused before they are written.
+    /// Upper bound of known jobs; further ones are refused before they are written.
     pub jobs: usize,
-    /// The most jobs that one VM runs at a time.
+    /// Upper bound of jobs that one VM runs concurrently.
     pub running: usize,
-    /// Milliseconds after which a job or result is written again; half the log's retention.
+    /// Milliseconds after which a job or result is rewritten; half the log's retention.
     pub rewrite_ms: u64,
     /// Milliseconds that a result is kept for its caller.
     pub result_ms: u64,
     /// Milliseconds after which an append that was not read back is repeated.
     pub repeat_ms: u64,
-    /// Milliseconds that each later rank waits for the ranks before it to act.
+    /// Milliseconds per rank that a VM waits for the VMs ranked before it to act.
     pub rank_ms: u64,
 }
 
@@ -50,52 +50,53 @@
     }
 }
 
-/// What the fold made of a record.
+/// Result of folding one record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobVerdict {
-    /// The job is accepted.
+    /// The job was not known before and is accepted.
     Accepted,
     /// The same job was accepted before; nothing changes.
     Repeated,
     /// Another job has the id; this one is refused.
     Conflict,
-    /// A VM runs the job from now on, if no live one did before.
+    /// The VM started the job; it is the runner unless a VM that started it earlier is live.
     Started(VmIdentity),
-    /// This is the job's result.
+    /// The record holds the job's result.
     Finished,
-    /// The caller withdrew the job.
+    /// The caller cancelled the job.
     Cancelled,
-    /// The job had ended before; the record changes nothing.
+    /// The job had already ended; the record has no effect.
     TooLate,
-    /// The job is forgotten.
+    /// The job and its result are dropped, and a tombstone is kept.
     Forgotten,
-    /// A forgotten job was written again; it stays forgotten, and the log is told so once more.
+    /// A forgotten job was rewritten. It stays forgotten, and [`JobRecord::Forgotten`] is appended
+    /// again.
     Buried,
-    /// The job is not known.
+    /// The record refers to a job that is not known.
     NoSuchJob,
 }
 
-/// A record's verdict.
+/// A folded record's job and verdict.
 #[derive(Clone, Debug, PartialEq)]
-pub struct JobRuling {
-    /// The job's tenant.
+pub struct JobResolution {
+    /// The customer that submitted the job.
     pub tenant: CustomerName,
-    /// The job.
+    /// The job's id, unique per customer.
     pub job: JobId,
-    /// What was made of the record.
+    /// Result of folding the record.
     pub verdict: JobVerdict,
 }
 
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobEnd {
-    /// What became of it.
+    /// Whether it ran, as far as is known.
     pub outcome: RequestOutcome,
-    /// The answer's body, or the reason.
+    /// The answer's body, or the reason for which there is none.
     pub result: String,
 }
 
-/// A job as the log has it.
+/// State of one job, folded from the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRow {
     tenant: CustomerName,
@@ -104,18 +105,19 @@
     offset: u64,
     starts: Vec<VmIdentity>,
     end: Option<JobEnd>,
-    /// The job was seen from its beginning, or its result was read as one written again.
-    end_sure: bool,
+    /// Whether `end` is known to be the first result: the job was read from its submission on, or
+    /// the result from a rewritten record.
+    end_is_first: bool,
     entry_seen: TimePoint,
     end_seen: TimePoint,
     replayed: bool,
-    orphan: Option<TimePoint>,
-    asked: Option<TimePoint>,
-    kept: Option<TimePoint>,
+    orphaned_at: Option<TimePoint>,
+    appended_at: Option<TimePoint>,
+    ended_at: Option<TimePoint>,
 }
 
 impl JobRow {
-    /// The tenant.
+    /// The customer that submitted the job.
     #[must_use]
     pub fn tenant(&self) -> &str {
         self.tenant.as_str()
@@ -127,13 +129,13 @@
         self.job.as_str()
     }
 
-    /// The job as submitted; none while only its result was read.
+    /// The job as submitted; `None` while only its result was read.
     #[must_use]
     pub fn entry(&self) -> Option<&JobEntry> {
         self.entry.as_ref()
     }
 
-    /// How it ended, if it did.
+    /// How it ended; `None` while it has no result.
     #[must_use]
     pub fn end(&self) -> Option<&JobEnd> {
         self.end.as_ref()
@@ -150,61 +152,67 @@
     }
 }
 
-/// All jobs, as far as the log was read.
+/// All jobs, up to the last record read from the log.
 #[derive(Clone, Debug, Default)]
 pub struct JobFold {
     cursor: StreamCursor<()>,
     rows: Vec<JobRow>,
-    buried: std::collections::VecDeque<(CustomerName, JobId)>,
+    tombstones: std::collections::VecDeque<(CustomerName, JobId)>,
     caught_up: bool,
     invariants: InvariantLog,
 }
 
 impl JobFold {
-    /// All jobs, sorted by tenant and id.
+    /// All jobs, sorted by customer and id.
     #[must_use]
     pub fn rows(&self) -> &[JobRow] {
         &self.rows
     }
 
-    /// A job, if it is known.
+    /// The job with this customer and id; `None` if it is not known.
     #[must_use]
     pub fn row(&self, tenant: &str, job: &str) -> Option<&JobRow> {
         self.find(tenant, job).ok().map(|at| &self.rows[at])
     }
 
-    /// The offset from which the log is to be read on.
+    /// The next log offset to read.
     #[must_use]
     pub fn next(&self) -> u64 {
         self.cursor.next()
     }
 
-    /// The checks made here.
+    /// Results of the invariant checks.
     #[must_use]
     pub fn invariants(&self) -> &InvariantLog {
         &self.invariants
     }
 
-    /// Notes that the end of the stream was read once since the start. What was read before is of
-    /// unknown age and is written again sooner.
+    /// Records that the end of the stream was reached once since the start. Records read before
+    /// that are of unknown age and are rewritten sooner.
     pub fn caught_up(&mut self) {
         self.caught_up = true;
     }
 
-    /// Whether the end of the stream was read once since the start.
+    /// Whether the end of the stream was reached once since the start.
     #[must_use]
     pub fn is_caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// Folds the record at `offset`. The verdict depends on the log alone; `now` only dates it.
-    pub fn fold(&mut self, now: TimePoint, offset: u64, record: JobRecord) -> Option<JobRuling> {
-        if !self.cursor.reaches(offset) {
+    /// Folds the record at `offset`; returns `None` for one folded before. The verdict depends on
+    /// the log alone; `now` is only used as the time of reading.
+    pub fn fold(
+        &mut self,
+        now: TimePoint,
+        offset: u64,
+        record: JobRecord,
+    ) -> Option<JobResolution> {
+        if !self.cursor.advance(offset) {
             return None;
         }
         let (tenant, job) = job_of(&record);
-        let sure = self.row(tenant.as_str(), job.as_str()).filter(|row| row.end_sure);
-        let before = sure.and_then(|row| row.end.clone());
+        let first_known = self.row(tenant.as_str(), job.as_str()).filter(|row| row.end_is_first);
+        let before = first_known.and_then(|row| row.end.clone());
         let verdict = match record {
             JobRecord::Submitted(entry) => self.submit(now, offset, entry),
             JobRecord::Started { runner, .. } => self.start(&tenant, &job, runner),
@@ -213,15 +221,15 @@
                 self.finish(now, offset, &tenant, &job, end, rewritten)
             }
             JobRecord::Cancelled { .. } => self.cancel(now, &tenant, &job),
-            JobRecord::Forgotten { .. } => self.bury(&tenant, &job),
+            JobRecord::Forgotten { .. } => self.forget(&tenant, &job),
         };
         self.check_end(&tenant, &job, before);
-        Some(JobRuling { tenant, job, verdict })
+        Some(JobResolution { tenant, job, verdict })
     }
 
-    /// Passes over a record that cannot be read.
+    /// Skips a record that cannot be decoded.
     pub fn skip(&mut self, offset: u64) {
-        let _ = self.cursor.reaches(offset);
+        let _ = self.cursor.advance(offset);
     }
 
     fn check_end(&mut self, tenant: &CustomerName, job: &JobId, before: Option<JobEnd>) {
@@ -238,8 +246,8 @@
             .binary_search_by(|row| (row.tenant.as_str(), row.job.as_str()).cmp(&(tenant, job)))
     }
 
-    fn is_buried(&self, tenant: &CustomerName, job: &JobId) -> bool {
-        self.buried.iter().any(|(t, j)| t == tenant && j == job)
+    fn has_tombstone(&self, tenant: &CustomerName, job: &JobId) -> bool {
+        self.tombstones.iter().any(|(t, j)| t == tenant && j == job)
     }
 
     fn submit(&mut self, now: TimePoint, offset: u64, entry: JobEntry) -> JobVerdict {
@@ -248,11 +256,11 @@
             Ok(at) => return self.rows[at].submit_again(now, entry, !self.caught_up),
             Err(at) => at,
         };
-        if entry.rewritten > 0 && self.is_buried(&tenant, &job) {
+        if entry.rewritten > 0 && self.has_tombstone(&tenant, &job) {
             return JobVerdict::Buried;
         }
         let mut row = JobRow::new(now, offset, tenant, job, !self.caught_up);
-        row.end_sure = entry.rewritten == 0;
+        row.end_is_first = entry.rewritten == 0;
         row.entry = Some(entry);
         self.rows.insert(at, row);
         JobVerdict::Accepted
@@ -267,7 +275,7 @@
         if !row.starts.contains(&runner) {
             row.starts.push(runner.clone());
         }
-        if row.starts.len() > STARTS_KEPT {
+        if row.starts.len() > MAX_STARTS {
             row.starts.remove(0);
         }
         JobVerdict::Started(runner)
@@ -284,24 +292,25 @@
     ) -> JobVerdict {
         let at = match self.find(tenant.as_str(), job.as_str()) {
             Ok(at) => at,
-            Err(_) if self.is_buried(tenant, job) => return JobVerdict::NoSuchJob,
+            Err(_) if self.has_tombstone(tenant, job) => return JobVerdict::NoSuchJob,
             Err(at) => {
-                // The result of a job whose own record is written again behind it.
+                // The result of a job whose own record is rewritten after it.
                 let row = JobRow::new(now, offset, tenant.clone(), job.clone(), !self.caught_up);
                 self.rows.insert(at, row);
                 at
             }
         };
         let row = &mut self.rows[at];
-        // Retention may have taken the first result and left the late one of another run. A reader
-        // that starts then would show a second result; the one that was written again is the first.
-        let believed = rewritten && !row.end_sure;
-        if row.end.is_some() && !believed {
+        // Retention may have dropped the first result and kept a later one of another run. A reader
+        // that starts then would take the later one; the rewritten result is the first and replaces
+        // it.
+        let replaces = rewritten && !row.end_is_first;
+        if row.end.is_some() && !replaces {
             row.end_seen = now;
             return JobVerdict::TooLate;
         }
         row.set_end(now, end);
-        row.end_sure |= rewritten;
+        row.end_is_first |= rewritten;
         JobVerdict::Finished
     }
 
@@ -311,8 +320,8 @@
         if row.end.is_some() {
             return JobVerdict::TooLate;
         }
-        // A runner begins only behind its start in the log, so a job that nobody started before
-        // the cancellation never runs; of a started one it is not known how far it came.
+        // A run begins only after its start was read back, so a job without a start before the
+        // cancellation never runs. How far a started one came is unknown.
         let outcome = match row.starts.is_empty() {
             true => RequestOutcome::NotRun,
             false => RequestOutcome::Unknown,
@@ -321,12 +330,12 @@
         JobVerdict::Cancelled
     }
 
-    fn bury(&mut self, tenant: &CustomerName, job: &JobId) -> JobVerdict {
-        if !self.is_buried(tenant, job) {
-            self.buried.push_back((tenant.clone(), job.clone()));
+    fn forget(&mut self, tenant: &CustomerName, job: &JobId) -> JobVerdict {
+        if !self.has_tombstone(tenant, job) {
+            self.tombstones.push_back((tenant.clone(), job.clone()));
         }
-        if self.buried.len() > TOMBSTONES {
-            self.buried.pop_front();
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            self.tombstones.pop_front();
         }
         match self.find(tenant.as_str(), job.as_str()) {
             Ok(at) => {
@@ -347,13 +356,13 @@
             offset,
             starts: Vec::new(),
             end: None,
-            end_sure: false,
+            end_is_first: false,
             entry_seen: now,
             end_seen: now,
             replayed,
-            orphan: None,
-            asked: None,
-            kept: None,
+            orphaned_at: None,
+            appended_at: None,
+            ended_at: None,
         }
     }
 
@@ -376,7 +385,7 @@
     fn set_end(&mut self, now: TimePoint, end: JobEnd) {
         self.end = Some(end);
         self.end_seen = now;
-        self.kept = Some(now);
+        self.ended_at = Some(now);
     }
 }
 
@@ -390,23 +399,23 @@
     }
 }
 
-/// What a VM does about jobs now.
+/// An action for the process to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobAction {
-    /// Append the record; lost answers are no matter, a repeat changes nothing.
+    /// Append the record. Lost answers need no handling: a repeated record has no effect.
     Append(JobRecord),
     /// Run the job and report its end to [`JobRunner::finish`].
     Run(JobEntry),
     /// Stop the run: the job has ended, or another VM runs it.
     Abort {
-        /// The job's tenant.
+        /// The customer that submitted the job.
         tenant: CustomerName,
-        /// The job.
+        /// The job's id.
         job: JobId,
     },
 }
 
-/// A job that runs here, or ran and waits for its result to be read back.
+/// A job that runs here, or has ended here and waits for its result to be read back.
 #[derive(Clone, Debug)]
 struct JobRun {
     tenant: CustomerName,
@@ -415,44 +424,45 @@
     sent: Option<TimePoint>,
 }
 
-/// Decides which jobs this VM runs, and which records it writes.
+/// Decides which jobs this VM runs and which records it appends.
 #[derive(Clone, Debug)]
 pub struct JobRunner {
     settings: JobSettings,
     runs: Vec<JobRun>,
-    burials: Vec<(CustomerName, JobId)>,
-    pauses: PauseWatch,
+    stale_rewrites: Vec<(CustomerName, JobId)>,
+    pauses: PauseDetector,
 }
 
 impl JobRunner {
-    /// The runner of a VM that has just started.
+    /// Creates the runner of a VM that has just started.
     #[must_use]
     pub fn new(settings: JobSettings) -> Self {
-        let pauses = PauseWatch::default();
-        Self { settings, runs: Vec::new(), burials: Vec::new(), pauses }
+        let pauses = PauseDetector::default();
+        Self { settings, runs: Vec::new(), stale_rewrites: Vec::new(), pauses }
     }
 
-    /// Whether a further job may be written; if not, the caller is refused before it is accepted.
+    /// Whether a further job may be written. If not, the submission is refused.
     #[must_use]
     pub fn has_room(&self, fold: &JobFold) -> bool {
         fold.rows().len() < self.settings.jobs
     }
 
-    /// How many jobs run here.
+    /// Number of jobs running here.
     #[must_use]
     pub fn running(&self) -> usize {
         self.runs.iter().filter(|run| run.end.is_none()).count()
     }
 
-    /// Takes note of a record's verdict.
-    pub fn note(&mut self, ruling: &JobRuling) {
-        if ruling.verdict == JobVerdict::Buried {
-            self.burials.push((ruling.tenant.clone(), ruling.job.clone()));
+    /// Processes the verdict of a folded record.
+    pub fn note(&mut self, resolution: &JobResolution) {
+        if resolution.verdict == JobVerdict::Buried {
+            self.stale_rewrites.push((resolution.tenant.clone(), resolution.job.clone()));
         }
     }
 
-    /// A run ended. Its result is appended until it, or another one, is read back; in an outage of
-    /// the log it waits here. "Not run" gives the job back to be run again.
+    /// Records the end of a run. Its result is appended until a result of the job is read back;
+    /// while the log is unavailable it is kept here. After [`RequestOutcome::NotRun`] the job may
+    /// be run again.
     pub fn finish(&mut self, tenant: &str, job: &str, end: JobEnd) {
         let same = |run: &JobRun| run.tenant.as_str() == tenant && run.job.as_str() == job;
         if end.outcome == RequestOutcome::NotRun {
@@ -462,33 +472,33 @@
         }
     }
 
-    /// What is to be done now; called several times a second while the log answers.
+    /// Returns the actions due now. Called several times a second while the log answers.
     pub fn plan(
         &mut self,
         now: TimePoint,
         fold: &mut JobFold,
         members: &MemberTable,
     ) -> Vec<JobAction> {
-        self.pauses.ask(now);
+        self.pauses.observe(now);
         let mut actions = Vec::new();
         self.end_runs(now, fold, members, &mut actions);
-        let able = members.own().state() == MemberState::Alive;
-        if !able || !fold.caught_up {
+        let alive = members.own().state() == MemberState::Alive;
+        if !alive || !fold.caught_up {
             return actions;
         }
-        for (tenant, job) in self.burials.drain(..) {
+        for (tenant, job) in self.stale_rewrites.drain(..) {
             actions.push(JobAction::Append(JobRecord::Forgotten { tenant, job }));
         }
-        // Without a majority a runner on the other side would look dead, and be run beside. Keeping
-        // jobs ahead of retention harms nobody, so it needs none: it must not stop in a long
-        // partition, or the log loses what was accepted.
+        // Without a majority, a live runner on the other side of a partition would look dead and
+        // its job would be run twice. Rewriting needs no majority: it is harmless, and must
+        // continue through a long partition so that retention does not drop accepted jobs.
         let region = members.own().place().region.as_str();
-        let order = if members.majority(region) { in_order_of_due(fold) } else { Vec::new() };
+        let order = if members.majority(region) { by_due_time(fold) } else { Vec::new() };
         for at in order {
             self.plan_run(now, &mut fold.rows[at], members, &mut actions);
         }
         for row in &mut fold.rows {
-            self.plan_keeping(now, row, members, &mut actions);
+            self.plan_retention(now, row, members, &mut actions);
         }
         actions
     }
@@ -504,9 +514,9 @@
         self.runs.retain_mut(|run| {
             let row = fold.row(run.tenant.as_str(), run.job.as_str());
             let open = row.filter(|row| row.end.is_none());
-            let lost =
+            let superseded =
                 open.is_none_or(|row| runner(row, members) != Some(members.own().identity()));
-            if open.is_none() || (lost && run.end.is_none()) {
+            if open.is_none() || (superseded && run.end.is_none()) {
                 if run.end.is_none() {
                     let (tenant, job) = (run.tenant.clone(), run.job.clone());
                     actions.push(JobAction::Abort { tenant, job });
@@ -528,9 +538,9 @@
         });
     }
 
-    /// Runs the job if the log says that this VM is its runner, or asks to become it if no live VM
-    /// is. A run never begins before its start was read back: an append whose answer was lost
-    /// would otherwise let two VMs run it, each sure of being the only one.
+    /// Runs the job if the log names this VM as its runner, or requests to become the runner if no
+    /// live VM is. A run never begins before its start was read back: if the answer to an append is
+    /// lost, two VMs could otherwise both run it.
     fn plan_run(
         &mut self,
         now: TimePoint,
@@ -538,36 +548,36 @@
         members: &MemberTable,
         actions: &mut Vec<JobAction>,
     ) {
-        if row.end.is_some() || self.runs(row) || self.running() >= self.settings.running {
+        if row.end.is_some() || self.is_running(row) || self.running() >= self.settings.running {
             return;
         }
         let Some(entry) = row.entry.clone() else { return };
         match runner(row, members) {
             Some(vm) if vm == members.own().identity() => {
-                row.orphan = None;
+                row.orphaned_at = None;
                 let (tenant, job) = (row.tenant.clone(), row.job.clone());
                 self.runs.push(JobRun { tenant, job, end: None, sent: None });
                 actions.push(JobAction::Run(entry));
             }
-            Some(_) => row.orphan = None,
-            None => actions.extend(self.ask_to_run(now, row, members)),
+            Some(_) => row.orphaned_at = None,
+            None => actions.extend(self.request_start(now, row, members)),
         }
     }
 
-    fn ask_to_run(
+    fn request_start(
         &self,
         now: TimePoint,
         row: &mut JobRow,
         members: &MemberTable,
     ) -> Option<JobAction> {
-        let since = *row.orphan.get_or_insert(now);
+        let since = *row.orphaned_at.get_or_insert(now);
         let wait = rank_among_live(&row.key(), members) * self.settings.rank_ms;
-        let turn = self.pauses.passed(now, since, wait);
+        let rank_elapsed = self.pauses.passed(now, since, wait);
         let repeat = self.settings.repeat_ms * MICROS_PER_MILLI;
-        if !turn || row.asked.is_some_and(|asked| now.since(asked) < repeat) {
+        if !rank_elapsed || row.appended_at.is_some_and(|at| now.since(at) < repeat) {
             return None;
         }
-        row.asked = Some(now);
+        row.appended_at = Some(now);
         Some(JobAction::Append(JobRecord::Started {
             job: row.job.clone(),
             tenant: row.tenant.clone(),
@@ -575,13 +585,12 @@
         }))
     }
 
-    fn runs(&self, row: &JobRow) -> bool {
+    fn is_running(&self, row: &JobRow) -> bool {
         self.runs.iter().any(|run| run.tenant == row.tenant && run.job == row.job)
     }
 
-    /// Writes a job and its result again before retention takes them, and forgets results whose
-    /// time is over.
-    fn plan_keeping(
+    /// Rewrites a job and its result before retention drops them, and forgets expired results.
+    fn plan_retention(
         &self,
         now: TimePoint,
         row: &mut JobRow,
@@ -594,30 +603,30 @@
                 && now.since(since) >= ms * MICROS_PER_MILLI
         };
         let repeat = self.settings.repeat_ms * MICROS_PER_MILLI;
-        if row.asked.is_some_and(|asked| now.since(asked) < repeat) {
+        if row.appended_at.is_some_and(|at| now.since(at) < repeat) {
             return;
         }
         let (tenant, job) = (row.tenant.clone(), row.job.clone());
-        if row.kept.is_some_and(|kept| passed(kept, self.settings.result_ms)) {
-            row.asked = Some(now);
+        if row.ended_at.is_some_and(|at| passed(at, self.settings.result_ms)) {
+            row.appended_at = Some(now);
             actions.push(JobAction::Append(JobRecord::Forgotten { tenant, job }));
             return;
         }
-        // Records that were there when this VM started may be older than it knows.
-        let part = if row.replayed { 4 } else { 1 };
+        // Records read at the start may be older than their time of reading here.
+        let divisor = if row.replayed { 4 } else { 1 };
         let oldest =
             if row.end.is_some() { row.entry_seen.min(row.end_seen) } else { row.entry_seen };
-        if !passed(oldest, self.settings.rewrite_ms / part) {
+        if !passed(oldest, self.settings.rewrite_ms / divisor) {
             return;
         }
-        row.asked = Some(now);
+        row.appended_at = Some(now);
         actions.extend(row.rewrite().into_iter().map(JobAction::Append));
     }
 }
 
 impl JobRow {
-    /// The records that keep the job. The result goes first: a VM that starts between the two
-    /// would otherwise take the job for unfinished.
+    /// The records that rewrite the job. The result comes first: a VM that starts between the two
+    /// appends would otherwise consider the job unfinished.
     fn rewrite(&self) -> Vec<JobRecord> {
         let (tenant, job) = (self.tenant.clone(), self.job.clone());
         let mut records = Vec::new();
@@ -628,7 +637,7 @@
             let rewritten = entry.rewritten + 1;
             records.push(JobRecord::Submitted(JobEntry { rewritten, ..entry.clone() }));
         }
-        // A cancellation must still know that the job may have run.
+        // Keeps a later cancellation from reporting a started job as not run.
         if let (None, Some(runner)) = (&self.end, self.starts.first().cloned()) {
             let (tenant, job) = (self.tenant.clone(), self.job.clone());
             records.push(JobRecord::Started { job, tenant, runner });
@@ -637,12 +646,12 @@
     }
 }
 
-/// The VM that runs the job: the first in offset order of those that started it and still live.
+/// Returns the VM that runs the job: the first, in offset order of the starts, that is live.
 fn runner<'a>(row: &'a JobRow, members: &MemberTable) -> Option<&'a VmIdentity> {
     row.starts.iter().find(|vm| members.runs(vm))
 }
 
-fn in_order_of_due(fold: &JobFold) -> Vec<usize> {
+fn by_due_time(fold: &JobFold) -> Vec<usize> {
     let open = fold.rows.iter().enumerate().filter(|(_, row)| row.end.is_none());
     let mut order: Vec<(u64, u64, usize)> = open
         .map(|(at, row)| {
--- a/decision/src/manifest.rs
+++ b/decision/src/manifest.rs
@@ -1,7 +1,8 @@
-//! The configuration that operators publish: what may run where, on whose account.
+//! Configuration published by operators: models, adapters, tenants, servers, services and their
+//! limits.
 //!
-//! A manifest is kept with every list sorted by name, so that look-ups are binary searches and two
-//! VMs that hold the same version hold the same bytes. See docs/OPERATORS.md, "Manifest".
+//! Every list of a manifest in force is sorted by name, so that lookups are binary searches and two
+//! VMs with the same version have identical bytes. See docs/OPERATORS.md, "Manifest".
 
 use std::net::SocketAddr;
 
@@ -17,31 +18,31 @@
     #[derive(Default)]
     #[serde(deny_unknown_fields)]
     pub struct ServingManifest {
-        /// Base models.
+        /// Base models that engines run.
         #[serde(default)]
         pub models: Vec<ModelEntry>,
-        /// Adapters with their versions.
+        /// Adapters and their versions.
         #[serde(default)]
         pub adapters: Vec<AdapterEntry>,
-        /// Tenants with their credentials and limits.
+        /// Customers with their credentials and limits.
         #[serde(default)]
         pub tenants: Vec<TenantEntry>,
-        /// Backend servers.
+        /// Backend servers: model engines and plain services.
         #[serde(default)]
         pub servers: Vec<ServerEntry>,
-        /// Plain services.
+        /// Plain services that customers may call.
         #[serde(default)]
         pub services: Vec<ServiceEntry>,
-        /// Limits and deadlines of the classes; a class that is left out has its defaults.
+        /// Limits and deadlines of the classes; a class that is not listed has its defaults.
         #[serde(default)]
         pub classes: Vec<ClassEntry>,
-        /// Summaries that are run at set times, whose adapters are loaded before.
+        /// Summaries that run at set times; their adapters are loaded ahead.
         #[serde(default)]
         pub schedules: Vec<ScheduleEntry>,
-        /// Weight stores, one a region.
+        /// Weight stores, one per region.
         #[serde(default)]
         pub stores: Vec<StoreEntry>,
-        /// What placement weighs.
+        /// Weights of the placement decision.
         #[serde(default)]
         pub policy: PlacementPolicy,
     }
@@ -49,20 +50,20 @@
     /// A base model.
     #[serde(deny_unknown_fields)]
     pub struct ModelEntry {
-        /// Its name.
+        /// Unique in the manifest.
         pub name: ModelName,
     }
 
     /// An adapter.
     #[serde(deny_unknown_fields)]
     pub struct AdapterEntry {
-        /// Its name.
+        /// Unique in the manifest.
         pub name: AdapterName,
-        /// The base model it builds on.
+        /// The base model that it applies to.
         pub model: ModelName,
-        /// Its versions, sorted by name.
+        /// Its versions, sorted by name; at least one.
         pub versions: Vec<VersionEntry>,
-        /// The version for requests that name none; without it they are refused.
+        /// The version for requests that name none. `None`: such requests are refused.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub default_version: Option<VersionName>,
         /// Tenants that may use it, sorted.
@@ -72,26 +73,26 @@
     /// A version of an adapter.
     #[serde(deny_unknown_fields)]
     pub struct VersionEntry {
-        /// Its name.
+        /// Unique within the adapter.
         pub version: VersionName,
-        /// Where engines find the weights; passed to them as the path of the load order.
+        /// Where engines find the weights; sent to them as the path in the load order.
         pub weights: String,
     }
 
-    /// A tenant.
+    /// A customer.
     #[serde(deny_unknown_fields)]
     pub struct TenantEntry {
-        /// Its name.
+        /// Unique in the manifest.
         pub name: CustomerName,
-        /// SHA-256 hashes, in hexadecimal, of the credentials it may use.
+        /// SHA-256 hashes of its credentials, in hexadecimal.
         pub credentials: Vec<String>,
-        /// Requests a second it may send, over all VMs; none means no limit.
+        /// Requests per second that it may send, over all VMs; `None` means no limit.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub requests_per_s: Option<f64>,
-        /// Requests it may send at once above the rate.
+        /// Requests that it may send at once above the rate.
         #[serde(default = "default_burst")]
         pub burst: u32,
-        /// Its weight where tenants share scarce engines; 1 is usual.
+        /// Weight where tenants compete for scarce engines; default 1.
         #[serde(default = "default_weight")]
         pub weight: f64,
     }
@@ -99,40 +100,40 @@
     /// A backend server.
     #[serde(deny_unknown_fields)]
     pub struct ServerEntry {
-        /// Its name.
+        /// Unique in the manifest.
         pub name: ServerName,
-        /// Where it listens.
+        /// Its listening address; unique in the manifest.
         pub address: SocketAddr,
-        /// Its failure domain.
+        /// Its failure domain, which must lie in one region.
         pub domain: DomainName,
-        /// Its region.
+        /// Its region; for an engine, one listed in `stores`.
         pub region: RegionName,
-        /// What it serves.
+        /// Model engine or plain service.
         pub serves: ServerKind,
     }
 
-    /// What a backend server serves.
+    /// The role of a backend server.
     #[serde(deny_unknown_fields)]
     pub enum ServerKind {
         /// A model engine.
         Engine(EngineEntry),
         /// A plain service.
         Service {
-            /// The service's name.
+            /// The name of an entry in `services`.
             service: ServiceName,
         },
     }
 
-    /// The shape of a model engine.
+    /// Capacity of a model engine.
     #[serde(deny_unknown_fields)]
     pub struct EngineEntry {
         /// The base model it runs.
         pub model: ModelName,
-        /// How many adapters it can hold.
+        /// Number of adapters it can hold.
         pub adapter_slots: u32,
-        /// How many requests it takes into a batch.
+        /// Maximum requests in a batch.
         pub batch_slots: u32,
-        /// Whether it refuses orders with an old fencing number.
+        /// Whether it refuses orders with an outdated fencing number.
         #[serde(default)]
         pub checks_fencing: bool,
     }
@@ -140,41 +141,41 @@
     /// A plain service.
     #[serde(deny_unknown_fields)]
     pub struct ServiceEntry {
-        /// Its name; callers reach it under `/v1/services/{name}/`.
+        /// Unique in the manifest; callers reach the service under `/v1/services/{name}/`.
         pub name: ServiceName,
         /// Tenants that may call it, sorted.
         pub tenants: Vec<CustomerName>,
-        /// Methods that may be sent again without harm, in upper case.
+        /// Methods that are safe to repeat, in upper case.
         #[serde(default = "default_repeatable_methods")]
         pub repeatable_methods: Vec<String>,
     }
 
-    /// Limits of a class.
+    /// Limits of a request class.
     #[serde(deny_unknown_fields)]
     pub struct ClassEntry {
-        /// The class.
+        /// The class to which the limits apply.
         pub class: RequestClass,
-        /// The deadline in milliseconds for requests that state none.
+        /// Default deadline in milliseconds for requests that state none.
         pub deadline_ms: u64,
-        /// How many of the class may wait in one group.
+        /// Maximum requests of the class that may queue in one group.
         pub queue: u32,
     }
 
     /// A summary that runs at set times.
     #[serde(deny_unknown_fields)]
     pub struct ScheduleEntry {
-        /// Its name.
+        /// Unique in the manifest.
         pub name: String,
-        /// The adapter it uses.
+        /// The adapter to load ahead.
         pub adapter: AdapterName,
-        /// The version it uses.
+        /// The version of the adapter.
         pub version: VersionName,
         /// Seconds after midnight UTC at which it is due.
         pub due_s: u32,
-        /// How often it repeats, in seconds; 86,400 is daily.
+        /// Period in seconds; default 86,400, daily.
         #[serde(default = "default_period")]
         pub every_s: u32,
-        /// How many seconds ahead its adapter should be loaded.
+        /// Seconds before the due time at which its adapter should be loaded.
         #[serde(default = "default_lead")]
         pub lead_s: u32,
     }
@@ -182,20 +183,20 @@
     /// A region's weight store.
     #[serde(deny_unknown_fields)]
     pub struct StoreEntry {
-        /// The region.
+        /// The region it serves.
         pub region: RegionName,
-        /// Loads a second that it allows.
+        /// Loads per second that it allows.
         pub loads_per_s: f64,
-        /// Loads that run at full speed at once.
+        /// Number of concurrent loads that run at full speed.
         pub full_speed: u32,
     }
 
-    /// What placement weighs; see docs/PLACEMENT.md.
+    /// Weights of the placement decision; see docs/PLACEMENT.md.
     #[serde(deny_unknown_fields, default)]
     pub struct PlacementPolicy {
-        /// From 0 (batch efficiency alone) to 1 (load stalls alone).
+        /// Between 0 (optimize batch efficiency only) and 1 (optimize load stalls only).
         pub stall_weight: f64,
-        /// The most engines in a group.
+        /// Maximum engines in a group.
         pub group_servers: u32,
     }
 }
@@ -227,69 +228,69 @@
 }
 
 value! {
-    /// Changes to a manifest: entries to put in, whole, and names to take out.
+    /// Changes to a manifest: whole entries to add or replace, and names to remove.
     #[derive(Default)]
     #[serde(deny_unknown_fields, default)]
     pub struct ManifestDelta {
-        /// Entries that replace those of the same name or are added.
+        /// Entries to add, or to replace those of the same name.
         pub put: ServingManifestParts,
-        /// Names to take out; one that is not there is an error.
+        /// Names to remove; a name that does not exist is an error.
         pub remove: RemovedNames,
     }
 
-    /// The parts of a manifest that a delta may put in.
+    /// Parts of a manifest that a delta may add or replace.
     #[derive(Default)]
     #[serde(deny_unknown_fields, default)]
     pub struct ServingManifestParts {
-        /// Base models.
+        /// Base models to add or replace.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub models: Vec<ModelEntry>,
-        /// Adapters.
+        /// Adapters to add or replace.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub adapters: Vec<AdapterEntry>,
-        /// Tenants.
+        /// Customers to add or replace.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub tenants: Vec<TenantEntry>,
-        /// Backend servers.
+        /// Backend servers to add or replace.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub servers: Vec<ServerEntry>,
-        /// Plain services.
+        /// Plain services to add or replace.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub services: Vec<ServiceEntry>,
-        /// Classes.
+        /// Classes to add or replace.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub classes: Vec<ClassEntry>,
-        /// Schedules.
+        /// Schedules to add or replace.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub schedules: Vec<ScheduleEntry>,
-        /// Weight stores.
+        /// Weight stores to add or replace.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub stores: Vec<StoreEntry>,
-        /// The policy, where it changes.
+        /// The new policy; `None` if it does not change.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub policy: Option<PlacementPolicy>,
     }
 
-    /// Names that a delta takes out.
+    /// Names that a delta removes.
     #[derive(Default)]
     #[serde(deny_unknown_fields, default)]
     pub struct RemovedNames {
-        /// Base models.
+        /// Base models to remove.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub models: Vec<ModelName>,
-        /// Adapters.
+        /// Adapters to remove.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub adapters: Vec<AdapterName>,
-        /// Tenants.
+        /// Customers to remove.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub tenants: Vec<CustomerName>,
-        /// Backend servers.
+        /// Backend servers to remove.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub servers: Vec<ServerName>,
-        /// Plain services.
+        /// Plain services to remove.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub services: Vec<ServiceName>,
-        /// Schedules.
+        /// Schedules to remove.
         #[serde(skip_serializing_if = "Vec::is_empty")]
         pub schedules: Vec<String>,
     }
@@ -340,11 +341,11 @@
     }
 }
 
-/// Which version a manifest has; the manifest itself does not carry it.
+/// A manifest and its version, which the manifest itself does not contain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VersionedManifest {
-    /// The version.
+    /// The version under which it came into force.
     pub version: ConfigVersion,
-    /// The manifest.
+    /// The manifest of that version.
     pub manifest: ServingManifest,
 }
--- a/decision/src/outcome.rs
+++ b/decision/src/outcome.rs
@@ -1,76 +1,77 @@
-//! What became of a request, and why it was refused.
+//! Request outcomes, classes and refusal reasons.
 
 use crate::value;
 
 value! {
-    /// What the system says of a request in its final answer; see docs/FAILURES.md for each stage.
+    /// Outcome of a request as stated in its final answer; docs/FAILURES.md lists it for each
+    /// stage.
     #[derive(Copy, Eq)]
     pub enum RequestOutcome {
-        /// It ran and the whole answer was given.
+        /// It ran, and the whole answer was delivered.
         Done,
-        /// It did not run, not even in part, and will not. Sending it again is safe.
+        /// It did not run, not even in part, and will not. Repeating it is safe.
         NotRun,
-        /// It ran, or began to, and ended in an error that repeating will not mend.
+        /// It ran, at least in part, and ended in an error that a repetition would not avoid.
         Failed,
-        /// It may have run. A request that is not repeatable is never tried again by the system.
+        /// It may have run. The system never retries it unless it is repeatable.
         Unknown,
     }
 
-    /// How urgent a request is. The order of the variants is the order of service.
+    /// Urgency of a request. The order of the variants is the order of service.
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
     pub enum RequestClass {
-        /// Somebody stands waiting: field alarms, lockout confirmations.
+        /// A person is waiting: field alarms, lockout confirmations.
         Urgent,
-        /// Must be there by its deadline: handovers, crew summaries.
+        /// Needed by its deadline: handovers, crew summaries.
         Scheduled,
-        /// May wait, must never be lost or doubled: audits.
+        /// May wait, but must not be lost or duplicated: audits.
         Audit,
     }
 
-    /// Why a request was refused before it ran; each stands for the outcome "not run".
+    /// Why a request was refused before it ran, with the outcome "not run".
     #[derive(Copy, Eq)]
     pub enum RefusalReason {
-        /// Queues are full or the wait would outlast the deadline.
+        /// Queues are full, or the wait would exceed the deadline.
         Overloaded,
-        /// The tenant is over its rate or its share.
+        /// The customer is over its rate or its share.
         TenantLimit,
-        /// The deadline has passed, or passes before the request could be answered.
+        /// The deadline has passed, or will pass before the request can be answered.
         DeadlinePassed,
-        /// No configuration in force, or it may be stale.
+        /// This VM has no configuration in force, or it may be stale.
         NotReady,
         /// The adapter or its version is not in the configuration in force.
         UnknownAdapter,
-        /// The tenant may not use the adapter or service.
+        /// The customer may not use the adapter or service.
         NotAllowed,
-        /// Every attempt to load the adapter failed.
+        /// All attempts to load the adapter failed.
         LoadFailed,
         /// No backend server for the model or service is up.
         NoServer,
-        /// The request is condemned: it crashed backend servers before.
+        /// The request is condemned because it crashed backend servers.
         Condemned,
-        /// The asked VM does not own the group; ask again after reading the log.
+        /// The VM that received the request does not own the group; retry after reading the log.
         NotOwner,
-        /// The owner of the group cannot be reached and nobody can take over now.
+        /// The owner of the group is unreachable, and no VM can take over now.
         OwnerUnreachable,
-        /// The id was claimed by another attempt.
+        /// The idempotency key was claimed by another attempt.
         AlreadyClaimed,
-        /// The platform's log is down and the request needs it.
+        /// The platform's log is unavailable and the request needs it.
         LogUnavailable,
-        /// The idempotency key was used with another body.
+        /// The idempotency key was used with a different body.
         KeyReused,
         /// The idempotency key is older than the window in which claims are kept.
         KeyExpired,
-        /// The caller or an operator withdrew it.
+        /// The caller or an operator cancelled it.
         Cancelled,
-        /// The VM is shutting down and takes no new work.
+        /// The VM is shutting down and accepts no new work.
         Leaving,
-        /// The retry budget is spent.
+        /// The retry budget is exhausted.
         RetryBudget,
     }
 }
 
 impl RequestClass {
-    /// All classes in order of service.
+    /// All classes, in order of service.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Scheduled, Self::Audit];
 
     /// The class's name in settings, metrics and logs.
--- a/decision/src/owner.rs
+++ b/decision/src/owner.rs
@@ -1,9 +1,10 @@
-//! The owner of a group: admits requests to its engines and orders loads and evictions there.
+//! Owner of a group: admits requests to the group's engines and orders loads and evictions there.
 //!
 //! The owner is a state machine without clock or I/O. Its process turns messages and timers into
-//! [`OwnerEvent`]s and carries out the [`OwnerAction`]s. The parts are the reservations (here), the
-//! choice of slots (`place`), the loads (`plan`) and their orders (`order`), what becomes of engines
-//! and VMs (`fleet`), and the plain types of both ends (`topology`, `event`). docs/PLACEMENT.md gives the reasons.
+//! [`OwnerEvent`]s and executes the [`OwnerAction`]s. This module holds the reservations; `place`
+//! chooses slots, `plan` plans loads, `order` tracks load orders, `fleet` tracks the state of
+//! engines and VMs, and `topology` and `event` hold the plain types. See docs/PLACEMENT.md for the
+//! design.
 //!
 //! ```
 //! use coltsfoothook_decision::id::{OwnerEpoch, TimePoint};
@@ -43,7 +44,7 @@
     EngineInfo, GroupTopology, OwnerSettings, StoreShare, TenantShare, class_defaults,
 };
 
-/// A grant that is out.
+/// A grant that has not been released.
 #[derive(Clone, Debug)]
 pub(crate) struct GrantState {
     pub(crate) number: u64,
@@ -52,11 +53,11 @@
     pub(crate) fingerprint: RequestFingerprint,
     pub(crate) suspect: bool,
     pub(crate) granted: TimePoint,
-    /// When its VM was found to be gone.
+    /// When its VM was found to be dead; `None` while the VM is live.
     pub(crate) orphaned: Option<TimePoint>,
 }
 
-/// An adapter that a schedule needs.
+/// An adapter load required by a schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AheadLoad {
     pub(crate) due: TimePoint,
@@ -64,37 +65,37 @@
     pub(crate) adapter: u32,
 }
 
-/// Figures of an owner for metrics and `status`.
+/// Owner statistics for metrics and `status`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OwnerFigures {
-    /// Requests that wait, by class.
+    /// Queued requests, by class.
     pub waiting: [u32; RequestClass::ALL.len()],
-    /// Grants that are out.
+    /// Grants not yet released.
     pub grants: u32,
-    /// Slots that are loaded.
+    /// Slots with a loaded adapter.
     pub loaded: u32,
-    /// Loads under way.
+    /// Loads in flight.
     pub loading: u32,
     /// Engines that take new work.
     pub usable: u32,
-    /// Engines with at least one grant out.
+    /// Engines with at least one grant in use.
     pub busy: u32,
 }
 
-/// A slot for `status` and `explain`.
+/// State of a slot, for `status` and `explain`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotView {
-    /// The engine.
+    /// The engine that has the slot.
     pub server: ServerName,
-    /// The slot's name.
+    /// The slot's name at the engine.
     pub slot: SlotName,
     /// Whether grants may use it.
     pub ready: bool,
-    /// Grants on it.
+    /// Grants that pin it.
     pub grants: u32,
 }
 
-/// The owner of a group in one epoch.
+/// Owner state of one group, for one ownership epoch.
 #[derive(Clone, Debug)]
 pub struct GroupOwner {
     pub(crate) settings: OwnerSettings,
@@ -122,12 +123,12 @@
     pub(crate) invariants: InvariantLog,
 }
 
-/// How much of a new measurement enters a running mean.
-const MEAN_GAIN: f64 = 0.05;
+/// Weight of a new sample in an exponential moving average.
+const MEAN_SMOOTHING: f64 = 0.05;
 
 impl GroupOwner {
-    /// Starts owning `topology`'s group in `epoch`. What the engines hold is learnt from reports,
-    /// and what other VMs hold from their answers.
+    /// Starts ownership of `topology`'s group in `epoch`. Loaded adapters become known from engine
+    /// reports, and grants held by other VMs from their answers.
     #[must_use]
     pub fn new(
         settings: OwnerSettings,
@@ -137,8 +138,8 @@
     ) -> Self {
         let mut owner = Self {
             budget: LoadBudget::new(topology.store, now),
-            load_ms: settings.first_load_ms as f64,
-            service_ms: settings.first_service_ms as f64,
+            load_ms: settings.initial_load_ms as f64,
+            service_ms: settings.initial_service_ms as f64,
             settings,
             topology: GroupTopology::default(),
             epoch,
@@ -164,7 +165,7 @@
         owner
     }
 
-    /// Takes an event, and adds what is to be done to `actions`.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         now: TimePoint,
@@ -205,7 +206,7 @@
         self.plan_loads(now, actions);
     }
 
-    /// The checks made so far.
+    /// Results of the invariant checks.
     #[must_use]
     pub fn invariants(&self) -> &InvariantLog {
         &self.invariants
@@ -217,13 +218,13 @@
         self.epoch
     }
 
-    /// What the configuration says of the group.
+    /// The group's configuration.
     #[must_use]
     pub fn topology(&self) -> &GroupTopology {
         &self.topology
     }
 
-    /// Whether `server` answered its last reports.
+    /// Whether `server` has reported and is not down.
     #[must_use]
     pub fn engine_up(&self, server: &str) -> bool {
         let mut engines = self.engines.iter();
@@ -231,13 +232,14 @@
         found.is_some_and(|engine| !engine.down && engine.incarnation.is_some())
     }
 
-    /// Whether an engine or a report has told of a later owner.
+    /// Whether a later epoch was found to be in force, so that this owner gives no more grants or
+    /// orders.
     #[must_use]
     pub fn deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Figures for metrics and `status`.
+    /// Current statistics for metrics and `status`.
     #[must_use]
     pub fn figures(&self) -> OwnerFigures {
         let slots = || self.engines.iter().flat_map(|engine| &engine.slots);
@@ -253,7 +255,7 @@
         }
     }
 
-    /// The slots of all engines, for `status` and `explain`.
+    /// The slots of all engines that are not empty, for `status` and `explain`.
     #[must_use]
     pub fn slots(&self) -> Vec<SlotView> {
         let mut views = Vec::new();
@@ -269,13 +271,13 @@
         views
     }
 
-    /// The number of an adapter version that the owner has met.
+    /// The index of an adapter version; `None` if the owner has never seen it.
     #[must_use]
     pub fn adapter_index(&self, adapter: &AdapterVersion) -> Option<AdapterIndex> {
         self.adapters.find(adapter).map(AdapterIndex)
     }
 
-    /// A number that no order or grant of this epoch has had.
+    /// Returns a number not yet used for an order or a grant in this epoch.
     pub(crate) fn number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number - 1
@@ -287,7 +289,7 @@
     }
 
     pub(crate) fn decay_micros(&self) -> f64 {
-        (self.settings.heat_decay_ms * MICROS_PER_MILLI) as f64
+        (self.settings.usage_decay_ms * MICROS_PER_MILLI) as f64
     }
 
     fn reserve(
@@ -312,14 +314,15 @@
             ArrivingRequest { ticket, asker, spec, adapter, deadline: Some(deadline), stalled };
         let choice = if stalled { None } else { self.choose_for(now, &arriving.spec, adapter) };
         if let Some(choice) = choice {
-            let grant = self.grant(now, choice, &arriving.asker, &arriving.spec, Waited::default());
+            let grant =
+                self.grant(now, choice, &arriving.asker, &arriving.spec, WaitTimes::default());
             actions.push(OwnerAction::Grant { ticket, grant });
             return;
         }
         self.enqueue(now, arriving, actions);
     }
 
-    /// Why the request cannot be served at all, if so.
+    /// Returns why the request cannot be served at all, or `None` if it can be granted or queued.
     fn refusal(&self, now: TimePoint, adapter: u32, spec: &RequestSpec) -> Option<GrantRefusal> {
         let refuse = |reason, retry| Some(self.refuse(reason, retry));
         if self.deposed {
@@ -329,7 +332,7 @@
             return refuse(RefusalReason::DeadlinePassed, self.wait_for_room_ms(spec.class));
         }
         if self.book.verdict(spec.fingerprint) == SuspectVerdict::Condemned {
-            return refuse(RefusalReason::Condemned, self.settings.retry_most_ms as f64);
+            return refuse(RefusalReason::Condemned, self.settings.max_retry_ms as f64);
         }
         if !self.engines.iter().any(EngineState::hopeful) {
             return refuse(RefusalReason::NoServer, NO_SERVER_RETRY_MS);
@@ -346,10 +349,10 @@
         None
     }
 
-    /// A refusal that asks the caller to come back after `retry_ms`.
+    /// Builds a refusal with `retry_ms` clamped to the configured retry range.
     pub(crate) fn refuse(&self, reason: RefusalReason, retry_ms: f64) -> GrantRefusal {
-        let (least, most) = (self.settings.retry_least_ms, self.settings.retry_most_ms);
-        GrantRefusal { reason, retry_after_ms: (retry_ms as u64).clamp(least, most.max(least)) }
+        let (min, max) = (self.settings.min_retry_ms, self.settings.max_retry_ms);
+        GrantRefusal { reason, retry_after_ms: (retry_ms as u64).clamp(min, max.max(min)) }
     }
 
     fn enqueue(
@@ -380,11 +383,11 @@
         self.queue.push(arriving, now);
         let length = self.queue.len(class);
         self.invariants.check(InvariantName::QueueBounded, length <= bound, || {
-            format!("{} wait in class {}, bound {bound}", length, class.as_str())
+            format!("{} requests queued in class {}, limit {bound}", length, class.as_str())
         });
     }
 
-    /// Milliseconds that the request would wait: for its load, then for room.
+    /// Expected wait in milliseconds: for the load, then for room on an engine.
     fn expected_wait_ms(&self, now: TimePoint, arriving: &ArrivingRequest) -> f64 {
         let room = self.wait_for_room_ms(arriving.spec.class);
         if !arriving.stalled || self.is_loading(arriving.adapter) {
@@ -394,7 +397,8 @@
         room.max(self.budget.wait_ms(ahead, self.load_ms))
     }
 
-    /// Milliseconds until the requests of this and the earlier classes that wait for room have it.
+    /// Expected milliseconds until the queued requests of this and more urgent classes have been
+    /// admitted; 0 while less than half of the batch slots run.
     pub(crate) fn wait_for_room_ms(&self, class: RequestClass) -> f64 {
         let batch: u32 =
             self.engines.iter().filter(|engine| engine.usable()).map(|e| e.info.batch_slots).sum();
@@ -432,7 +436,7 @@
         match call.end {
             GrantEnd::Done => {
                 let took = millis(now.since(grant.granted));
-                self.service_ms += (took - self.service_ms) * MEAN_GAIN;
+                self.service_ms += (took - self.service_ms) * MEAN_SMOOTHING;
                 if self.book.clear(grant.fingerprint) {
                     let fingerprint = grant.fingerprint;
                     actions.push(OwnerAction::RecordCleared { fingerprint });
@@ -450,8 +454,8 @@
                     self.lose_slot(now, grant.choice, actions);
                 }
             }
-            // Counts like a report that failed: without it a request would be sent to an engine that
-            // is down again and again until the engine's own reports have failed.
+            // Counted as a failed report. Otherwise requests would be sent to an engine that is
+            // down until the engine's own reports fail.
             GrantEnd::Unreachable => {
                 let server = engine.info.server.clone();
                 self.report_failed(now, &server, actions);
@@ -460,7 +464,7 @@
         }
     }
 
-    /// Takes a grant out of the books and unpins its slot.
+    /// Removes a grant from the accounting and unpins its slot.
     pub(crate) fn take_grant(&mut self, at: usize) -> GrantState {
         let grant = self.grants.remove(at);
         let engine = &mut self.engines[grant.choice.server as usize];
@@ -474,8 +478,8 @@
         grant
     }
 
-    /// Ends a grant's hold on its slot. A lost slot is emptied with its last pin, so that no later
-    /// adapter stands in a place that a grant still refers to.
+    /// Drops a grant's pin on its slot. A lost slot becomes empty only with its last pin, so that
+    /// it cannot be reused for another adapter while a grant refers to it.
     pub(crate) fn unpin(&mut self, choice: SlotChoice) {
         let slot = &mut self.engines[choice.server as usize].slots[choice.slot as usize];
         slot.pins = slot.pins.saturating_sub(1);
@@ -484,7 +488,7 @@
         }
     }
 
-    /// Grants what waits and can run, in the order of service.
+    /// Grants queued requests that can run now, in service order.
     fn dispatch(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
         if self.queue.is_empty() || self.deposed {
             return;
@@ -502,7 +506,7 @@
                 };
                 let request = self.queue.serve(class, at);
                 self.adapters.get_mut(request.adapter).waiting -= 1;
-                let waited = Waited::of(&request, now);
+                let waited = WaitTimes::of(&request, now);
                 let ticket = request.ticket;
                 let grant = self.grant(now, choice, &request.asker, &request.spec, waited);
                 actions.push(OwnerAction::Grant { ticket, grant });
@@ -523,7 +527,7 @@
         choice: SlotChoice,
         holder: &VmIdentity,
         spec: &RequestSpec,
-        waited: Waited,
+        waited: WaitTimes,
     ) -> SlotGrant {
         let number = self.number();
         let suspect = self.standing(spec.fingerprint) != SuspectVerdict::Clear;
@@ -589,14 +593,18 @@
             format!("request {} is a second suspect on {}", spec.id, engine.info.server)
         });
         self.invariants.check(InvariantName::LeavingServerIdle, engine.usable(), || {
-            format!("request {} granted on {}, which leaves", spec.id, engine.info.server)
+            format!(
+                "request {} granted on {}, which takes no new work",
+                spec.id, engine.info.server
+            )
         });
     }
 
-    /// Answers every waiting request that can no longer be served in time, at once.
+    /// Refuses every queued request whose deadline has passed, and all of them if no engine can be
+    /// expected to serve or the owner is deposed.
     pub(crate) fn give_up(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
         let late = |request: &WaitingRequest| request.deadline.is_some_and(|due| due <= now);
-        while let Some(request) = self.queue.take_first(late) {
+        while let Some(request) = self.queue.remove_first(late) {
             self.adapters.get_mut(request.adapter).waiting -= 1;
             let retry = self.wait_for_room_ms(request.spec.class).max(self.load_ms);
             let refusal = self.refuse(RefusalReason::DeadlinePassed, retry);
@@ -611,21 +619,21 @@
     }
 
     fn refuse_all(&mut self, reason: RefusalReason, retry_ms: f64, actions: &mut Vec<OwnerAction>) {
-        while let Some(request) = self.queue.take_first(|_| true) {
+        while let Some(request) = self.queue.remove_first(|_| true) {
             self.adapters.get_mut(request.adapter).waiting -= 1;
             let refusal = self.refuse(reason, retry_ms);
             actions.push(OwnerAction::Refuse { ticket: request.ticket, refusal });
         }
     }
 
-    /// Refuses all requests that wait for `adapter`, whose loads keep failing.
+    /// Refuses all requests queued for `adapter`, whose loads keep failing.
     pub(crate) fn refuse_waiters(
         &mut self,
         adapter: u32,
         retry_ms: f64,
         actions: &mut Vec<OwnerAction>,
     ) {
-        while let Some(request) = self.queue.take_first(|request| request.adapter == adapter) {
+        while let Some(request) = self.queue.remove_first(|request| request.adapter == adapter) {
             self.adapters.get_mut(adapter).waiting -= 1;
             let refusal = self.refuse(RefusalReason::LoadFailed, retry_ms);
             actions.push(OwnerAction::Refuse { ticket: request.ticket, refusal });
@@ -633,17 +641,17 @@
     }
 }
 
-/// When to come back while no engine is up.
+/// Retry hint in milliseconds while no engine is up.
 const NO_SERVER_RETRY_MS: f64 = 2_000.0;
 
-/// How long a request waited, and for what.
+/// How long a request waited for its load and for room, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Waited {
+pub(crate) struct WaitTimes {
     stall_ms: u64,
     queue_ms: u64,
 }
 
-impl Waited {
+impl WaitTimes {
     fn of(request: &WaitingRequest, now: TimePoint) -> Self {
         let waited = now.since(request.arrived) / MICROS_PER_MILLI;
         let stall = match (request.stalled, request.ready_at) {
@@ -655,7 +663,7 @@
     }
 }
 
-/// Milliseconds of `micros`, with their fraction.
+/// Converts microseconds to milliseconds, keeping the fraction.
 pub(crate) fn millis(micros: u64) -> f64 {
     micros as f64 / MICROS_PER_MILLI as f64
 }
--- a/decision/src/queue.rs
+++ b/decision/src/queue.rs
@@ -1,11 +1,11 @@
-//! Requests that wait at the owner, in the order in which they are served.
+//! Wait queues of a group owner, one per request class, kept in service order.
 
 use crate::grant::RequestSpec;
 use crate::id::{CustomerName, TimePoint, VmIdentity};
 use crate::outcome::RequestClass;
 use crate::topology::TenantShare;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
     pub(crate) ticket: u64,
@@ -14,15 +14,15 @@
     pub(crate) adapter: u32,
     pub(crate) arrived: TimePoint,
     pub(crate) deadline: Option<TimePoint>,
-    /// When its adapter was loaded, if it was not at its arrival.
+    /// When the adapter finished loading; `None` while it has not, or if it was loaded on arrival.
     pub(crate) ready_at: Option<TimePoint>,
-    /// Whether its adapter was not loaded at its arrival.
+    /// Whether the adapter was not loaded on arrival.
     pub(crate) stalled: bool,
     start_tag: f64,
     finish_tag: f64,
 }
 
-/// A request that is about to wait.
+/// A request that is about to be queued.
 #[derive(Clone, Debug)]
 pub(crate) struct ArrivingRequest {
     pub(crate) ticket: u64,
@@ -41,11 +41,12 @@
     waiting: [u32; RequestClass::ALL.len()],
 }
 
-/// The least weight of a tenant, so that a weight of zero starves nobody for ever.
-const LEAST_WEIGHT: f64 = 0.01;
+/// Lower bound of a tenant's weight, so that a tenant of weight zero is not starved forever.
+const MIN_WEIGHT: f64 = 0.01;
 
-/// The queues of the classes. Urgent and audit work is shared fairly between tenants by virtual
-/// time; scheduled work goes by its deadline, and by virtual time where deadlines are equal.
+/// One queue per class. Urgent and audit requests are shared fairly between tenants by virtual time
+/// (weighted fair queueing); scheduled requests are ordered by deadline, and by virtual time where
+/// deadlines are equal.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitQueue {
     classes: [Vec<WaitingRequest>; RequestClass::ALL.len()],
@@ -57,7 +58,7 @@
     pub(crate) fn set_tenants(&mut self, shares: &[TenantShare]) {
         for share in shares {
             let at = self.tenant(&share.tenant);
-            self.tenants[at].weight = share.weight.max(LEAST_WEIGHT);
+            self.tenants[at].weight = share.weight.max(MIN_WEIGHT);
         }
         let used = |clock: &TenantClock| clock.waiting.iter().any(|&waiting| waiting > 0);
         let listed = |clock: &TenantClock| shares.iter().any(|share| share.tenant == clock.tenant);
@@ -100,7 +101,7 @@
         self.classes.iter_mut().flatten()
     }
 
-    /// Puts a request into its place.
+    /// Inserts a request at its position in service order.
     pub(crate) fn push(&mut self, arriving: ArrivingRequest, now: TimePoint) {
         let class = arriving.spec.class as usize;
         let tenant = self.tenant(&arriving.spec.tenant);
@@ -126,7 +127,8 @@
         queue.insert(at, request);
     }
 
-    /// Takes the request at `at` of `class` out because it is served.
+    /// Removes the request at index `at` of `class` to serve it, and advances the virtual clock of
+    /// the class.
     pub(crate) fn serve(&mut self, class: RequestClass, at: usize) -> WaitingRequest {
         let request = self.remove(class, at);
         let clock = &mut self.clocks[class as usize];
@@ -134,7 +136,7 @@
         request
     }
 
-    /// Takes the request at `at` of `class` out.
+    /// Removes the request at index `at` of `class` without serving it.
     pub(crate) fn remove(&mut self, class: RequestClass, at: usize) -> WaitingRequest {
         let request = self.classes[class as usize].remove(at);
         let tenant = self.tenant(&request.spec.tenant);
@@ -143,7 +145,7 @@
         request
     }
 
-    /// Takes out the request of `ticket`.
+    /// Removes the request of `ticket`, if it is queued.
     pub(crate) fn withdraw(&mut self, ticket: u64) -> Option<WaitingRequest> {
         for class in RequestClass::ALL {
             let found = self.class(class).iter().position(|waiting| waiting.ticket == ticket);
@@ -154,13 +156,13 @@
         None
     }
 
-    /// Takes out the first request that `given_up` holds for.
-    pub(crate) fn take_first(
+    /// Removes the first request that `matches` accepts.
+    pub(crate) fn remove_first(
         &mut self,
-        mut given_up: impl FnMut(&WaitingRequest) -> bool,
+        mut matches: impl FnMut(&WaitingRequest) -> bool,
     ) -> Option<WaitingRequest> {
         for class in RequestClass::ALL {
-            let found = self.class(class).iter().position(&mut given_up);
+            let found = self.class(class).iter().position(&mut matches);
             if let Some(at) = found {
                 return Some(self.remove(class, at));
             }
@@ -168,8 +170,9 @@
         None
     }
 
-    /// In a full queue, takes out the last request of the tenant that is furthest over its share,
-    /// unless that is `newcomer`: a tenant that floods must not push the others out.
+    /// Makes room in a full queue: removes the last request of the tenant with the most queued
+    /// requests relative to its weight. Returns `None` if `newcomer` itself would have the most, so
+    /// that a tenant that floods the queue cannot displace others.
     pub(crate) fn displace(
         &mut self,
         class: RequestClass,
@@ -178,11 +181,12 @@
         let at = self.tenant(newcomer);
         let load = |clock: &TenantClock| f64::from(clock.waiting[class as usize]) / clock.weight;
         let own = load(&self.tenants[at]) + 1.0 / self.tenants[at].weight;
-        let most = self.tenants.iter().max_by(|left, right| load(left).total_cmp(&load(right)))?;
-        if load(most) <= own {
+        let heaviest =
+            self.tenants.iter().max_by(|left, right| load(left).total_cmp(&load(right)))?;
+        if load(heaviest) <= own {
             return None;
         }
-        let tenant = most.tenant.clone();
+        let tenant = heaviest.tenant.clone();
         let last = self.class(class).iter().rposition(|waiting| waiting.spec.tenant == tenant)?;
         Some(self.remove(class, last))
     }
