--- a/decision/src/record.rs
+++ b/decision/src/record.rs
@@ -1,8 +1,9 @@
-//! What the system keeps in the platform's log.
+//! Record types of the streams in the platform's log.
 //!
-//! Each stream is folded by a pure function that every VM computes alike; the first record in
-//! offset order wins wherever two compete. Rules are frozen for each format number: a reader that
-//! meets an unknown format skips the record, counts it, and takes no decision that it could change.
+//! Each stream is folded by a pure function that gives every VM the same state; where records
+//! compete, the first in offset order wins. The rules are frozen per format number: a reader that
+//! meets an unknown format skips the record, counts it, and makes no decision that the record could
+//! affect.
 
 use crate::id::{
     AdapterVersion, ConfigVersion, CustomerName, GroupName, IdempotencyKey, JobId, OwnerEpoch,
@@ -12,121 +13,124 @@
 use crate::outcome::{RequestClass, RequestOutcome};
 use crate::value;
 
-/// The stream of configuration records, which operators' tools may also write.
+/// Stream of configuration records, which operators' tools may also write.
 pub const CONFIG_STREAM: &str = "config";
-/// The stream of ownership, orders, drains and quarantine.
+/// Stream of group ownership, load order intents, drains and quarantine.
 pub const CONTROL_STREAM: &str = "control";
-/// The stream of claims of requests that are not repeatable.
+/// Stream of claims of requests that must not run twice.
 pub const CLAIM_STREAM: &str = "claims";
-/// The stream of audit jobs.
+/// Stream of audit jobs.
 pub const JOB_STREAM: &str = "jobs";
 
 value! {
     /// A record of the configuration stream.
     pub enum ConfigRecord {
-        /// An operator's change. It is accepted if `base` is the version in force at its place in
-        /// the log; a publication with the `publish_id` of an accepted one changes nothing.
+        /// An operator's change. Accepted if `base` is the version in force at its offset. A
+        /// publication with the `publish_id` of an accepted one has no effect.
         Publish {
-            /// The version that the operator saw.
+            /// The version that the change was made against.
             base: ConfigVersion,
-            /// Chosen by the publisher, the same when it is sent again.
+            /// Chosen by the publisher, and reused when the publication is repeated.
             publish_id: String,
-            /// What changes.
+            /// The change to the configuration.
             change: ConfigChange,
         },
-        /// The whole configuration, written again before retention takes its parts.
+        /// The whole configuration, rewritten before retention drops the records that it consists
+        /// of.
         Snapshot {
-            /// The version that it holds.
+            /// The version of `manifest`.
             version: ConfigVersion,
-            /// The state holds every record before this offset. A reader takes a snapshot only if
-            /// it can fold every record from here on, so one that was appended late changes nothing.
+            /// Offset before which every record is included. A reader uses a snapshot only if it
+            /// can fold every record from this offset on, so a snapshot that was appended late has
+            /// no effect.
             #[serde(default)]
             through: u64,
-            /// Publications accepted of late, so that a repeat is still known as one.
+            /// The latest accepted publications, to recognise repeats.
             recent: Vec<RecentPublish>,
-            /// The manifest.
+            /// The manifest in force at `through`.
             manifest: ServingManifest,
         },
     }
 
-    /// What a publication changes.
+    /// The change made by a publication.
     pub enum ConfigChange {
-        /// A whole manifest.
+        /// Replaces the whole manifest.
         Whole(ServingManifest),
-        /// A delta on the base.
+        /// Changes entries of the base.
         Delta(ManifestDelta),
     }
 
-    /// A publication that was accepted.
+    /// An accepted publication.
     pub struct RecentPublish {
-        /// The publisher's id for it.
+        /// Chosen by the publisher.
         pub publish_id: String,
-        /// The version it made.
+        /// The version that it created.
         pub version: ConfigVersion,
     }
 
     /// A record of the control stream.
     pub enum ControlRecord {
-        /// A VM takes a group. Accepted if `after` is the epoch in force at its place in the log.
+        /// A VM takes over a group. Accepted if `after` is the epoch in force at its offset.
         Takeover {
-            /// The group.
+            /// The group to take over.
             group: GroupName,
-            /// The epoch that it succeeds; 0 for the first.
+            /// The epoch to succeed; 0 if the group has had no owner.
             after: OwnerEpoch,
             /// The new owner.
             owner: VmIdentity,
         },
-        /// An order that the owner will send, for engines that ignore fencing numbers. It is valid
-        /// if `epoch` is in force at its place; only then may the owner send the order.
+        /// An order that the owner intends to send to an engine that ignores fencing numbers. Valid
+        /// if `epoch` is in force at its offset; only then may the owner send the order.
         Intent {
-            /// The group.
+            /// The group of the engine.
             group: GroupName,
             /// The owner's epoch.
             epoch: OwnerEpoch,
-            /// The owner's counter, which tells it which of its orders may go out.
+            /// The owner's counter, which identifies the order when the intent is read back.
             number: u64,
-            /// The engine.
+            /// The engine to be sent the order.
             server: ServerName,
-            /// The engine's life to which the order applies.
+            /// The engine's incarnation to which the order applies.
             incarnation: ServerIncarnation,
             /// The slot to evict, if any.
             evict: Option<SlotName>,
             /// The slot to load, if any.
             load: Option<SlotName>,
         },
-        /// An operator drains a backend server or ends its drain.
+        /// An operator starts or ends the drain of a backend server.
         DrainServer {
-            /// The server.
+            /// The server's name.
             server: ServerName,
-            /// Whether it drains from now on.
+            /// True to start the drain, false to end it.
             draining: bool,
         },
-        /// An operator drains an entry VM or ends its drain.
+        /// An operator starts or ends the drain of an entry VM.
         DrainVm {
-            /// The VM.
+            /// The VM's name.
             vm: VmName,
-            /// Whether it drains from now on.
+            /// True to start the drain, false to end it.
             draining: bool,
         },
         /// A server crashed while requests ran on it.
         Crash {
-            /// The server.
+            /// The server's name.
             server: ServerName,
-            /// The life that ended.
+            /// The incarnation that crashed.
             incarnation: ServerIncarnation,
-            /// What ran on it.
+            /// The requests that ran on it.
             suspects: Vec<RequestFingerprint>,
         },
-        /// A suspect ran whole, or an operator lifted its condemnation.
+        /// A suspect completed, or an operator lifted its condemnation.
         Cleared {
-            /// What it asks.
+            /// Hash of the request's content.
             fingerprint: RequestFingerprint,
         },
-        /// The whole state of the stream, written again before retention takes its parts.
+        /// The whole state of the stream, rewritten before retention drops the records that it
+        /// consists of.
         Snapshot(Box<ControlSnapshot>),
     }
 
-    /// The state of the control stream.
+    /// State of the control stream.
     #[derive(Default)]
     pub struct ControlSnapshot {
         /// Owners, sorted by group.
@@ -137,28 +141,28 @@
         pub draining_vms: Vec<VmName>,
         /// Suspects, sorted by fingerprint.
         pub suspects: Vec<SuspectEntry>,
-        /// Orders that earlier or present owners may still send, sorted by group.
+        /// Orders that current or earlier owners may still send, sorted by group.
         #[serde(default)]
         pub intents: Vec<OpenIntent>,
-        /// Crashes counted already, sorted by server, so that one recorded twice counts once.
+        /// Crashes already counted, sorted by server, so that one recorded twice counts once.
         #[serde(default)]
-        pub crashes: Vec<CrashedLife>,
-        /// The state holds every record before this offset. A snapshot is taken only by a reader
-        /// that has folded nothing beyond it, so one that was appended late changes nothing.
+        pub crashes: Vec<CrashedIncarnation>,
+        /// Offset before which every record is included. Only a reader that can fold every record
+        /// from this offset on uses the snapshot, so one that was appended late has no effect.
         pub through: u64,
     }
 
-    /// A valid order that its owner may still send, for engines that ignore fencing numbers.
+    /// A valid intent whose order may still be sent, for an engine that ignores fencing numbers.
     pub struct OpenIntent {
-        /// The group.
+        /// The group of the engine.
         pub group: GroupName,
         /// The epoch of the owner.
         pub epoch: OwnerEpoch,
         /// The owner's counter.
         pub number: u64,
-        /// The engine.
+        /// The engine to be sent the order.
         pub server: ServerName,
-        /// The engine's life.
+        /// The engine's incarnation to which the order applies.
         pub incarnation: ServerIncarnation,
         /// The slot to evict, if any.
         pub evict: Option<SlotName>,
@@ -166,114 +170,115 @@
         pub load: Option<SlotName>,
     }
 
-    /// A life of a server that ended in a crash.
+    /// An incarnation of a server that ended in a crash.
     #[derive(Eq, PartialOrd, Ord)]
-    pub struct CrashedLife {
-        /// The server.
+    pub struct CrashedIncarnation {
+        /// The server's name.
         pub server: ServerName,
-        /// The life.
+        /// The incarnation that crashed.
         pub incarnation: ServerIncarnation,
     }
 
-    /// Who owns a group.
+    /// Ownership of a group.
     pub struct GroupOwnership {
-        /// The group.
+        /// The group's name.
         pub group: GroupName,
-        /// The epoch of the ownership.
+        /// Grows by one with each takeover, from 1.
         pub epoch: OwnerEpoch,
-        /// The owner.
+        /// The VM incarnation that owns the group.
         pub owner: VmIdentity,
     }
 
-    /// A request that ran on servers which crashed.
+    /// A request that ran on servers when they crashed.
     pub struct SuspectEntry {
-        /// What it asks.
+        /// Hash of the request's content.
         pub fingerprint: RequestFingerprint,
-        /// How many servers crashed under it.
+        /// Number of crashes of servers on which it ran.
         pub crashes: u32,
-        /// How many of these it ran on alone among suspects.
+        /// Number of these crashes with it as the only suspect.
         pub alone: u32,
     }
 
-    /// A record of the claim stream: claims of many requests in one append.
+    /// Record of the claim stream: the claims of many requests in one append.
     pub struct ClaimRecord {
-        /// Who claims.
+        /// The VM incarnation that claims the keys.
         pub claimer: VmIdentity,
-        /// What is claimed.
+        /// One claim per request.
         pub claims: Vec<ClaimEntry>,
     }
 
     /// The claim of one request.
     pub struct ClaimEntry {
-        /// The tenant that the key belongs to.
+        /// The customer to whom the key belongs.
         pub tenant: CustomerName,
-        /// The key.
+        /// The idempotency key.
         pub key: IdempotencyKey,
-        /// What is asked, so that the key with another body is known.
+        /// Hash of the request's content, to detect the reuse of a key with another body.
         pub fingerprint: RequestFingerprint,
-        /// Wall-clock milliseconds at which the claimer appended it, for the window alone.
+        /// Wall-clock milliseconds since 1970 when the claim was made; not used by the fold.
         pub at_ms: u64,
     }
 
     /// A record of the job stream.
     pub enum JobRecord {
-        /// A job is accepted once this is read back.
+        /// A job, accepted once this record is read back.
         Submitted(JobEntry),
-        /// A result; the first for a job in offset order is the job's result.
+        /// A result. The first in offset order is the job's result.
         Finished {
-            /// The job.
+            /// The job's id.
             job: JobId,
-            /// Its tenant.
+            /// The customer that submitted it.
             tenant: CustomerName,
-            /// What became of it: done, failed, or not run when it was cancelled.
+            /// Whether it ran: done, failed, or not run if it was cancelled.
             outcome: RequestOutcome,
-            /// The answer's body, or the reason.
+            /// The answer's body, or the reason for which there is none.
             result: String,
-            /// Whether the job's result is written again ahead of retention. A reader that cannot
-            /// see the job's beginning believes it rather than a late result of another run.
+            /// Whether this rewrites the job's result ahead of retention. A reader that has not
+            /// read the job from its submission on takes it in preference to a late result of
+            /// another run.
             #[serde(default)]
             rewritten: bool,
         },
-        /// The caller withdrew it; a result that comes first wins.
+        /// The caller cancelled the job. A result with a lower offset takes precedence.
         Cancelled {
-            /// The job.
+            /// The job's id.
             job: JobId,
-            /// Its tenant.
+            /// The customer that submitted it.
             tenant: CustomerName,
         },
-        /// A VM runs the job now; others leave it alone while that VM lives.
+        /// A VM runs the job; others do not while that incarnation of the VM is live.
         Started {
-            /// The job.
+            /// The job's id.
             job: JobId,
-            /// Its tenant.
+            /// The customer that submitted it.
             tenant: CustomerName,
-            /// Who runs it.
+            /// The VM incarnation that runs it.
             runner: VmIdentity,
         },
-        /// Its result was fetched and acknowledged, or its time is over: it may be forgotten.
+        /// The result was fetched and acknowledged, or has expired: the job may be forgotten.
         Forgotten {
-            /// The job.
+            /// The job's id.
             job: JobId,
-            /// Its tenant.
+            /// The customer that submitted it.
             tenant: CustomerName,
         },
     }
 
     /// An audit job as submitted.
     pub struct JobEntry {
-        /// Its id.
+        /// Unique per customer.
         pub job: JobId,
-        /// Its tenant.
+        /// The customer that submitted it.
         pub tenant: CustomerName,
-        /// The adapter it names.
+        /// The adapter to run the job on.
         pub adapter: AdapterVersion,
-        /// Its class; audits by default.
+        /// The class of its request; audit by default.
         pub class: RequestClass,
-        /// Wall-clock milliseconds by which it is due, if it has a time.
+        /// Wall-clock milliseconds since 1970 by which it is due; `None` if it has no due time.
         pub due_ms: Option<u64>,
-        /// The body of the completion call.
+        /// Body of the completion call.
         pub body: String,
-        /// How often it was written again ahead of retention.
+        /// How often it was rewritten ahead of retention.
         #[serde(default)]
         pub rewritten: u32,
     }
--- a/decision/src/report.rs
+++ b/decision/src/report.rs
@@ -1,30 +1,30 @@
-//! What a model engine says of itself.
+//! State reports of model engines.
 
 use crate::id::{ServerIncarnation, SlotName};
 use crate::value;
 
 value! {
-    /// An engine's report. Reports lag behind the engine, so the owner compares their sequence
-    /// with the orders it sent and ignores those of an earlier life.
+    /// Report of an engine about itself. Reports lag behind the engine, so the owner compares their
+    /// sequence with the orders that it sent and ignores those of an earlier incarnation.
     #[derive(Default)]
     pub struct EngineReport {
-        /// The life of the engine's process.
+        /// The incarnation of the engine's process.
         pub incarnation: ServerIncarnation,
-        /// Grows with each report of one life; an older one that comes late is ignored.
+        /// Grows with each report of an incarnation; a report that arrives out of order is ignored.
         pub sequence: u64,
-        /// Requests in the batch.
+        /// Requests in the current batch.
         pub running: u32,
-        /// Requests that wait at the engine for a place in the batch.
+        /// Requests queued at the engine for room in the batch.
         pub waiting: u32,
-        /// The slots that are loaded, in any order.
+        /// The loaded slots, in any order.
         pub slots: Vec<SlotReport>,
     }
 
-    /// A loaded slot.
+    /// State of a loaded slot.
     pub struct SlotReport {
-        /// Its name at the engine.
+        /// The slot's name at the engine.
         pub slot: SlotName,
-        /// Requests that use it now.
+        /// Requests that currently use it.
         pub running: u32,
     }
 }
--- a/decision/src/row.rs
+++ b/decision/src/row.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of another one, and how news of it is taken and told.
+//! A VM's view of one member: its state, and the updates about it that are received and sent.
 
 use crate::digest::{
     ListedState, ListedVm, MemberAction, MemberChange, MemberDigest, MemberFacts, MemberPlace,
@@ -6,31 +6,38 @@
 };
 use crate::id::{MICROS_PER_MILLI, TimePoint, VmIdentity};
 
-/// A VM's place rides on news of it for so long.
-const PLACE_NEWS_MS: u64 = 60_000;
+/// Milliseconds for which updates about a new incarnation include its place.
+const PLACE_UPDATE_MS: u64 = 60_000;
 
-/// What this VM knows of another, or of itself.
+/// View of another VM, or of this VM itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberRow {
     pub(crate) digest: MemberDigest,
     pub(crate) place: MemberPlace,
     pub(crate) listed: Option<ListedState>,
+    /// Whether an update about it was received; false while it is known from the list alone.
     pub(crate) heard: bool,
+    /// When it entered its state, by this VM's clock.
     pub(crate) since: TimePoint,
+    /// When its incarnation became known, by this VM's clock.
     pub(crate) born: TimePoint,
+    /// Whether the last update changed its state; such updates are sent first.
     pub(crate) urgent: bool,
+    /// When it was last sent ahead of the probe interval; `None` if not since the last update.
     pub(crate) pushed: Option<TimePoint>,
+    /// Number of messages in which the last update was sent.
     pub(crate) told: u32,
 }
 
 impl MemberRow {
-    /// The VM and its life; the life is 0 for one that is listed and was never heard of.
+    /// The VM and its incarnation; 0 for a VM that is listed and from which nothing was received
+    /// yet.
     #[must_use]
     pub fn identity(&self) -> &VmIdentity {
         &self.digest.vm
     }
 
-    /// What is told of it to others.
+    /// The update about it that is sent to others.
     #[must_use]
     pub fn digest(&self) -> &MemberDigest {
         &self.digest
@@ -42,25 +49,25 @@
         self.digest.vm.vm.as_str()
     }
 
-    /// Where it is.
+    /// Its addresses, failure domain and region, fixed for an incarnation.
     #[must_use]
     pub fn place(&self) -> &MemberPlace {
         &self.place
     }
 
-    /// What it says of itself.
+    /// What it reports about itself.
     #[must_use]
     pub fn facts(&self) -> &MemberFacts {
         &self.digest.facts
     }
 
-    /// When it came into its state, by this VM's clock.
+    /// When it entered its state, by this VM's clock.
     #[must_use]
     pub fn since(&self) -> TimePoint {
         self.since
     }
 
-    /// Its state. A VM that the platform is about to stop counts as leaving before it says so.
+    /// Its state. A VM that the platform is about to stop counts as leaving before it reports so.
     #[must_use]
     pub fn state(&self) -> MemberState {
         match (self.digest.state, self.listed) {
@@ -108,8 +115,9 @@
         self.digest.state != MemberState::Dead || !self.heard
     }
 
-    /// A VM that died keeps its voice in the majority until the list drops it or it is forgotten;
-    /// otherwise the smaller side of a partition would count itself as the whole.
+    /// Whether a VM that is not alive still counts towards the majority: until the platform's list
+    /// drops it or it is forgotten. Otherwise the smaller side of a partition would count itself as
+    /// the whole.
     pub(crate) fn recent_death(&self) -> bool {
         self.heard && self.digest.state != MemberState::Alive
     }
@@ -145,23 +153,23 @@
     ) {
         let was = self.state();
         let before = self.digest.vm.clone();
-        let reborn = before != digest.vm;
-        let turned = self.digest.state != digest.state || reborn;
+        let restarted = before != digest.vm;
+        let state_changed = self.digest.state != digest.state || restarted;
         if let Some(place) = &digest.place {
             self.place = place.clone();
         }
         self.digest = digest;
         self.heard = true;
-        self.urgent = turned;
+        self.urgent = state_changed;
         self.pushed = None;
         self.told = 0;
-        if turned {
+        if state_changed {
             self.since = now;
         }
-        if reborn {
+        if restarted {
             self.born = now;
-            // Whoever waits for the end of the earlier life, above all an owner whose grants it
-            // held, hears of it even though it was never found dead.
+            // Reports the earlier incarnation as dead even if it was never detected as dead: an
+            // owner whose grants it held waits for its end.
             let earlier = MemberChange { vm: before, was: Some(was), state: MemberState::Dead };
             let (vm, state) = (self.digest.vm.clone(), self.state());
             actions.push(MemberAction::Changed(earlier));
@@ -173,8 +181,8 @@
 
     pub(crate) fn tell(&mut self, now: TimePoint) -> MemberDigest {
         self.told += 1;
-        let young = now.since(self.born) < PLACE_NEWS_MS * MICROS_PER_MILLI;
-        self.digest_with_place(young)
+        let recent = now.since(self.born) < PLACE_UPDATE_MS * MICROS_PER_MILLI;
+        self.digest_with_place(recent)
     }
 
     pub(crate) fn digest_with_place(&self, with_place: bool) -> MemberDigest {
--- a/decision/src/snapshot.rs
+++ b/decision/src/snapshot.rs
@@ -1,22 +1,23 @@
-//! When a stream's whole state is written again, and by which VM.
+//! When a stream's state is written as a snapshot, and by which VM.
 //!
-//! The log keeps records for a limited time. A VM that starts with nothing can build the state only
-//! if a snapshot and every record behind it are still there, so one is written well ahead of that
-//! time, and again after many records to keep a start short. See docs/AGREEMENT.md, "Retention".
+//! The log keeps records for a limited time. A VM that starts without state can build it only if a
+//! snapshot and all records after it are still in the log. A snapshot is therefore written well
+//! before the retention time ends, and also after many records, to keep starts short. See
+//! docs/AGREEMENT.md, "Retention".
 
 use crate::id::{MICROS_PER_MILLI, TimePoint};
 use crate::member::{MemberState, MemberTable};
-use crate::takeover::{PauseWatch, rank_among_live};
+use crate::takeover::{PauseDetector, rank_among_live};
 
 /// Settings of snapshots.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotSettings {
     /// Milliseconds after which a snapshot is due; a quarter of the log's retention, so that
-    /// several VMs can fail to write it and an outage can pass before the last one is lost.
+    /// failures of several VMs to write it, or an outage, can pass before the last one is dropped.
     pub age_ms: u64,
-    /// Records after which one is due.
+    /// Records since the last snapshot after which one is due.
     pub records: u64,
-    /// Milliseconds that each later rank waits for the ranks before it to write.
+    /// Milliseconds per rank that a VM waits for the VMs ranked before it to write.
     pub rank_ms: u64,
     /// Milliseconds after which a snapshot that was not read back is written again.
     pub repeat_ms: u64,
@@ -28,70 +29,70 @@
     }
 }
 
-/// Decides when this VM writes a stream's snapshot.
+/// Decides when this VM writes the snapshot of one stream.
 #[derive(Clone, Debug)]
 pub struct SnapshotPlan {
     settings: SnapshotSettings,
     stream: &'static str,
     started: TimePoint,
-    seen: Option<(TimePoint, u64)>,
+    last_read: Option<(TimePoint, u64)>,
     due_since: Option<TimePoint>,
-    asked: Option<TimePoint>,
-    pauses: PauseWatch,
+    appended_at: Option<TimePoint>,
+    pauses: PauseDetector,
 }
 
 impl SnapshotPlan {
-    /// The plan for `stream` of a VM that started at `now`.
+    /// Creates the plan for `stream` of a VM that started at `now`.
     #[must_use]
     pub fn new(settings: SnapshotSettings, stream: &'static str, now: TimePoint) -> Self {
         Self {
             settings,
             stream,
             started: now,
-            seen: None,
+            last_read: None,
             due_since: None,
-            asked: None,
-            pauses: PauseWatch::default(),
+            appended_at: None,
+            pauses: PauseDetector::default(),
         }
     }
 
-    /// A snapshot of the state before `through` was read from the log.
+    /// Records that a snapshot of the state before `through` was read from the log.
     pub fn note(&mut self, now: TimePoint, through: u64) {
-        if self.seen.is_none_or(|(_, known)| through > known) {
-            self.seen = Some((now, through));
+        if self.last_read.is_none_or(|(_, known)| through > known) {
+            self.last_read = Some((now, through));
             self.due_since = None;
         }
     }
 
-    /// Whether this VM is to write a snapshot now; `next` is the offset that its fold will read
-    /// next. The first VM by rank writes, a later one only if the earlier ones did not.
+    /// Whether this VM writes a snapshot now; `next` is the next offset that its fold reads. The VM
+    /// of rank 0 writes it, a later rank only if the ranks before did not.
     pub fn due(&mut self, now: TimePoint, next: u64, members: &MemberTable) -> bool {
-        self.pauses.ask(now);
-        if next == 0 || !self.needed(now, next) {
+        self.pauses.observe(now);
+        if next == 0 || !self.is_due(now, next) {
             self.due_since = None;
             return false;
         }
         let since = *self.due_since.get_or_insert(now);
         let wait = rank_among_live(self.stream, members) * self.settings.rank_ms;
-        let turn = self.pauses.passed(now, since, wait);
+        let rank_elapsed = self.pauses.passed(now, since, wait);
         let repeat = self.settings.repeat_ms * MICROS_PER_MILLI;
-        let waits = self.asked.is_some_and(|asked| now.since(asked) < repeat);
-        let able = members.own().state() == MemberState::Alive;
-        if !turn || waits || !able {
+        let in_flight = self.appended_at.is_some_and(|at| now.since(at) < repeat);
+        let alive = members.own().state() == MemberState::Alive;
+        if !rank_elapsed || in_flight || !alive {
             return false;
         }
-        self.asked = Some(now);
+        self.appended_at = Some(now);
         true
     }
 
-    fn needed(&self, now: TimePoint, next: u64) -> bool {
+    fn is_due(&self, now: TimePoint, next: u64) -> bool {
         let age = self.settings.age_ms * MICROS_PER_MILLI;
-        match self.seen {
+        match self.last_read {
             Some((at, through)) => {
-                // A snapshot that was there at the start may be older than this VM knows.
-                let early = now.since(self.started) < age && now.since(at) >= age / 2;
-                let many = next.saturating_sub(through) >= self.settings.records;
-                early || many || now.since(at) >= age
+                // A snapshot read at the start may be older than its time of reading here.
+                let maybe_old = now.since(self.started) < age && now.since(at) >= age / 2;
+                let many_records = next.saturating_sub(through) >= self.settings.records;
+                maybe_old || many_records || now.since(at) >= age
             }
             None => next >= self.settings.records || now.since(self.started) >= age / 4,
         }
--- a/decision/src/suspect.rs
+++ b/decision/src/suspect.rs
@@ -1,27 +1,27 @@
-//! Requests that ran on engines which crashed, and what follows for them.
+//! Quarantine of requests that ran on engines which crashed.
 //!
-//! All that ran on an engine when it crashed are suspects. A suspect runs only where no other
-//! suspect runs, so a second crash has one suspect, which is condemned; the others run whole and
-//! are cleared. See docs/PLACEMENT.md, "Poison requests".
+//! All requests that ran on an engine when it crashed become suspects. A suspect runs only where no
+//! other suspect runs, so a second crash has a single suspect, which is condemned. The others
+//! complete and are cleared. See docs/PLACEMENT.md, "Poison requests".
 
 use crate::id::RequestFingerprint;
 use crate::record::SuspectEntry;
 
-/// How a request stands.
+/// Quarantine state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectVerdict {
-    /// Nothing is known against it.
+    /// Not a suspect.
     Clear,
-    /// It runs apart from other suspects.
+    /// Suspect; it runs apart from other suspects.
     Isolated,
-    /// It runs no more.
+    /// Poison request; it is refused.
     Condemned,
 }
 
-/// How many servers may crash under a request before it is condemned.
+/// Minimum crashes for a request to be condemned, at least one of them with it as the only suspect.
 pub const CONDEMNED_CRASHES: u32 = 2;
 
-/// The verdict that follows from an entry of the control stream.
+/// Returns the verdict for an entry of the control stream.
 #[must_use]
 pub fn verdict_of(entry: &SuspectEntry) -> SuspectVerdict {
     if entry.crashes >= CONDEMNED_CRASHES && entry.alone >= 1 {
@@ -30,8 +30,9 @@
     if entry.crashes >= 1 { SuspectVerdict::Isolated } else { SuspectVerdict::Clear }
 }
 
-/// What the owner knows of suspects: the control stream's state, and crashes that it saw itself and
-/// has not read back yet. The latter count at once, or a resend would crash a third server.
+/// The owner's list of suspects: the state of the control stream, and crashes that it detected
+/// itself and has not read back yet. The latter count immediately, so that a resend does not crash
+/// a third server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SuspectBook {
     recorded: Vec<SuspectEntry>,
@@ -39,7 +40,7 @@
 }
 
 impl SuspectBook {
-    /// Takes over the control stream's list.
+    /// Replaces the list read from the control stream and drops own entries that it covers.
     pub(crate) fn set_recorded(&mut self, mut entries: Vec<SuspectEntry>) {
         entries.sort_unstable_by_key(|entry| entry.fingerprint);
         self.own.retain(|own| match find(&entries, own.fingerprint) {
@@ -49,7 +50,7 @@
         self.recorded = entries;
     }
 
-    /// Counts a crash under `fingerprints`.
+    /// Counts a crash of one engine against all `fingerprints` that ran on it.
     pub(crate) fn crash(&mut self, fingerprints: &[RequestFingerprint]) {
         let alone = u32::from(fingerprints.len() == 1);
         for &fingerprint in fingerprints {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Clears `fingerprint` and tells whether it was a suspect.
+    /// Removes `fingerprint`; returns whether it was a suspect.
     pub(crate) fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
         let before = self.own.len() + self.recorded.len();
         self.own.retain(|entry| entry.fingerprint != fingerprint);
--- a/decision/src/takeover.rs
+++ b/decision/src/takeover.rs
@@ -1,7 +1,7 @@
-//! Which groups this VM takes over, and when it may dispatch without an owner.
+//! Takeover of groups by this VM, and dispatch without an owner.
 //!
-//! An owner stays owner until a takeover is read from the log, so nothing lapses while the log is
-//! down and no clock is compared. See docs/AGREEMENT.md, "Ownership".
+//! An owner stays owner until a takeover is read from the log. Ownership has no lease: nothing
+//! expires while the log is down, and no clocks are compared. See docs/AGREEMENT.md, "Ownership".
 
 use crate::control::ControlFold;
 use crate::id::{GroupName, MICROS_PER_MILLI, TimePoint, stable_hash};
@@ -11,19 +11,20 @@
 /// Settings of takeovers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TakeoverSettings {
-    /// Milliseconds after the start in which nothing is taken over, because the other VMs are not
-    /// heard yet and would look dead. It ends early once all listed VMs were heard of.
+    /// Milliseconds after the start during which nothing is taken over, because VMs from which no
+    /// message was received yet would look dead. Ends early once all listed VMs are known.
     pub settle_ms: u64,
-    /// Milliseconds that each later rank waits for the ranks before it to act.
+    /// Milliseconds per rank that a VM waits for the VMs ranked before it to act.
     pub rank_ms: u64,
-    /// Milliseconds after which an append whose verdict was not read is repeated. A repeat is
+    /// Milliseconds after which an append whose verdict was not read is repeated. Repeats are
     /// harmless: only the first in offset order counts.
     pub repeat_ms: u64,
-    /// Milliseconds for which a better-ranked VM must have been alive before it relieves an owner
-    /// that has too many groups. Long, so that a VM that comes and goes moves nothing.
-    pub relieve_ms: u64,
-    /// Milliseconds for which an owner must be dead before others dispatch without it, twice the
-    /// time of detection.
+    /// Milliseconds that a VM must have been running before it takes a group, for which it is
+    /// ranked first, from a live owner that has too many. Long, so that a VM that restarts
+    /// repeatedly causes no takeovers.
+    pub rebalance_ms: u64,
+    /// Milliseconds for which an owner must be dead before others dispatch without it; twice the
+    /// failure detection time.
     pub ownerless_ms: u64,
 }
 
@@ -33,63 +34,64 @@
             settle_ms: 2_000,
             rank_ms: 700,
             repeat_ms: 1_500,
-            relieve_ms: 60_000,
+            rebalance_ms: 60_000,
             ownerless_ms: 4_000,
         }
     }
 }
 
-/// A group as far as ownership is concerned.
+/// What a takeover needs to know of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TakeoverGroup {
-    /// The group.
+    /// The group's name.
     pub name: GroupName,
-    /// Its region; only VMs of the region own it, because an owner is asked for each request.
+    /// Its region. Only VMs of the region own it, because each request needs an answer from the
+    /// owner.
     pub region: String,
 }
 
-/// Notices that a plan was not asked for a while: the log was down, or this VM stood still.
+/// Detects that a plan was not evaluated for a while: the log was down, or this VM was paused.
 ///
-/// Ranks wait their turn from then on. Without it all VMs would find their turn long past when the
-/// log comes back, and all would write the same records at once.
+/// Rank delays are counted from the end of the pause. Otherwise all delays would have expired when
+/// the log becomes available again, and all VMs would write the same records at once.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PauseWatch {
+pub(crate) struct PauseDetector {
     last: Option<TimePoint>,
     resumed: TimePoint,
 }
 
-/// A plan is asked several times a second, so this long without being asked is a pause.
-const PLAN_PAUSE_MS: u64 = 1_000;
+/// Gap between two evaluations that counts as a pause; a plan is evaluated several times a second.
+const MIN_PAUSE_MS: u64 = 1_000;
 
-impl PauseWatch {
-    pub(crate) fn ask(&mut self, now: TimePoint) {
+impl PauseDetector {
+    pub(crate) fn observe(&mut self, now: TimePoint) {
         let last = self.last.replace(now);
-        if last.is_none_or(|last| now.since(last) > PLAN_PAUSE_MS * MICROS_PER_MILLI) {
+        if last.is_none_or(|last| now.since(last) > MIN_PAUSE_MS * MICROS_PER_MILLI) {
             self.resumed = now;
         }
     }
 
-    /// Whether `wait_ms` have passed since `since`, or since the end of the last pause.
+    /// Whether `wait_ms` have passed since `since` and since the end of the last pause.
     pub(crate) fn passed(&self, now: TimePoint, since: TimePoint, wait_ms: u64) -> bool {
         now.since(since.max(self.resumed)) >= wait_ms * MICROS_PER_MILLI
     }
 }
 
-/// Why a group is up for takeover.
+/// Why a group is due for takeover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum GroupNeed {
-    /// The owner is gone or leaves, or there never was one.
-    Orphan,
-    /// The owner is fine, but has more than its share.
-    Relief,
+enum TakeoverReason {
+    /// The owner is dead, restarted or draining, or there never was one.
+    NoOwner,
+    /// The owner is fine but owns at least two groups more than this VM.
+    Rebalance,
 }
 
 #[derive(Clone, Debug)]
-struct OpenNeed {
+struct PendingTakeover {
     group: GroupName,
-    need: GroupNeed,
+    reason: TakeoverReason,
     since: TimePoint,
-    asked: Option<TimePoint>,
+    appended_at: Option<TimePoint>,
 }
 
 /// Decides which groups this VM takes over.
@@ -97,24 +99,25 @@
 pub struct TakeoverPlan {
     settings: TakeoverSettings,
     started: TimePoint,
-    open: Vec<OpenNeed>,
-    relieved: Option<TimePoint>,
-    pauses: PauseWatch,
+    pending: Vec<PendingTakeover>,
+    last_rebalance: Option<TimePoint>,
+    pauses: PauseDetector,
 }
 
 impl TakeoverPlan {
-    /// The plan of a VM that started at `now`.
+    /// Creates the plan of a VM that started at `now`.
     #[must_use]
     pub fn new(settings: TakeoverSettings, now: TimePoint) -> Self {
-        let pauses = PauseWatch::default();
-        Self { settings, started: now, open: Vec::new(), relieved: None, pauses }
+        let pauses = PauseDetector::default();
+        Self { settings, started: now, pending: Vec::new(), last_rebalance: None, pauses }
     }
 
-    /// The takeovers to append now; called several times a second. `groups` is sorted by name.
+    /// Returns the takeovers to append now. Called several times a second; `groups` is sorted by
+    /// name.
     ///
-    /// A VM that does not see a majority of its region takes nothing over: in a partition the
-    /// smaller side would otherwise depose the owners of the larger one, which would take them
-    /// back, on and on, while the log is reachable from both.
+    /// A VM that does not see a majority of its region takes nothing over. While the log is
+    /// reachable from both sides of a partition, the smaller side would otherwise depose the owners
+    /// of the larger one, which would take them back, repeatedly.
     pub fn plan(
         &mut self,
         now: TimePoint,
@@ -122,86 +125,91 @@
         members: &MemberTable,
         control: &ControlFold,
     ) -> Vec<ControlRecord> {
-        self.pauses.ask(now);
+        self.pauses.observe(now);
         let waited = now.since(self.started) >= self.settings.settle_ms * MICROS_PER_MILLI;
         let settled = waited || members.acquainted();
         let region = members.own().place().region.as_str();
-        let able =
+        let eligible =
             members.own().state() == MemberState::Alive && !control.vm_drains(members.own().name());
-        if !settled || !able || !control.whole() || !members.majority(region) {
-            self.open.clear();
+        if !settled || !eligible || !control.whole() || !members.majority(region) {
+            self.pending.clear();
             return Vec::new();
         }
         let mut records = Vec::new();
-        self.open.retain(|open| groups.iter().any(|group| group.name == open.group));
+        self.pending.retain(|pending| groups.iter().any(|group| group.name == pending.group));
         for group in groups.iter().filter(|group| group.region == region) {
-            let need = self.need(now, group, groups, members, control);
-            records.extend(self.act(now, group, need, members, control));
+            let reason = self.reason(now, group, groups, members, control);
+            records.extend(self.propose(now, group, reason, members, control));
         }
         records
     }
 
-    fn need(
+    fn reason(
         &self,
         now: TimePoint,
         group: &TakeoverGroup,
         groups: &[TakeoverGroup],
         members: &MemberTable,
         control: &ControlFold,
-    ) -> Option<GroupNeed> {
+    ) -> Option<TakeoverReason> {
         let Some(ownership) = control.owner(group.name.as_str()) else {
-            return Some(GroupNeed::Orphan);
+            return Some(TakeoverReason::NoOwner);
         };
         let owner = &ownership.owner;
         let state = members.state_of(owner.vm.as_str());
-        let stays = matches!(state, Some(MemberState::Alive | MemberState::Suspect));
-        if !stays || !members.runs(owner) || control.vm_drains(owner.vm.as_str()) {
-            return Some(GroupNeed::Orphan);
+        let live = matches!(state, Some(MemberState::Alive | MemberState::Suspect));
+        if !live || !members.runs(owner) || control.vm_drains(owner.vm.as_str()) {
+            return Some(TakeoverReason::NoOwner);
         }
         let own = members.own().identity();
-        let long = now.since(self.started) >= self.settings.relieve_ms * MICROS_PER_MILLI;
-        let pause = self.settings.relieve_ms * MICROS_PER_MILLI / 6;
-        let rested = self.relieved.is_none_or(|at| now.since(at) >= pause);
-        if owner == own || !long || !rested {
+        let long_enough = now.since(self.started) >= self.settings.rebalance_ms * MICROS_PER_MILLI;
+        let interval = self.settings.rebalance_ms * MICROS_PER_MILLI / 6;
+        let interval_passed = self.last_rebalance.is_none_or(|at| now.since(at) >= interval);
+        if owner == own || !long_enough || !interval_passed {
             return None;
         }
         let load = |vm| count_owned(groups, control, vm);
         let uneven = load(owner) >= load(own) + 2;
         let first = rank(group.name.as_str(), members, control) == Some(0);
-        (uneven && first).then_some(GroupNeed::Relief)
+        (uneven && first).then_some(TakeoverReason::Rebalance)
     }
 
-    fn act(
+    fn propose(
         &mut self,
         now: TimePoint,
         group: &TakeoverGroup,
-        need: Option<GroupNeed>,
+        reason: Option<TakeoverReason>,
         members: &MemberTable,
         control: &ControlFold,
     ) -> Option<ControlRecord> {
-        let at = self.open.binary_search_by(|open| open.group.cmp(&group.name));
-        let Some(need) = need else {
+        let at = self.pending.binary_search_by(|pending| pending.group.cmp(&group.name));
+        let Some(reason) = reason else {
             if let Ok(at) = at {
-                self.open.remove(at);
+                self.pending.remove(at);
             }
             return None;
         };
         let at = at.unwrap_or_else(|at| {
-            let open = OpenNeed { group: group.name.clone(), need, since: now, asked: None };
-            self.open.insert(at, open);
+            let pending = PendingTakeover {
+                group: group.name.clone(),
+                reason,
+                since: now,
+                appended_at: None,
+            };
+            self.pending.insert(at, pending);
             at
         });
         let rank = rank(group.name.as_str(), members, control)?;
-        let open = &mut self.open[at];
-        let turn = self.pauses.passed(now, open.since, rank * self.settings.rank_ms);
+        let pending = &mut self.pending[at];
+        let rank_elapsed = self.pauses.passed(now, pending.since, rank * self.settings.rank_ms);
         let repeat = self.settings.repeat_ms * MICROS_PER_MILLI;
-        let waits = open.asked.is_some_and(|asked| now.since(asked) < repeat);
-        if !turn || waits {
+        let in_flight = pending.appended_at.is_some_and(|at| now.since(at) < repeat);
+        if !rank_elapsed || in_flight {
             return None;
         }
-        open.asked = Some(now);
-        if open.need == GroupNeed::Relief {
-            self.relieved = Some(now);
+        pending.appended_at = Some(now);
+        if pending.reason == TakeoverReason::Rebalance {
+            self.last_rebalance = Some(now);
         }
         Some(ControlRecord::Takeover {
             group: group.name.clone(),
@@ -211,7 +219,7 @@
     }
 }
 
-/// How many of `groups` the life `vm` owns.
+/// Counts the `groups` that this incarnation of a VM owns.
 fn count_owned(
     groups: &[TakeoverGroup],
     control: &ControlFold,
@@ -221,48 +229,49 @@
     owners.filter(|ownership| ownership.owner == *vm).count()
 }
 
-/// This VM's place among the VMs that could own `group`, 0 being the first; rendezvous hashing, so
-/// a VM that goes moves only its own groups.
+/// Returns this VM's rank, from 0, among the VMs that could own `group`. Rendezvous
+/// hashing: a VM that is removed affects only its own groups.
 fn rank(group: &str, members: &MemberTable, control: &ControlFold) -> Option<u64> {
     let own = members.own();
     let region = &own.place().region;
-    let able = members.live().filter(|row| row.place().region == *region);
-    let able = able.filter(|row| !control.vm_drains(row.name()));
-    let mine = preference(group, own.name());
-    let before = able.filter(|row| preference(group, row.name()) > mine).count();
+    let eligible = members.live().filter(|row| row.place().region == *region);
+    let eligible = eligible.filter(|row| !control.vm_drains(row.name()));
+    let own_weight = preference(group, own.name());
+    let before = eligible.filter(|row| preference(group, row.name()) > own_weight).count();
     Some(before as u64)
 }
 
-/// How much `key` prefers `vm`: the VM with the highest value comes first. Every choice of one VM
-/// out of the live ones is made by it: owners, runners of jobs and writers of snapshots.
+/// Rendezvous hash weight of `vm` for `key`: the VM with the highest value comes first. All
+/// selections among live VMs use it: owners, runners of jobs and writers of snapshots.
 #[must_use]
 pub fn preference<'a>(key: &str, vm: &'a str) -> (u64, &'a str) {
     (stable_hash(&[key, vm]), vm)
 }
 
-/// This VM's place for `key` among the live VMs, 0 being the first. Each later rank waits longer,
-/// so one VM acts, and another does if the first cannot.
+/// Returns this VM's rank, from 0, for `key` among the live VMs. Each rank waits longer than the
+/// one before, so that one VM acts, and the next one does if it cannot.
 #[must_use]
 pub fn rank_among_live(key: &str, members: &MemberTable) -> u64 {
-    let mine = preference(key, members.own().name());
-    members.live().filter(|row| preference(key, row.name()) > mine).count() as u64
+    let own_weight = preference(key, members.own().name());
+    members.live().filter(|row| preference(key, row.name()) > own_weight).count() as u64
 }
 
-/// Why a VM dispatches to a loaded slot without a grant, or does not.
+/// Whether a VM may dispatch to a loaded slot without a grant, and why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerlessRuling {
-    /// It may: no order is possible now, so no slot can be evicted under the request.
+    /// It may: no load or eviction can be ordered now, so the slot cannot be evicted under the
+    /// request.
     Allowed,
-    /// The owner is not known to be dead for long enough; it may be evicting.
+    /// The owner has not been dead for long enough and may still evict.
     OwnerMayLive,
-    /// The log is readable: a takeover will come, and the new owner gives grants.
+    /// The log is readable: a takeover will follow, and the new owner gives grants.
     LogUp,
-    /// The VM may be the one that is cut off.
+    /// This VM may be the one that is cut off.
     NoMajority,
 }
 
-/// Rules on dispatch without an owner; see docs/DESIGN.md, "No owner". `log_read` tells whether
-/// the log answered this VM's last read.
+/// Decides whether dispatch without an owner is allowed; see docs/DESIGN.md, "No owner". `log_read`
+/// states whether the log answered this VM's last read.
 #[must_use]
 pub fn ownerless(
     now: TimePoint,
@@ -284,7 +293,7 @@
     let Some(row) = members.row(ownership.owner.vm.as_str()) else {
         return OwnerlessRuling::Allowed;
     };
-    let long = now.since(row.since()) >= settings.ownerless_ms * MICROS_PER_MILLI;
-    let gone = row.identity() != &ownership.owner || row.state() == MemberState::Dead;
-    if gone && long { OwnerlessRuling::Allowed } else { OwnerlessRuling::OwnerMayLive }
+    let long_enough = now.since(row.since()) >= settings.ownerless_ms * MICROS_PER_MILLI;
+    let dead = row.identity() != &ownership.owner || row.state() == MemberState::Dead;
+    if dead && long_enough { OwnerlessRuling::Allowed } else { OwnerlessRuling::OwnerMayLive }
 }
--- a/decision/src/topology.rs
+++ b/decision/src/topology.rs
@@ -1,55 +1,58 @@
-//! What a group's owner is configured with: its limits and times, and the engines, shares and
-//! classes of its group. docs/PLACEMENT.md gives the reasons of the values.
+//! Configuration of a group's owner: its limits and timeouts, and the engines, shares and classes
+//! of its group. docs/PLACEMENT.md explains the values.
 
 use crate::id::{CustomerName, GroupName, ServerName};
 use crate::manifest::{ClassEntry, PlacementPolicy};
 use crate::outcome::RequestClass;
 
-/// Limits and times of an owner.
+/// Limits and timeouts of an owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerSettings {
-    /// Reports that must fail in a row before an engine counts as down.
+    /// Consecutive reports that must fail before an engine counts as down.
     pub failed_reports: u32,
-    /// Milliseconds after which an order without a result counts as unknown.
+    /// Milliseconds after which the result of an unanswered order counts as unknown.
     pub order_timeout_ms: u64,
-    /// Loads of an adapter that must fail in a row before its requests are refused at once.
+    /// Consecutive loads of an adapter that must fail before requests for it are refused
+    /// immediately.
     pub load_attempts: u32,
-    /// Milliseconds before the first repeat of a failed load; doubled for each further one.
+    /// Milliseconds before the first retry of a failed load; doubled for each further one.
     pub load_backoff_ms: u64,
-    /// The longest such pause.
+    /// Upper bound of that delay in milliseconds.
     pub load_backoff_most_ms: u64,
-    /// Milliseconds for which a VM that is gone may still use its grants.
+    /// Milliseconds for which a VM that is considered dead may still use its grants.
     pub zombie_window_ms: u64,
-    /// Milliseconds that an asker has for sending a request after the owner granted it.
+    /// Milliseconds from the grant within which the requester must send the request.
     pub use_grace_ms: u64,
-    /// Percent of each batch that is kept for urgent requests.
+    /// Percent of each batch reserved for urgent requests.
     pub urgent_reserve_percent: u32,
-    /// Milliseconds over which the memory of an adapter's use decays to a third.
-    pub heat_decay_ms: u64,
-    /// Milliseconds for which reports may lag behind the engine.
+    /// Time constant, in milliseconds, of the exponential decay of an adapter's usage score.
+    pub usage_decay_ms: u64,
+    /// Maximum milliseconds by which reports lag behind the engine.
     pub report_lag_ms: u64,
-    /// Milliseconds after a broken connection at which a report of the same life clears it.
+    /// Milliseconds after a broken connection from which a report of the same incarnation shows
+    /// that the engine did not crash.
     pub broken_settle_ms: u64,
-    /// Milliseconds after which an engine is told this owner's epoch again.
+    /// Milliseconds after which this owner's epoch is sent again to an engine that has not
+    /// confirmed it.
     pub fence_retry_ms: u64,
-    /// Milliseconds between two questions to VMs that have not told what they hold.
+    /// Milliseconds between queries to VMs that have not reported the grants they hold.
     pub ask_held_ms: u64,
-    /// The load time in milliseconds that is assumed before one was measured.
-    pub first_load_ms: u64,
-    /// The service time in milliseconds that is assumed before one was measured.
-    pub first_service_ms: u64,
-    /// Milliseconds before a deadline at which a load for it goes before those that have time.
+    /// Initial estimate of the load time in milliseconds, until one was measured.
+    pub initial_load_ms: u64,
+    /// Initial estimate of the service time in milliseconds, until one was measured.
+    pub initial_service_ms: u64,
+    /// Milliseconds before a deadline from which a load for it is ordered before less urgent loads.
     pub pressing_ms: u64,
     /// Milliseconds for which a scheduled adapter is kept after its due time.
     pub schedule_grace_ms: u64,
-    /// The most schedules that are kept.
+    /// Upper bound of pending scheduled loads.
     pub schedules: usize,
-    /// The most grants that may be out; a further request is refused as overloaded.
+    /// Upper bound of grants in use; further requests are refused as overloaded.
     pub grants: usize,
-    /// The shortest time in milliseconds after which a refused caller is asked to come back.
-    pub retry_least_ms: u64,
-    /// The longest such time.
-    pub retry_most_ms: u64,
+    /// Minimum retry delay in milliseconds suggested to a refused caller.
+    pub min_retry_ms: u64,
+    /// Maximum retry delay in milliseconds suggested to a refused caller.
+    pub max_retry_ms: u64,
 }
 
 impl Default for OwnerSettings {
@@ -63,42 +66,42 @@
             zombie_window_ms: 120_000,
             use_grace_ms: 2_000,
             urgent_reserve_percent: 10,
-            heat_decay_ms: 1_800_000,
+            usage_decay_ms: 1_800_000,
             report_lag_ms: 5_000,
             broken_settle_ms: 1_500,
             fence_retry_ms: 1_000,
             ask_held_ms: 1_000,
-            first_load_ms: 1_000,
-            first_service_ms: 1_000,
+            initial_load_ms: 1_000,
+            initial_service_ms: 1_000,
             pressing_ms: 10_000,
             schedule_grace_ms: 30_000,
             schedules: 65_536,
             grants: 65_536,
-            retry_least_ms: 100,
-            retry_most_ms: 30_000,
+            min_retry_ms: 100,
+            max_retry_ms: 30_000,
         }
     }
 }
 
-/// An engine of the group, as configured.
+/// Configuration of one engine of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineInfo {
-    /// Its name.
+    /// The server's name in the manifest.
     pub server: ServerName,
-    /// How many adapters it can hold.
+    /// Number of adapters it can hold.
     pub adapter_slots: u32,
-    /// How many requests it takes into a batch.
+    /// Maximum requests in a batch.
     pub batch_slots: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing number.
     pub checks_fencing: bool,
 }
 
 /// The group's share of its region's weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreShare {
-    /// Loads a second.
+    /// Loads per second.
     pub loads_per_s: f64,
-    /// Loads that run at full speed at once.
+    /// Number of concurrent loads that run at full speed.
     pub full_speed: u32,
 }
 
@@ -108,33 +111,33 @@
     }
 }
 
-/// A tenant's weight where tenants share scarce engines.
+/// Weight of a customer where customers compete for scarce engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantShare {
-    /// The tenant.
+    /// The customer.
     pub tenant: CustomerName,
-    /// Its weight; 1 is usual.
+    /// Relative weight; the default is 1.
     pub weight: f64,
 }
 
-/// What the configuration says of a group.
+/// Configuration of a group.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupTopology {
-    /// The group.
+    /// The group's name.
     pub group: GroupName,
-    /// Its engines.
+    /// The engines of the group.
     pub engines: Vec<EngineInfo>,
-    /// Its share of the weight store.
+    /// Its share of the region's weight store.
     pub store: StoreShare,
-    /// Limits of the classes; a class that is left out has [`class_defaults`].
+    /// Limits of the classes; a class that is not listed has [`class_defaults`].
     pub classes: Vec<ClassEntry>,
-    /// Weights of the tenants.
+    /// Weights of the customers; one that is not listed has weight 1.
     pub tenants: Vec<TenantShare>,
-    /// What placement weighs.
+    /// Weights of the placement decision.
     pub policy: PlacementPolicy,
 }
 
-/// The limits of a class that the manifest leaves out.
+/// The limits of a class that the manifest does not list.
 #[must_use]
 pub fn class_defaults(class: RequestClass) -> ClassEntry {
     let (deadline_ms, queue) = match class {
--- a/decision/tests/suite/manifest_faults.rs
+++ b/decision/tests/suite/manifest_faults.rs
@@ -1,4 +1,4 @@
-//! Faulty manifests and deltas: every fault is told, at its place, and the base stays as it was.
+//! Faulty manifests and deltas: all faults are reported with their paths, and the base is unchanged.
 
 use coltsfoothook_decision::check::{FaultKind, check_manifest, normalize};
 use coltsfoothook_decision::delta::apply_delta;
@@ -26,7 +26,7 @@
     manifest
 }
 
-fn wide_manifest(adapters: usize) -> ServingManifest {
+fn large_manifest(adapters: usize) -> ServingManifest {
     let mut manifest = small_manifest();
     let pattern = manifest.adapters[1].clone();
     for number in 0..adapters {
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn good_manifest() {
+fn valid_manifest() {
     let manifest = small_manifest();
     assert_eq!(check_manifest(&manifest), []);
     assert!(manifest.adapter("handover").and_then(|adapter| adapter.version("1")).is_some());
 }
 
 #[test]
-fn all_at_once() {
+fn all_faults_reported() {
     let mut manifest = small_manifest();
     manifest.adapters.push(manifest.adapters[0].clone());
     manifest.adapters[1].name = "a@b".into();
@@ -69,8 +69,8 @@
         adapters["a@b"].tenants["nobody"]: there is no tenant "nobody"; allowed: the name of a tenant in the manifest
         tenants["wanjiru"].requests_per_s: NaN is out of range; allowed: 0.001 to 1000000
         tenants["wanjiru"].credentials[1]: it is not the SHA-256 hash of a credential; allowed: 64 hexadecimal digits
-        servers["e1"].address: nothing can be reached at 10.0.0.1:0; allowed: the IP number of one host and a port from 1 to 65535
-        servers["e1"].region: region "uy-norte" has no weight store; allowed: a region that stands in `stores`
+        servers["e1"].address: 10.0.0.1:0 is not a valid server address; allowed: the IP number of one host and a port from 1 to 65535
+        servers["e1"].region: region "uy-norte" has no weight store; allowed: a region listed in `stores`
         schedules["morning"].adapter: there is no adapter "handover"; allowed: the name of an adapter in the manifest
         policy.stall_weight: 1.5 is out of range; allowed: 0 to 1
     "#]]
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn shared_things() {
+fn shared_credential_and_address() {
     let mut manifest = small_manifest();
     let mut tenant = manifest.tenants[0].clone();
     tenant.name = "ramsa".into();
@@ -101,17 +101,17 @@
     }))
     .expect("the delta parses");
     expect![[r#"
-        put.adapters["alarm"]: "alarm" is put in twice; allowed: each name once in a delta
-        remove.adapters["alarm"]: "alarm" is put in and taken out; allowed: each name once in a delta
-        remove.adapters["gone"]: "gone" is taken out but is not in the base; allowed: a name in the base manifest
+        put.adapters["alarm"]: "alarm" is listed twice; allowed: each name once in a delta
+        remove.adapters["alarm"]: "alarm" is listed both in put and in remove; allowed: each name once in a delta
+        remove.adapters["gone"]: "gone" is to be removed but is not in the base; allowed: a name in the base manifest
     "#]]
-    .assert_eq(&lines(&apply_delta(&base, &delta).expect_err("a faulty delta")));
+    .assert_eq(&lines(&apply_delta(&base, &delta).expect_err("faults in the delta")));
 }
 
 #[test]
-fn taken_out_in_use() {
-    // An operator takes out a tenant and a model that adapters and engines still name. Accepted, it
-    // would leave requests that cannot be placed; each place that still names them is told.
+fn removed_while_referenced() {
+    // Removal of a tenant and a model that adapters and engines still refer to. If accepted, requests
+    // could not be placed; every remaining reference is reported.
     let base = small_manifest();
     let delta: ManifestDelta =
         serde_json::from_value(json!({"remove": {"tenants": ["wanjiru"], "models": ["base-8b"]}}))
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn sixteen_thousand_adapters() {
-    let base = wide_manifest(16_000);
+fn delta_on_large_manifest() {
+    let base = large_manifest(16_000);
     let mut changed = base.adapters[5].clone();
     changed.default_version = Some("2".into());
     let delta = ManifestDelta {
@@ -134,11 +134,11 @@
         ..Default::default()
     };
     let start = std::time::Instant::now();
-    let next = apply_delta(&base, &delta).expect("a good delta");
+    let next = apply_delta(&base, &delta).expect("a valid delta");
     println!("delta on 16,000 adapters: {} us", start.elapsed().as_micros());
     assert_eq!(next.adapters.len(), base.adapters.len());
     assert_eq!(next.adapter(changed.name.as_str()), Some(&changed));
-    let mut whole = next.clone();
-    normalize(&mut whole);
-    assert_eq!(whole, next, "the result is in normal form");
+    let mut normalized = next.clone();
+    normalize(&mut normalized);
+    assert_eq!(normalized, next, "the result is normalized");
 }
