--- a/decision/tests/suite/owner_rules.rs
+++ b/decision/tests/suite/owner_rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of an owner, each with the failure that it prevents.
+//! Unit tests of the owner's rules; each names the failure that the rule prevents.
 
 use coltsfoothook_decision::grant::{GrantEnd, GrantId, HeldGrant, ReleaseCall, SlotGrant};
 use coltsfoothook_decision::grant::{PlacementReason, RequestSpec};
@@ -17,8 +17,8 @@
 
 use crate::owner_world::{MILLI, SECOND, version, vm};
 
-/// An owner with its time, and what it has to do.
-struct Desk {
+/// An owner with a virtual clock, driven event by event.
+struct OwnerHarness {
     owner: GroupOwner,
     now: TimePoint,
     rng: Pcg64,
@@ -26,7 +26,7 @@
     sequence: u64,
 }
 
-impl Desk {
+impl OwnerHarness {
     fn new(epoch: u64, engines: u32, slots: u32, checks_fencing: bool) -> Self {
         let engine = |number: u32| EngineInfo {
             server: format!("e{number}").as_str().into(),
@@ -50,34 +50,34 @@
         Self { owner, now, rng, tickets: 0, sequence: 0 }
     }
 
-    fn give(&mut self, event: OwnerEvent) -> Vec<OwnerAction> {
+    fn handle(&mut self, event: OwnerEvent) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         self.owner.handle(self.now, event, &mut self.rng, &mut actions);
         assert_eq!(self.owner.invariants().details(), &[]);
         actions
     }
 
-    fn live(&mut self, majority: bool) -> Vec<OwnerAction> {
-        self.give(OwnerEvent::VmLive { vms: vec![vm(0).vm, vm(1).vm], majority })
+    fn set_live(&mut self, majority: bool) -> Vec<OwnerAction> {
+        self.handle(OwnerEvent::VmLive { vms: vec![vm(0).vm, vm(1).vm], majority })
     }
 
-    fn report(&mut self, engine: u32, life: u64, slots: &[&str]) -> Vec<OwnerAction> {
+    fn report(&mut self, engine: u32, incarnation: u64, slots: &[&str]) -> Vec<OwnerAction> {
         self.sequence += 1;
         let slots = slots.iter().map(|slot| SlotReport { slot: (*slot).into(), running: 0 });
         let report = EngineReport {
-            incarnation: ServerIncarnation(life),
+            incarnation: ServerIncarnation(incarnation),
             sequence: self.sequence,
             slots: slots.collect(),
             ..Default::default()
         };
-        self.give(OwnerEvent::Report { server: format!("e{engine}").as_str().into(), report })
+        self.handle(OwnerEvent::Report { server: format!("e{engine}").as_str().into(), report })
     }
 
-    fn ask(&mut self, adapter: u64, class: RequestClass) -> Vec<OwnerAction> {
-        self.ask_as(adapter, class, "t", 1_000 + self.tickets)
+    fn reserve(&mut self, adapter: u64, class: RequestClass) -> Vec<OwnerAction> {
+        self.reserve_as(adapter, class, "t", 1_000 + self.tickets)
     }
 
-    fn ask_as(
+    fn reserve_as(
         &mut self,
         adapter: u64,
         class: RequestClass,
@@ -99,21 +99,21 @@
             max_tokens: 1,
             avoid: Vec::new(),
         };
-        self.give(OwnerEvent::Reserve { ticket: self.tickets, asker: vm(0), spec })
+        self.handle(OwnerEvent::Reserve { ticket: self.tickets, asker: vm(0), spec })
     }
 
-    fn tick(&mut self, later: u64) -> Vec<OwnerAction> {
-        self.now = self.now.plus(later);
-        self.give(OwnerEvent::Tick)
+    fn tick(&mut self, elapsed: u64) -> Vec<OwnerAction> {
+        self.now = self.now.plus(elapsed);
+        self.handle(OwnerEvent::Tick)
     }
 
-    fn done(&mut self, number: u64, result: OrderResult) -> Vec<OwnerAction> {
-        self.give(OwnerEvent::OrderDone { number, result })
+    fn order_done(&mut self, number: u64, result: OrderResult) -> Vec<OwnerAction> {
+        self.handle(OwnerEvent::OrderDone { number, result })
     }
 
     fn release(&mut self, grant: &SlotGrant, end: GrantEnd) -> Vec<OwnerAction> {
         let call = ReleaseCall { holder: vm(0), grant: grant.id.clone(), end, tokens: 1 };
-        self.give(OwnerEvent::Release(call))
+        self.handle(OwnerEvent::Release(call))
     }
 }
 
@@ -141,50 +141,45 @@
     actions.iter().filter_map(refusal).collect()
 }
 
-// A caller would see its adapter vanish under its request.
-// The old owner is paused with orders in hand. The new one takes over, reads a report with slots of
-// epoch 1, and would grant them. The old one wakes and evicts: the engine knows no later number.
-// So the new owner makes the engine know epoch 2 before it grants any of them.
+// Guards against eviction by a paused old owner that resumes after a takeover: until the engine has
+// seen epoch 2, it accepts orders of epoch 1, so the new owner must not grant inherited slots.
 #[test]
 fn fence_before_grant() {
-    let mut desk = Desk::new(2, 1, 2, true);
-    desk.live(true);
-    let fence = orders(&desk.report(0, 1, &["a1@v1#1.7"]));
+    let mut harness = OwnerHarness::new(2, 1, 2, true);
+    harness.set_live(true);
+    let fence = orders(&harness.report(0, 1, &["a1@v1#1.7"]));
     assert!(
         matches!(&fence[0].1, EngineOrder::Unload { slot } if slot.as_str().starts_with("fence#2"))
     );
-    assert_eq!(grants(&desk.ask(1, RequestClass::Urgent)), &[]);
-    let granted = grants(&desk.done(fence[0].0, OrderResult::Done));
+    assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)), &[]);
+    let granted = grants(&harness.order_done(fence[0].0, OrderResult::Done));
     assert_eq!(granted[0].slot, SlotName::from("a1@v1#1.7"));
 }
 
-// A caller would see its adapter vanish under its request.
-// The engine ignores fencing numbers. The old owner's intent to evict was in the log before the
-// takeover, so its order is valid to it and may still come when it wakes.
-// So the new owner does not grant that slot until the pause that we design for is over.
+// Guards against eviction by a valid old intent on an engine without fencing: the paused old owner
+// may still send its order, so the slot is not granted until the zombie window has passed.
 #[test]
-fn old_intent_dooms() {
-    let mut desk = Desk::new(2, 1, 1, false);
-    desk.live(true);
+fn old_intent_blocks_grants() {
+    let mut harness = OwnerHarness::new(2, 1, 1, false);
+    harness.set_live(true);
     let evict = Some(SlotName::from("a1@v1#1.7"));
-    desk.give(OwnerEvent::OldIntent { server: "e0".into(), evict });
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    assert_eq!(grants(&desk.ask(1, RequestClass::Urgent)), &[]);
-    desk.tick(121 * SECOND);
-    assert_eq!(grants(&desk.ask(1, RequestClass::Urgent)).len(), 1);
+    harness.handle(OwnerEvent::OldIntent { server: "e0".into(), evict });
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)), &[]);
+    harness.tick(121 * SECOND);
+    assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)).len(), 1);
 }
 
-// A caller would see its adapter vanish under its request.
-// Its VM holds a grant of the old owner. The new owner does not know of it and wants the slot.
-// So it evicts nothing inherited before every VM has told what it holds, and nothing held after.
+// Guards against eviction of a slot that is in use by a grant of the old owner: nothing inherited
+// is evicted before all VMs have reported their grants, and no reported slot before its release.
 #[test]
 fn held_before_eviction() {
-    let mut desk = Desk::new(2, 1, 1, true);
-    let asked = desk.live(true);
-    assert!(matches!(&asked[0], OwnerAction::AskHeld { vms } if vms.len() == 2));
-    let fence = orders(&desk.report(0, 1, &["a1@v1#1.7"]))[0].0;
-    desk.done(fence, OrderResult::Done);
-    assert_eq!(orders(&desk.ask(2, RequestClass::Urgent)), &[]);
+    let mut harness = OwnerHarness::new(2, 1, 1, true);
+    let queries = harness.set_live(true);
+    assert!(matches!(&queries[0], OwnerAction::AskHeld { vms } if vms.len() == 2));
+    let fence = orders(&harness.report(0, 1, &["a1@v1#1.7"]))[0].0;
+    harness.order_done(fence, OrderResult::Done);
+    assert_eq!(orders(&harness.reserve(2, RequestClass::Urgent)), &[]);
     let id = GrantId { group: "g".into(), epoch: OwnerEpoch(1), number: 3 };
     let held = HeldGrant {
         grant: id.clone(),
@@ -192,189 +187,186 @@
         slot: "a1@v1#1.7".into(),
         fingerprint: RequestFingerprint(5),
     };
-    desk.give(OwnerEvent::Held { vm: vm(0), grants: vec![held] });
-    assert_eq!(orders(&desk.tick(SECOND)), &[], "one VM has not answered");
-    desk.give(OwnerEvent::Held { vm: vm(1), grants: Vec::new() });
-    assert_eq!(orders(&desk.tick(SECOND)), &[], "the slot is held");
+    harness.handle(OwnerEvent::Held { vm: vm(0), grants: vec![held] });
+    assert_eq!(orders(&harness.tick(SECOND)), &[], "one VM has not answered");
+    harness.handle(OwnerEvent::Held { vm: vm(1), grants: Vec::new() });
+    assert_eq!(orders(&harness.tick(SECOND)), &[], "the slot is held");
     let call = ReleaseCall { holder: vm(0), grant: id, end: GrantEnd::Done, tokens: 1 };
-    let freed = orders(&desk.give(OwnerEvent::Release(call)));
+    let freed = orders(&harness.handle(OwnerEvent::Release(call)));
     assert!(matches!(freed[0].1, EngineOrder::Unload { .. }));
 }
 
-// A caller whose VM was cut off with a minority would see its adapter vanish.
-// Beyond the partition VMs without an owner may use loaded slots. Without a majority in sight the
-// owner therefore evicts nothing; what is loaded goes on.
+// Guards against eviction in a partition: VMs on the other side may dispatch to loaded slots without
+// an owner. An owner that sees no majority evicts nothing, but still grants loaded slots.
 #[test]
 fn majority_before_eviction() {
-    let mut desk = Desk::new(1, 1, 1, true);
-    desk.live(true);
+    let mut harness = OwnerHarness::new(1, 1, 1, true);
+    harness.set_live(true);
     for at in 0..2 {
-        desk.give(OwnerEvent::Held { vm: vm(at), grants: Vec::new() });
+        harness.handle(OwnerEvent::Held { vm: vm(at), grants: Vec::new() });
     }
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    desk.live(false);
-    assert_eq!(orders(&desk.ask(2, RequestClass::Urgent)), &[]);
-    assert_eq!(grants(&desk.ask(1, RequestClass::Urgent)).len(), 1);
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    harness.set_live(false);
+    assert_eq!(orders(&harness.reserve(2, RequestClass::Urgent)), &[]);
+    assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)).len(), 1);
 }
 
-// Callers would be sent to adapters that are not there.
-// The engine restarts empty and fast. A report of its earlier life, still under way, shows the old
-// adapters and arrives last. It is void: the later life was already seen.
+// Guards against grants on slots that a restart lost: a report of the engine's earlier incarnation
+// that arrives after one of the later incarnation is ignored.
 #[test]
-fn late_report_void() {
-    let mut desk = Desk::new(1, 1, 2, true);
-    desk.live(true);
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    desk.report(0, 2, &[]);
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    assert_eq!(grants(&desk.ask(1, RequestClass::Urgent)), &[]);
+fn earlier_incarnation_report_ignored() {
+    let mut harness = OwnerHarness::new(1, 1, 2, true);
+    harness.set_live(true);
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    harness.report(0, 2, &[]);
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)), &[]);
 }
 
-// Requests for an adapter that is loaded wait for ever, though the engine is well.
-// A new owner asks for reports around an engine's restart; the answer of the earlier life comes
-// after that of the later one. The owner takes the later life for ended (soak, seed 11404). A life
-// that reports for longer than reports can lag is the one that runs.
+// Guards against requests that wait forever: a new owner that receives the report of the earlier
+// incarnation last considers the later one ended. An incarnation that still reports after the
+// maximum report lag is the running one.
 #[test]
-fn lives_out_of_order() {
-    let mut desk = Desk::new(1, 1, 2, true);
-    desk.live(true);
-    desk.report(0, 2, &["a1@v1#1.7"]);
-    desk.report(0, 1, &[]);
-    desk.report(0, 2, &["a1@v1#1.7"]);
-    assert_eq!(grants(&desk.ask(1, RequestClass::Scheduled)), &[]);
-    desk.tick(6 * SECOND);
-    let granted = grants(&desk.report(0, 2, &["a1@v1#1.7"]));
+fn reports_of_restart_reordered() {
+    let mut harness = OwnerHarness::new(1, 1, 2, true);
+    harness.set_live(true);
+    harness.report(0, 2, &["a1@v1#1.7"]);
+    harness.report(0, 1, &[]);
+    harness.report(0, 2, &["a1@v1#1.7"]);
+    assert_eq!(grants(&harness.reserve(1, RequestClass::Scheduled)), &[]);
+    harness.tick(6 * SECOND);
+    let granted = grants(&harness.report(0, 2, &["a1@v1#1.7"]));
     assert_eq!(granted[0].slot, SlotName::from("a1@v1#1.7"));
 }
 
-// Callers would be sent to an adapter that is not there.
-// Two reports of one life overtake each other; the older one arrives last and shows a slot that the
-// engine has lost since. It is void by its sequence.
+// Guards against grants on a slot that the engine has lost: an older report of the same incarnation
+// that arrives last is ignored because of its sequence.
 #[test]
-fn overtaken_report_void() {
-    let mut desk = Desk::new(1, 1, 2, true);
-    desk.live(true);
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    desk.report(0, 1, &[]);
-    desk.tick(6 * SECOND);
-    desk.sequence = 0;
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    assert_eq!(grants(&desk.ask(1, RequestClass::Urgent)), &[]);
+fn reordered_report_ignored() {
+    let mut harness = OwnerHarness::new(1, 1, 2, true);
+    harness.set_live(true);
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    harness.report(0, 1, &[]);
+    harness.tick(6 * SECOND);
+    harness.sequence = 0;
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)), &[]);
 }
 
-// Callers of one adapter see "load failed" at once and a time to come back; others see nothing.
-// Every load of that adapter fails. Its waiting requests get their answer after the last attempt,
-// new ones at once, and another adapter is loaded in between.
+// If every load of an adapter fails, its queued requests are refused after the last attempt and new
+// ones immediately, while other adapters are still loaded.
 #[test]
 fn failing_adapter() {
-    let mut desk = Desk::new(1, 1, 4, true);
-    desk.live(true);
-    desk.report(0, 1, &[]);
-    let mut order = orders(&desk.ask(1, RequestClass::Audit));
+    let mut harness = OwnerHarness::new(1, 1, 4, true);
+    harness.set_live(true);
+    harness.report(0, 1, &[]);
+    let mut order = orders(&harness.reserve(1, RequestClass::Audit));
     let mut refused = Vec::new();
     for _ in 0..3 {
-        refused = refusals(&desk.done(order[0].0, OrderResult::Failed));
-        order = orders(&desk.tick(5 * SECOND));
+        refused = refusals(&harness.order_done(order[0].0, OrderResult::Failed));
+        order = orders(&harness.tick(5 * SECOND));
     }
     assert_eq!(refused, &[(1, RefusalReason::LoadFailed)]);
-    desk.ask(1, RequestClass::Urgent);
-    let order = orders(&desk.ask(2, RequestClass::Audit));
-    assert_eq!(grants(&desk.done(order[0].0, OrderResult::Done)).len(), 1);
+    harness.reserve(1, RequestClass::Urgent);
+    let order = orders(&harness.reserve(2, RequestClass::Audit));
+    assert_eq!(grants(&harness.order_done(order[0].0, OrderResult::Done)).len(), 1);
 }
 
-// Callers see their answer late, but see it: the load's success was reported late.
-// The order has no answer, so the slot is unknown; the engine's next report shows it.
+// Guards against a lost request when a load order gets no answer: the slot is unknown until the
+// engine's next report shows that the load succeeded.
 #[test]
-fn late_load() {
-    let mut desk = Desk::new(1, 1, 4, true);
-    desk.live(true);
-    desk.report(0, 1, &[]);
-    let order = orders(&desk.ask(1, RequestClass::Audit));
+fn load_result_unknown() {
+    let mut harness = OwnerHarness::new(1, 1, 4, true);
+    harness.set_live(true);
+    harness.report(0, 1, &[]);
+    let order = orders(&harness.reserve(1, RequestClass::Audit));
     let EngineOrder::Load { slot, .. } = order[0].1.clone() else { panic!("no load") };
-    assert_eq!(grants(&desk.done(order[0].0, OrderResult::Unknown)), &[]);
-    assert_eq!(grants(&desk.report(0, 1, &[slot.as_str()])).len(), 1);
+    assert_eq!(grants(&harness.order_done(order[0].0, OrderResult::Unknown)), &[]);
+    assert_eq!(grants(&harness.report(0, 1, &[slot.as_str()])).len(), 1);
 }
 
-// The caller of a dead VM sees nothing; a paused VM that wakes must find its slot.
-// The VM is gone in the owner's view, holding a grant. The slot stays pinned for the zombie window.
+// Guards against eviction under a VM that is paused and considered dead: the slot of its grant stays
+// pinned for the zombie window.
 #[test]
-fn gone_vm_pins() {
-    let mut desk = Desk::new(1, 1, 1, true);
-    desk.live(true);
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    assert_eq!(grants(&desk.ask(1, RequestClass::Urgent)).len(), 1);
-    desk.give(OwnerEvent::VmGone { vm: vm(0) });
-    assert_eq!(orders(&desk.ask(2, RequestClass::Audit)), &[]);
-    assert_eq!(orders(&desk.tick(119 * SECOND)), &[]);
-    assert_eq!(orders(&desk.ask(2, RequestClass::Audit)), &[]);
-    let freed = orders(&desk.tick(2 * SECOND));
+fn dead_vm_keeps_pins() {
+    let mut harness = OwnerHarness::new(1, 1, 1, true);
+    harness.set_live(true);
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)).len(), 1);
+    harness.handle(OwnerEvent::VmGone { vm: vm(0) });
+    assert_eq!(orders(&harness.reserve(2, RequestClass::Audit)), &[]);
+    assert_eq!(orders(&harness.tick(119 * SECOND)), &[]);
+    assert_eq!(orders(&harness.reserve(2, RequestClass::Audit)), &[]);
+    let freed = orders(&harness.tick(2 * SECOND));
     assert!(matches!(freed[0].1, EngineOrder::Unload { .. }));
 }
 
-// Callers of a tenant that floods are refused; the other tenant's request takes its place.
-// The audit queue holds four. One tenant fills it; the last of its requests gives way, and is told
-// so at once.
+// Guards against one tenant that fills the audit queue of four: another tenant's request displaces
+// the last one of the flooding tenant, which is refused immediately.
 #[test]
-fn flood_gives_way() {
-    let mut desk = Desk::new(1, 1, 1, true);
-    desk.live(true);
-    desk.report(0, 1, &[]);
+fn flooding_tenant_displaced() {
+    let mut harness = OwnerHarness::new(1, 1, 1, true);
+    harness.set_live(true);
+    harness.report(0, 1, &[]);
     for number in 0..4 {
-        assert_eq!(refusals(&desk.ask_as(1, RequestClass::Audit, "flood", number)), &[]);
+        assert_eq!(refusals(&harness.reserve_as(1, RequestClass::Audit, "flood", number)), &[]);
     }
-    let refused = refusals(&desk.ask_as(1, RequestClass::Audit, "flood", 5));
+    let refused = refusals(&harness.reserve_as(1, RequestClass::Audit, "flood", 5));
     assert_eq!(refused, &[(5, RefusalReason::Overloaded)]);
-    let refused = refusals(&desk.ask_as(1, RequestClass::Audit, "small", 6));
+    let refused = refusals(&harness.reserve_as(1, RequestClass::Audit, "small", 6));
     assert_eq!(refused, &[(4, RefusalReason::Overloaded)]);
 }
 
-// A planner's summary comes on time though its adapter was cold.
-// The schedule is told ahead; the adapter is loaded with nobody waiting, kept, and used.
+// The adapter of a scheduled summary is loaded ahead, without a waiting request, and kept until the
+// summary has run.
 #[test]
 fn loaded_ahead() {
-    let mut desk = Desk::new(1, 1, 1, true);
-    desk.live(true);
-    desk.report(0, 1, &[]);
+    let mut harness = OwnerHarness::new(1, 1, 1, true);
+    harness.set_live(true);
+    harness.report(0, 1, &[]);
     let (due_in_ms, lead_ms) = (100_000, 60_000);
     let schedule = OwnerEvent::Schedule { adapter: version(9), due_in_ms, lead_ms };
-    assert_eq!(orders(&desk.give(schedule)), &[]);
-    let order = orders(&desk.tick(41 * SECOND));
-    desk.done(order[0].0, OrderResult::Done);
-    desk.tick(50 * MILLI);
-    assert_eq!(orders(&desk.ask(2, RequestClass::Audit)), &[], "it is kept for its time");
-    let granted = grants(&desk.ask(9, RequestClass::Scheduled));
+    assert_eq!(orders(&harness.handle(schedule)), &[]);
+    let order = orders(&harness.tick(41 * SECOND));
+    harness.order_done(order[0].0, OrderResult::Done);
+    harness.tick(50 * MILLI);
+    assert_eq!(
+        orders(&harness.reserve(2, RequestClass::Audit)),
+        &[],
+        "the scheduled adapter is kept"
+    );
+    let granted = grants(&harness.reserve(9, RequestClass::Scheduled));
     assert_eq!(granted[0].why, PlacementReason::LoadedAhead);
 }
 
-// Callers see nothing: a server that drains finishes its work and gets none.
+// A draining server gets no new grants; if all drain, requests are refused.
 #[test]
-fn draining_idle() {
-    let mut desk = Desk::new(1, 2, 1, true);
-    desk.live(true);
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    desk.report(1, 1, &["a1@v1#1.8"]);
-    desk.give(OwnerEvent::ServerDraining { server: "e0".into(), draining: true });
-    let granted = grants(&desk.ask(1, RequestClass::Urgent));
+fn draining_server_gets_no_grants() {
+    let mut harness = OwnerHarness::new(1, 2, 1, true);
+    harness.set_live(true);
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    harness.report(1, 1, &["a1@v1#1.8"]);
+    harness.handle(OwnerEvent::ServerDraining { server: "e0".into(), draining: true });
+    let granted = grants(&harness.reserve(1, RequestClass::Urgent));
     assert_eq!(granted[0].server, "e1".into());
-    desk.release(&granted[0], GrantEnd::Done);
-    desk.give(OwnerEvent::ServerDraining { server: "e1".into(), draining: true });
-    let refused = refusals(&desk.ask(1, RequestClass::Urgent));
+    harness.release(&granted[0], GrantEnd::Done);
+    harness.handle(OwnerEvent::ServerDraining { server: "e1".into(), draining: true });
+    let refused = refusals(&harness.reserve(1, RequestClass::Urgent));
     assert_eq!(refused[0].1, RefusalReason::NoServer);
 }
 
-// At most two servers fall to a request that crashes them, also if it is sent many times at once.
-// All engines have its adapter and room. Four callers send the same request before any has crashed.
-// One engine crashes; a resend comes before anybody knows why its connection broke.
+// A poison request crashes at most two servers, even if four callers send it before the first crash
+// and it is repeated before the owner knows why a connection broke.
 #[test]
-fn poison_together() {
-    let mut desk = Desk::new(1, 4, 1, true);
-    desk.live(true);
+fn concurrent_poison_requests() {
+    let mut harness = OwnerHarness::new(1, 4, 1, true);
+    harness.set_live(true);
     for engine in 0..4 {
-        desk.report(engine, 1, &[&format!("a1@v1#1.{engine}")]);
+        harness.report(engine, 1, &[&format!("a1@v1#1.{engine}")]);
     }
     let mut granted = Vec::new();
     for _ in 0..4 {
-        granted.extend(grants(&desk.ask_as(1, RequestClass::Urgent, "t", 666)));
+        granted.extend(grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 666)));
     }
     let mut servers: Vec<_> = granted.iter().map(|grant| grant.server.clone()).collect();
     servers.sort();
@@ -383,39 +375,50 @@
     let (first, rest): (Vec<_>, Vec<_>) =
         granted.iter().partition(|grant| grant.server == servers[0]);
     for grant in &first {
-        assert_eq!(grants(&desk.release(grant, GrantEnd::Broken)), &[]);
+        assert_eq!(grants(&harness.release(grant, GrantEnd::Broken)), &[]);
     }
-    assert_eq!(grants(&desk.ask_as(1, RequestClass::Urgent, "t", 666)), &[], "others still run");
+    assert_eq!(
+        grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 666)),
+        &[],
+        "other attempts still run"
+    );
     for grant in &rest {
-        assert_eq!(grants(&desk.release(grant, GrantEnd::Broken)), &[]);
+        assert_eq!(grants(&harness.release(grant, GrantEnd::Broken)), &[]);
     }
-    assert_eq!(grants(&desk.ask_as(1, RequestClass::Urgent, "t", 666)), &[], "two are broken");
-    assert_eq!(grants(&desk.ask_as(1, RequestClass::Urgent, "t", 7)).len(), 1, "others go on");
+    assert_eq!(
+        grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 666)),
+        &[],
+        "two connections are broken"
+    );
+    assert_eq!(
+        grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 7)).len(),
+        1,
+        "other requests are granted"
+    );
     let mut refused = Vec::new();
     for server in &servers {
         let engine = server.as_str()[1..].parse().expect("a number");
-        refused.extend(refusals(&desk.report(engine, 2, &[])));
+        refused.extend(refusals(&harness.report(engine, 2, &[])));
     }
-    desk.tick(SECOND);
-    let last = refusals(&desk.ask_as(1, RequestClass::Urgent, "t", 666));
+    harness.tick(SECOND);
+    let last = refusals(&harness.reserve_as(1, RequestClass::Urgent, "t", 666));
     assert_eq!(last[0].1, RefusalReason::Condemned);
 }
 
-// A request whose connection broke for another reason is not held against it.
-// The engine goes on in the same life, and says so after the settling time: the request runs as any
-// other again.
+// A broken connection without a crash does not make a request a suspect for good: once the engine
+// reports the same incarnation after the settling time, the request runs like any other.
 #[test]
 fn broken_connection_settles() {
-    let mut desk = Desk::new(1, 1, 1, true);
-    desk.live(true);
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    let granted = grants(&desk.ask_as(1, RequestClass::Urgent, "t", 5));
-    desk.release(&granted[0], GrantEnd::Broken);
-    let again = grants(&desk.ask_as(1, RequestClass::Urgent, "t", 5));
+    let mut harness = OwnerHarness::new(1, 1, 1, true);
+    harness.set_live(true);
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    let granted = grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 5));
+    harness.release(&granted[0], GrantEnd::Broken);
+    let again = grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 5));
     assert_eq!(again[0].why, PlacementReason::Isolated);
-    desk.release(&again[0], GrantEnd::Done);
-    desk.tick(2 * SECOND);
-    desk.report(0, 1, &["a1@v1#1.7"]);
-    let settled = grants(&desk.ask_as(1, RequestClass::Urgent, "t", 5));
+    harness.release(&again[0], GrantEnd::Done);
+    harness.tick(2 * SECOND);
+    harness.report(0, 1, &["a1@v1#1.7"]);
+    let settled = grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 5));
     assert_eq!(settled[0].why, PlacementReason::Loaded);
 }
--- a/decision/tests/suite/owner_world.rs
+++ b/decision/tests/suite/owner_world.rs
@@ -1,4 +1,4 @@
-//! A small world around owners: fake engines, VMs, a log, and faults, in virtual time.
+//! Simulation of group owners with fake engines, VMs, a log and faults, in virtual time.
 
 use coltsfoothook_decision::grant::{GrantEnd, HeldGrant, ReleaseCall, RequestSpec, SlotGrant};
 use coltsfoothook_decision::id::{
@@ -21,7 +21,7 @@
 const ADAPTERS: u64 = 30;
 const SLOTS: u32 = 4;
 
-/// What may go wrong in a run.
+/// Faults injected in a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorldFaults {
     pub restarts: bool,
@@ -43,23 +43,40 @@
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum Event {
     Arrive,
     Tick,
     Report(usize),
     Deliver(u64, OwnerEvent),
-    Execute { owner: u64, number: u64, server: usize, life: u64, epoch: u64, order: EngineOrder },
-    Use { vm: usize, asked: TimePoint, grant: SlotGrant, spec: RequestSpec },
-    Finish { vm: usize, grant: SlotGrant, life: u64, slot: SlotName },
+    Execute {
+        owner: u64,
+        number: u64,
+        server: usize,
+        incarnation: u64,
+        epoch: u64,
+        order: EngineOrder,
+    },
+    Use {
+        vm: usize,
+        requested_at: TimePoint,
+        grant: SlotGrant,
+        spec: RequestSpec,
+    },
+    End {
+        vm: usize,
+        grant: SlotGrant,
+        incarnation: u64,
+        slot: SlotName,
+    },
     Restart(usize),
     Takeover,
-    Wake,
-    WakeVm,
+    ResumeOwner,
+    ResumeVm,
 }
 
-struct Question {
+struct PendingRequest {
     vm: usize,
-    asked: TimePoint,
+    requested_at: TimePoint,
     spec: RequestSpec,
     answers: u32,
     owner: u64,
@@ -69,17 +86,17 @@
     pub now: TimePoint,
     rng: Pcg64,
     faults: WorldFaults,
-    agenda: Vec<(u64, u64, Happening)>,
+    events: Vec<(u64, u64, Event)>,
     order: u64,
     pub engines: Vec<FakeEngine>,
-    /// The owners by epoch, the first with epoch 1.
+    /// The owners by epoch, starting with epoch 1.
     owners: Vec<GroupOwner>,
     paused_owner: Option<u64>,
-    held_back: Vec<(u64, OwnerEvent)>,
+    delayed_owner_events: Vec<(u64, OwnerEvent)>,
     paused_vm: Option<usize>,
-    vm_held_back: Vec<Happening>,
+    delayed_vm_events: Vec<Event>,
     intents: Vec<(u64, ServerName, Option<SlotName>)>,
-    questions: Vec<Question>,
+    requests: Vec<PendingRequest>,
     uses: Vec<(usize, SlotGrant, RequestSpec)>,
     broken: Vec<SlotGrant>,
     suspects: Vec<SuspectEntry>,
@@ -105,16 +122,16 @@
             now: TimePoint(1),
             rng: Pcg64::seed_from_u64(seed),
             faults,
-            agenda: Vec::new(),
+            events: Vec::new(),
             order: 0,
             engines,
             owners: vec![owner],
             paused_owner: None,
-            held_back: Vec::new(),
+            delayed_owner_events: Vec::new(),
             paused_vm: None,
-            vm_held_back: Vec::new(),
+            delayed_vm_events: Vec::new(),
             intents: Vec::new(),
-            questions: Vec::new(),
+            requests: Vec::new(),
             uses: Vec::new(),
             broken: Vec::new(),
             suspects: Vec::new(),
@@ -122,35 +139,35 @@
             evicted_in_use: 0,
             wrong_adapter: 0,
         };
-        world.at(0, Happening::Deliver(1, live()));
-        world.at(0, Happening::Tick);
+        world.schedule_in(0, Event::Deliver(1, live_vms()));
+        world.schedule_in(0, Event::Tick);
         for server in 0..world.engines.len() {
-            world.at(MILLI, Happening::Report(server));
+            world.schedule_in(MILLI, Event::Report(server));
         }
-        world.at(10 * MILLI, Happening::Arrive);
+        world.schedule_in(10 * MILLI, Event::Arrive);
         if faults.takeover {
-            world.at(15 * SECOND, Happening::Takeover);
+            world.schedule_in(15 * SECOND, Event::Takeover);
         }
         if faults.restarts {
-            world.at(7 * SECOND, Happening::Restart(0));
-            world.at(21 * SECOND, Happening::Restart(1));
+            world.schedule_in(7 * SECOND, Event::Restart(0));
+            world.schedule_in(21 * SECOND, Event::Restart(1));
         }
         world
     }
 
-    fn at(&mut self, delay: u64, happening: Happening) {
+    fn schedule_in(&mut self, delay: u64, event: Event) {
         self.order += 1;
         let at = self.now.0 + delay;
-        let place = self.agenda.partition_point(|entry| (entry.0, entry.1) >= (at, self.order));
-        self.agenda.insert(place, (at, self.order, happening));
+        let index = self.events.partition_point(|entry| (entry.0, entry.1) >= (at, self.order));
+        self.events.insert(index, (at, self.order, event));
     }
 
-    /// Runs arrivals until `until` and everything they caused until `drained`.
+    /// Generates requests until `until` and processes all resulting events until `drained`.
     pub fn run(&mut self, until: u64, drained: u64) {
-        while self.agenda.last().is_some_and(|entry| entry.0 <= drained) {
-            let Some((at, _, happening)) = self.agenda.pop() else { return };
+        while self.events.last().is_some_and(|entry| entry.0 <= drained) {
+            let Some((at, _, event)) = self.events.pop() else { return };
             self.now = TimePoint(at);
-            self.happen(happening, until);
+            self.process(event, until);
         }
     }
 
@@ -158,68 +175,68 @@
         self.owners.len() as u64
     }
 
-    fn happen(&mut self, happening: Happening, until: u64) {
-        match happening {
-            Happening::Arrive => {
+    fn process(&mut self, event: Event, until: u64) {
+        match event {
+            Event::Arrive => {
                 if self.now.0 < until {
                     self.arrive();
                     let gap = self.rng.random_range(2 * MILLI..40 * MILLI);
-                    self.at(gap, Happening::Arrive);
+                    self.schedule_in(gap, Event::Arrive);
                 }
             }
-            Happening::Tick => {
+            Event::Tick => {
                 for epoch in 1..=self.current() {
                     self.deliver(epoch, OwnerEvent::Tick);
                 }
-                self.at(50 * MILLI, Happening::Tick);
+                self.schedule_in(50 * MILLI, Event::Tick);
                 if self.faults.pauses && self.paused_vm.is_none() && self.rng.random_bool(0.01) {
                     self.paused_vm = Some(self.rng.random_range(0..3));
                     let pause = self.rng.random_range(SECOND..8 * SECOND);
-                    self.at(pause, Happening::WakeVm);
+                    self.schedule_in(pause, Event::ResumeVm);
                 }
             }
-            Happening::Report(server) => self.send_report(server),
-            Happening::Deliver(epoch, event) => self.deliver(epoch, event),
-            Happening::Execute { owner, number, server, life, epoch, order } => {
-                self.execute(owner, number, server, life, epoch, &order);
+            Event::Report(server) => self.send_report(server),
+            Event::Deliver(epoch, event) => self.deliver(epoch, event),
+            Event::Execute { owner, number, server, incarnation, epoch, order } => {
+                self.execute(owner, number, server, incarnation, epoch, &order);
             }
-            Happening::Use { vm, asked, grant, spec } => {
+            Event::Use { vm, requested_at, grant, spec } => {
                 if self.paused_vm == Some(vm) {
-                    self.vm_held_back.push(Happening::Use { vm, asked, grant, spec });
+                    self.delayed_vm_events.push(Event::Use { vm, requested_at, grant, spec });
                 } else {
-                    self.use_grant(vm, asked, grant, spec);
+                    self.use_grant(vm, requested_at, grant, spec);
                 }
             }
-            Happening::Finish { vm, grant, life, slot } => self.finish(vm, &grant, life, &slot),
-            Happening::Restart(server) => self.restart(server),
-            Happening::Takeover => self.take_over(),
-            Happening::Wake => {
+            Event::End { vm, grant, incarnation, slot } => self.end(vm, &grant, incarnation, &slot),
+            Event::Restart(server) => self.restart(server),
+            Event::Takeover => self.take_over(),
+            Event::ResumeOwner => {
                 self.paused_owner = None;
-                for (epoch, event) in std::mem::take(&mut self.held_back) {
+                for (epoch, event) in std::mem::take(&mut self.delayed_owner_events) {
                     self.deliver(epoch, event);
                 }
             }
-            Happening::WakeVm => {
+            Event::ResumeVm => {
                 self.paused_vm = None;
-                for happening in std::mem::take(&mut self.vm_held_back) {
-                    self.at(0, happening);
+                for event in std::mem::take(&mut self.delayed_vm_events) {
+                    self.schedule_in(0, event);
                 }
             }
         }
     }
 
     fn arrive(&mut self) {
-        // Squaring a uniform number skews popularity towards the low numbers.
+        // Squaring a uniform variate skews popularity towards low adapter numbers.
         let draw: f64 = self.rng.random();
         let adapter = (draw * draw * ADAPTERS as f64) as u64;
         let class = RequestClass::ALL[self.rng.random_range(0..3)];
         let fingerprint = self.rng.random_range(0..u64::MAX);
-        self.ask(adapter, class, fingerprint);
+        self.reserve(adapter, class, fingerprint);
     }
 
-    pub fn ask(&mut self, adapter: u64, class: RequestClass, fingerprint: u64) -> u64 {
+    pub fn reserve(&mut self, adapter: u64, class: RequestClass, fingerprint: u64) -> u64 {
         let spec = RequestSpec {
-            id: format!("r{}", self.questions.len()).as_str().into(),
+            id: format!("r{}", self.requests.len()).as_str().into(),
             tenant: format!("t{}", adapter % 3).as_str().into(),
             adapter: version(adapter),
             model: "base".into(),
@@ -232,14 +249,14 @@
             max_tokens: 10,
             avoid: Vec::new(),
         };
-        self.questions.push(Question {
-            vm: self.questions.len() % 3,
-            asked: self.now,
+        self.requests.push(PendingRequest {
+            vm: self.requests.len() % 3,
+            requested_at: self.now,
             spec: spec.clone(),
             answers: 0,
             owner: self.current(),
         });
-        let ticket = self.questions.len() as u64 - 1;
+        let ticket = self.requests.len() as u64 - 1;
         let asker = vm(ticket as usize % 3);
         self.deliver(self.current(), OwnerEvent::Reserve { ticket, asker, spec });
         ticket
@@ -247,7 +264,7 @@
 
     pub fn deliver(&mut self, epoch: u64, event: OwnerEvent) {
         if self.paused_owner == Some(epoch) {
-            self.held_back.push((epoch, event));
+            self.delayed_owner_events.push((epoch, event));
             return;
         }
         let mut actions = Vec::new();
@@ -261,32 +278,33 @@
     fn act(&mut self, epoch: u64, action: OwnerAction) {
         match action {
             OwnerAction::Grant { ticket, grant } => {
-                let question = &mut self.questions[ticket as usize];
-                question.answers += 1;
-                let (vm, asked, spec) = (question.vm, question.asked, question.spec.clone());
-                self.at(MILLI, Happening::Use { vm, asked, grant, spec });
+                let request = &mut self.requests[ticket as usize];
+                request.answers += 1;
+                let (vm, requested_at, spec) =
+                    (request.vm, request.requested_at, request.spec.clone());
+                self.schedule_in(MILLI, Event::Use { vm, requested_at, grant, spec });
             }
-            OwnerAction::Refuse { ticket, .. } => self.questions[ticket as usize].answers += 1,
+            OwnerAction::Refuse { ticket, .. } => self.requests[ticket as usize].answers += 1,
             OwnerAction::AppendIntent { number, server, evict, .. } => {
                 let valid = epoch == self.current();
                 if valid {
                     self.intents.push((epoch, server, evict));
                 }
-                let read = Happening::Deliver(epoch, OwnerEvent::IntentRead { number, valid });
+                let read = Event::Deliver(epoch, OwnerEvent::IntentRead { number, valid });
                 let delay = self.rng.random_range(5 * MILLI..200 * MILLI);
-                self.at(delay, read);
+                self.schedule_in(delay, read);
             }
             OwnerAction::SendOrder { number, server, incarnation, epoch: fence, order } => {
                 let server = self.engine(&server);
-                let execute = Happening::Execute {
+                let execute = Event::Execute {
                     owner: epoch,
                     number,
                     server,
-                    life: incarnation.0,
+                    incarnation: incarnation.0,
                     epoch: fence.0,
                     order,
                 };
-                self.at(2 * MILLI, execute);
+                self.schedule_in(2 * MILLI, execute);
             }
             OwnerAction::AskHeld { .. } => {
                 for at in 0..3 {
@@ -295,13 +313,13 @@
                     }
                     let held = self.held_by(at, epoch);
                     let event = OwnerEvent::Held { vm: vm(at), grants: held };
-                    self.at(3 * MILLI, Happening::Deliver(epoch, event));
+                    self.schedule_in(3 * MILLI, Event::Deliver(epoch, event));
                 }
             }
             OwnerAction::RecordCrash { suspects, .. } => self.record_crash(&suspects),
             OwnerAction::RecordCleared { fingerprint } => {
                 self.suspects.retain(|entry| entry.fingerprint != fingerprint);
-                self.tell_suspects();
+                self.publish_suspects();
             }
             OwnerAction::Note(_) => {}
         }
@@ -317,17 +335,17 @@
             self.suspects[at].crashes += 1;
             self.suspects[at].alone += u32::from(suspects.len() == 1);
         }
-        self.tell_suspects();
+        self.publish_suspects();
     }
 
-    fn tell_suspects(&mut self) {
+    fn publish_suspects(&mut self) {
         let event = OwnerEvent::Suspects(self.suspects.clone());
-        self.at(50 * MILLI, Happening::Deliver(self.current(), event));
+        self.schedule_in(50 * MILLI, Event::Deliver(self.current(), event));
     }
 
     fn held_by(&self, at: usize, epoch: u64) -> Vec<HeldGrant> {
-        let waiting = self.agenda.iter().filter_map(|entry| match &entry.2 {
-            Happening::Use { vm, grant, spec, .. } if *vm == at => Some((grant, spec)),
+        let waiting = self.events.iter().filter_map(|entry| match &entry.2 {
+            Event::Use { vm, grant, spec, .. } if *vm == at => Some((grant, spec)),
             _ => None,
         });
         let using =
@@ -351,14 +369,14 @@
         owner: u64,
         number: u64,
         server: usize,
-        life: u64,
+        incarnation: u64,
         epoch: u64,
         order: &EngineOrder,
     ) {
         let (fails, hangs, lost): (f64, f64, f64) = self.rng.random();
         let faulty = self.faults.load_faults;
         let engine = &mut self.engines[server];
-        let result = if engine.incarnation != life {
+        let result = if engine.incarnation != incarnation {
             OrderResult::Failed
         } else if engine.checks_fencing && epoch < engine.fence {
             OrderResult::Stale
@@ -388,7 +406,7 @@
         let unknown = faulty && (hangs < 0.05 || lost < 0.05);
         let result = if unknown { OrderResult::Unknown } else { result };
         let done = OwnerEvent::OrderDone { number, result };
-        self.at(if unknown { 2 * SECOND } else { took }, Happening::Deliver(owner, done));
+        self.schedule_in(if unknown { 2 * SECOND } else { took }, Event::Deliver(owner, done));
     }
 
     fn send_report(&mut self, server: usize) {
@@ -403,20 +421,26 @@
             slots: slots.map(|slot| SlotReport { slot: slot.0.clone(), running: slot.1 }).collect(),
         };
         let server_name = engine.name.clone();
-        let most = if self.faults.lagging { 2 * SECOND } else { 5 * MILLI };
-        let lag = self.rng.random_range(MILLI..most);
+        let max_lag = if self.faults.lagging { 2 * SECOND } else { 5 * MILLI };
+        let lag = self.rng.random_range(MILLI..max_lag);
         for epoch in 1..=self.current() {
             let event = OwnerEvent::Report { server: server_name.clone(), report: report.clone() };
-            self.at(lag, Happening::Deliver(epoch, event));
+            self.schedule_in(lag, Event::Deliver(epoch, event));
         }
-        self.at(300 * MILLI, Happening::Report(server));
+        self.schedule_in(300 * MILLI, Event::Report(server));
     }
 
-    fn use_grant(&mut self, at: usize, asked: TimePoint, grant: SlotGrant, spec: RequestSpec) {
-        let late = self.now.since(asked) > grant.use_within_ms * MILLI;
-        // A VM that answered a later owner uses no further grants of an earlier one.
-        let old = grant.id.epoch.0 < self.current();
-        if late || old {
+    fn use_grant(
+        &mut self,
+        at: usize,
+        requested_at: TimePoint,
+        grant: SlotGrant,
+        spec: RequestSpec,
+    ) {
+        let late = self.now.since(requested_at) > grant.use_within_ms * MILLI;
+        // A VM that has reported its grants to a later owner uses no others of an earlier one.
+        let superseded = grant.id.epoch.0 < self.current();
+        if late || superseded {
             self.release(at, &grant, GrantEnd::NotRun);
             return;
         }
@@ -428,26 +452,26 @@
             return;
         };
         slot.1 += 1;
-        let names = format!("{}#", spec.adapter);
-        self.wrong_adapter += u32::from(!grant.slot.as_str().starts_with(&names));
-        let life = engine.incarnation;
+        let slot_prefix = format!("{}#", spec.adapter);
+        self.wrong_adapter += u32::from(!grant.slot.as_str().starts_with(&slot_prefix));
+        let incarnation = engine.incarnation;
         let poison = self.faults.poison && spec.fingerprint.0 == POISON;
         self.uses.push((at, grant.clone(), spec));
         if poison {
-            self.at(10 * MILLI, Happening::Restart(server));
+            self.schedule_in(10 * MILLI, Event::Restart(server));
             return;
         }
         let took = self.rng.random_range(20 * MILLI..400 * MILLI);
         let slot = grant.slot.clone();
-        self.at(took, Happening::Finish { vm: at, grant, life, slot });
+        self.schedule_in(took, Event::End { vm: at, grant, incarnation, slot });
     }
 
-    fn finish(&mut self, at: usize, grant: &SlotGrant, life: u64, slot: &SlotName) {
+    fn end(&mut self, at: usize, grant: &SlotGrant, incarnation: u64, slot: &SlotName) {
         let Some(used) = self.uses.iter().position(|entry| entry.1.id == grant.id) else { return };
         self.uses.swap_remove(used);
         let server = self.engine(&grant.server);
         let engine = &mut self.engines[server];
-        if engine.incarnation == life
+        if engine.incarnation == incarnation
             && let Some(loaded) = engine.slots.iter_mut().find(|loaded| loaded.0 == *slot)
         {
             loaded.1 -= 1;
@@ -460,7 +484,7 @@
         let call = ReleaseCall { holder: vm(at), grant: grant.id.clone(), end, tokens: 10 };
         for epoch in grant.id.epoch.0..=self.current() {
             let event = OwnerEvent::Release(call.clone());
-            self.at(MILLI, Happening::Deliver(epoch, event));
+            self.schedule_in(MILLI, Event::Deliver(epoch, event));
         }
     }
 
@@ -480,13 +504,13 @@
             self.broken.push(grant.clone());
             self.release(at, &grant, GrantEnd::Broken);
             if self.faults.poison && spec.fingerprint.0 == POISON {
-                // Its caller sends it again at once, under a new id and through another VM.
-                self.ask(spec.prefix, spec.class, POISON);
+                // The caller repeats it immediately, with a new id and through another VM.
+                self.reserve(spec.prefix, spec.class, POISON);
             }
         }
     }
 
-    /// The owner is paused; another VM takes over; later the old one wakes and carries on.
+    /// Pauses the owner, lets another VM take over, and schedules the old owner to resume.
     fn take_over(&mut self) {
         let old = self.current();
         self.paused_owner = Some(old);
@@ -497,27 +521,27 @@
                 self.deliver(old + 1, OwnerEvent::OldIntent { server, evict });
             }
         }
-        self.deliver(old + 1, live());
+        self.deliver(old + 1, live_vms());
         let pause = self.rng.random_range(SECOND..10 * SECOND);
-        self.at(pause, Happening::Wake);
+        self.schedule_in(pause, Event::ResumeOwner);
     }
 
-    /// Fails on every rule that was broken. Questions to an owner that was deposed may be open.
+    /// Asserts all rules. Requests to a deposed owner may be unanswered.
     pub fn check(&self) {
         assert_eq!(self.evicted_in_use, 0, "an adapter in use was evicted");
         assert_eq!(self.wrong_adapter, 0, "a request ran on another adapter");
         for owner in &self.owners {
             assert_eq!(owner.invariants().details(), &[]);
         }
-        for (ticket, question) in self.questions.iter().enumerate() {
-            assert!(question.answers <= 1, "question {ticket} has several answers");
-            let lasting = question.owner == self.current();
-            assert!(!lasting || question.answers == 1, "question {ticket} has no answer");
+        for (ticket, request) in self.requests.iter().enumerate() {
+            assert!(request.answers <= 1, "request {ticket} has several answers");
+            let owner_current = request.owner == self.current();
+            assert!(!owner_current || request.answers == 1, "request {ticket} has no answer");
         }
     }
 }
 
-/// The fingerprint of the request that crashes every engine which runs it.
+/// Fingerprint of the request that crashes every engine that runs it.
 pub const POISON: u64 = 666;
 
 pub fn version(adapter: u64) -> AdapterVersion {
@@ -528,7 +552,7 @@
     VmIdentity { vm: format!("vm-{at}").as_str().into(), incarnation: VmIncarnation(1) }
 }
 
-fn live() -> OwnerEvent {
+fn live_vms() -> OwnerEvent {
     OwnerEvent::VmLive { vms: (0..3).map(|at| vm(at).vm).collect(), majority: true }
 }
 
