--- a/decision/benches/manifest_cost.rs
+++ b/decision/benches/manifest_cost.rs
@@ -1,4 +1,4 @@
-//! What a configuration change costs each VM at the target's 16,000 adapters and 860 servers.
+//! Cost of a configuration change per VM, with up to 16,000 adapters and 860 servers.
 
 use coltsfoothook_decision::check::{check_manifest, normalize};
 use coltsfoothook_decision::delta::apply_delta;
--- a/decision/tests/suite/config_race.rs
+++ b/decision/tests/suite/config_race.rs
@@ -1,6 +1,6 @@
-// Two operators publish on the same base; one repeats itself, one is late, one sends a manifest with
-// faults. The first in offset order is in force, the other is told the version that it missed, and
-// a repeat is told its version. Every reader comes to the same verdicts, wherever it starts.
+// Concurrent, repeated, stale and faulty publications: the first in offset order wins, a stale one
+// gets the version in force, a repeat gets its own version, and all readers reach the same state
+// wherever they start.
 
 use coltsfoothook_decision::config::{ConfigFold, ConfigVerdict};
 use coltsfoothook_decision::id::ConfigVersion;
@@ -62,8 +62,8 @@
     assert_eq!(loser, ConfigVerdict::Stale { base, in_force });
     let repeat = verdict(&mut fold, 3, put(1, "a", "base"));
     assert_eq!(repeat, ConfigVerdict::Repeated(ConfigVersion(2)));
-    let wrong = verdict(&mut fold, 4, put(2, "c", "no-such-model"));
-    assert!(matches!(wrong, ConfigVerdict::Rejected(faults) if !faults.is_empty()));
+    let faulty = verdict(&mut fold, 4, put(2, "c", "no-such-model"));
+    assert!(matches!(faulty, ConfigVerdict::Rejected(faults) if !faults.is_empty()));
     assert_eq!(fold.version(), ConfigVersion(2));
     assert!(fold.manifest().adapter("a").is_some() && fold.manifest().adapter("b").is_none());
 }
@@ -72,18 +72,18 @@
 fn late_snapshot_changes_nothing() {
     let mut fold = ConfigFold::default();
     fold.fold(0, first());
-    let old = fold.snapshot().expect("whole");
+    let old = fold.snapshot().expect("complete state");
     fold.fold(1, put(1, "a", "base"));
     assert_eq!(verdict(&mut fold, 2, old.clone()), ConfigVerdict::Nothing);
     assert_eq!(fold.version(), ConfigVersion(2));
 
-    // A VM that starts when retention has passed the publication must not take the old snapshot
-    // for the state; it waits for one behind which it can fold every record.
+    // A VM that starts after retention dropped the publication must not use the old snapshot. It
+    // waits for one from which it can fold all later records.
     let mut late = ConfigFold::default();
     late.retained_from(2);
     assert_eq!(late.fold(2, old), []);
     assert!(!late.whole());
-    let new = fold.snapshot().expect("whole");
+    let new = fold.snapshot().expect("complete state");
     late.fold(3, new);
     assert!(late.whole());
     assert_eq!(late.version(), ConfigVersion(2));
@@ -93,26 +93,30 @@
 fn emptied_stream_is_no_new_one() {
     let mut fold = ConfigFold::default();
     fold.retained_from(7);
-    assert!(!fold.whole(), "everything before offset 7 is gone");
+    assert!(!fold.whole(), "everything before offset 7 was dropped");
     let mut peer = ConfigFold::default();
     peer.fold(0, first());
-    assert_eq!(fold.adopt(peer.snapshot().expect("whole")), None, "offsets 1 to 6 are missing");
+    assert_eq!(
+        fold.adopt(peer.snapshot().expect("complete state")),
+        None,
+        "offsets 1 to 6 are missing"
+    );
 }
 
 #[test]
 fn peer_gives_only_newer() {
     let mut ahead = ConfigFold::default();
     ahead.fold(0, first());
-    let old = ahead.snapshot().expect("whole");
+    let old = ahead.snapshot().expect("complete state");
     ahead.fold(1, put(1, "a", "base"));
     let mut behind = ConfigFold::default();
-    assert_eq!(behind.adopt(ahead.snapshot().expect("whole")), Some(ConfigVersion(2)));
+    assert_eq!(behind.adopt(ahead.snapshot().expect("complete state")), Some(ConfigVersion(2)));
     assert_eq!(behind.adopt(old), None);
-    assert_eq!(behind.next(), 2, "the log is read on behind what the peer knew");
+    assert_eq!(behind.next(), 2, "reading continues after the peer's state");
     assert_eq!(behind.invariants().count(InvariantName::ConfigNeverReverts).violated, 0);
 }
 
-/// A log of publications on all sorts of bases, with snapshots of some reader in between.
+/// Publications on current and stale bases, mixed with snapshots.
 fn any_log() -> impl Strategy<Value = Vec<(u64, u8, bool)>> {
     proptest::collection::vec((0_u64..6, 0_u8..8, any::<bool>()), 1..40)
 }
@@ -125,22 +129,23 @@
         ..ProptestConfig::default()
     })]
 
-    // One reader sees the whole log, one starts behind retention, one reads some records twice.
+    // Compares a reader of the whole log with one that starts after retention and one that reads
+    // every record twice.
     #[test]
     fn readers_agree(plan in any_log(), start in 0_usize..40) {
-        let mut whole = ConfigFold::default();
+        let mut complete = ConfigFold::default();
         let mut log = vec![first()];
-        whole.fold(0, first());
-        for (behind, id, snapshot) in plan {
-            let base = whole.version().0.saturating_sub(behind / 2);
+        complete.fold(0, first());
+        for (lag, id, snapshot) in plan {
+            let base = complete.version().0.saturating_sub(lag / 2);
             let model = if id == 7 { "no-such-model" } else { "base" };
-            let record = match (snapshot, whole.snapshot()) {
+            let record = match (snapshot, complete.snapshot()) {
                 (true, Some(record)) => record,
                 _ => put(base, &format!("id-{id}"), model),
             };
-            let before = whole.version();
-            whole.fold(log.len() as u64, record.clone());
-            prop_assert!(whole.version() >= before);
+            let before = complete.version();
+            complete.fold(log.len() as u64, record.clone());
+            prop_assert!(complete.version() >= before);
             log.push(record);
         }
         let start = start.min(log.len() - 1);
@@ -154,12 +159,12 @@
             twice.fold(offset as u64, record.clone());
             twice.fold(offset as u64, record.clone());
         }
-        prop_assert_eq!(twice.in_force(), whole.in_force());
-        prop_assert_eq!(twice.snapshot(), whole.snapshot());
+        prop_assert_eq!(twice.in_force(), complete.in_force());
+        prop_assert_eq!(twice.snapshot(), complete.snapshot());
         if late.whole() {
-            prop_assert_eq!(late.snapshot(), whole.snapshot());
+            prop_assert_eq!(late.snapshot(), complete.snapshot());
         }
-        prop_assert!(late.adopt(whole.snapshot().expect("whole")).is_some() || late.whole());
-        prop_assert_eq!(late.in_force(), whole.in_force());
+        prop_assert!(late.adopt(complete.snapshot().expect("complete state")).is_some() || late.whole());
+        prop_assert_eq!(late.in_force(), complete.in_force());
     }
 }
--- a/decision/tests/suite/control_fold.rs
+++ b/decision/tests/suite/control_fold.rs
@@ -1,6 +1,6 @@
-// Two VMs see an owner die and both take its group over; the owner was only paused and wakes with
-// orders in hand. The first takeover in offset order counts, the second and every order behind it
-// are void, and all readers agree.
+// Concurrent takeovers of the group of a paused owner that resumes with orders in flight: the first
+// takeover in offset order wins, the second and all intents of the old epoch after it are void, and
+// all readers agree.
 
 use coltsfoothook_decision::control::{ControlFold, ControlVerdict};
 use coltsfoothook_decision::id::{
@@ -30,10 +30,10 @@
     }
 }
 
-fn crash(life: u64, suspects: &[u64]) -> ControlRecord {
+fn crash(incarnation: u64, suspects: &[u64]) -> ControlRecord {
     ControlRecord::Crash {
         server: "engine".into(),
-        incarnation: ServerIncarnation(life),
+        incarnation: ServerIncarnation(incarnation),
         suspects: suspects.iter().map(|suspect| RequestFingerprint(*suspect)).collect(),
     }
 }
@@ -49,7 +49,7 @@
     let late = fold.fold(4, intent(1, 2));
     assert!(matches!(late[0].verdict, ControlVerdict::IntentVoid(_, OwnerEpoch(2))));
     assert_eq!(fold.owner("g").map(|owned| &owned.owner), Some(&vm("b")));
-    assert_eq!(fold.intents("g").count(), 1, "the new owner knows the order that may still go out");
+    assert_eq!(fold.intents("g").count(), 1, "the new owner sees the order that may still be sent");
 }
 
 #[test]
@@ -82,7 +82,7 @@
     prop_oneof![
         (0_u64..6, vms).prop_map(|(after, owner)| takeover(after, owner)),
         (0_u64..6, 0_u64..9).prop_map(|(epoch, number)| intent(epoch, number)),
-        (0_u64..6, 0_u64..5).prop_map(|(life, suspect)| crash(life, &[suspect])),
+        (0_u64..6, 0_u64..5).prop_map(|(incarnation, suspect)| crash(incarnation, &[suspect])),
         any::<bool>().prop_map(|draining| ControlRecord::DrainVm { vm: "a".into(), draining }),
     ]
 }
@@ -95,30 +95,30 @@
         ..ProptestConfig::default()
     })]
 
-    // A reader that starts from a snapshot knows what one knows that read everything, orders and
-    // counted crashes included; and ownership never goes back.
+    // A reader that starts from a snapshot has the same state as one that read all records, including
+    // intents and counted crashes; the epoch never decreases.
     #[test]
-    fn snapshot_is_the_state(
+    fn snapshot_equals_full_fold(
         records in proptest::collection::vec(any_record(), 1..60),
         cut in 0_usize..60,
     ) {
-        let mut whole = ControlFold::default();
+        let mut complete = ControlFold::default();
         let mut epoch = OwnerEpoch(0);
         let cut = cut.min(records.len());
-        let mut other = ControlFold::default();
-        other.retained_from(cut as u64);
+        let mut restored = ControlFold::default();
+        restored.retained_from(cut as u64);
         for (offset, record) in records.into_iter().enumerate() {
             if offset == cut {
-                other.adopt(whole.snapshot().expect("whole"));
+                restored.adopt(complete.snapshot().expect("complete state"));
             }
             if offset >= cut {
-                other.fold(offset as u64, record.clone());
+                restored.fold(offset as u64, record.clone());
             }
-            whole.fold(offset as u64, record);
-            prop_assert!(whole.epoch("g") >= epoch);
-            epoch = whole.epoch("g");
+            complete.fold(offset as u64, record);
+            prop_assert!(complete.epoch("g") >= epoch);
+            epoch = complete.epoch("g");
         }
-        other.adopt(whole.snapshot().expect("whole"));
-        prop_assert_eq!(other.snapshot(), whole.snapshot());
+        restored.adopt(complete.snapshot().expect("complete state"));
+        prop_assert_eq!(restored.snapshot(), complete.snapshot());
     }
 }
--- a/decision/tests/suite/fixture.rs
+++ b/decision/tests/suite/fixture.rs
@@ -1,8 +1,8 @@
-//! What tests and benchmarks of fleets begin with.
+//! Fixtures shared by the tests and benchmarks of fleets.
 
 use coltsfoothook_decision::routing::{BackendEntry, HeldModel};
 
-/// The first entry of an engine that holds a base model and no adapters.
+/// First entry published by an engine that holds a base model and no adapters.
 pub(crate) fn engine_entry(server: &str) -> BackendEntry {
     BackendEntry {
         server: server.into(),
--- a/decision/tests/suite/job_results.rs
+++ b/decision/tests/suite/job_results.rs
@@ -1,6 +1,6 @@
-// An audit job is accepted, its runner dies or its answers are lost, two VMs run it, its caller
-// withdraws it at the last moment, and retention passes over its records. It is never lost, and it
-// has one end that every reader sees, the first in offset order.
+// Audit jobs under crashes of the runner, lost answers, concurrent runs, late cancellation and log
+// retention: an accepted job is never lost, and all readers see the same result, the first in offset
+// order.
 
 use std::net::SocketAddr;
 
@@ -50,8 +50,9 @@
     let mut fold = JobFold::default();
     let mut verdicts = Vec::new();
     for (offset, record) in (start..).zip(records) {
-        let ruling = fold.fold(TimePoint(0), offset, record.clone()).expect("a new record");
-        verdicts.push(ruling.verdict);
+        let resolution =
+            fold.fold(TimePoint(0), offset, record.clone()).expect("record not folded before");
+        verdicts.push(resolution.verdict);
     }
     (fold, verdicts)
 }
@@ -60,7 +61,7 @@
     fold.row("ramsa", "j").and_then(|row| row.end()).map(|end| end.result.as_str())
 }
 
-fn alone() -> MemberTable {
+fn single_member() -> MemberTable {
     let address: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     let place =
         MemberPlace { caller: address, peer: address, domain: "d".into(), region: "r".into() };
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn same_submission_twice_is_one_job() {
+fn duplicate_submission() {
     let other = JobEntry { body: "other".to_owned(), ..entry(0) };
     let log = [
         JobRecord::Submitted(entry(0)),
@@ -102,14 +103,15 @@
         let (fold, _) = fold_all(0, log);
         fold.row("ramsa", "j").and_then(|row| row.end()).map(|end| end.outcome)
     };
-    let unstarted = [JobRecord::Submitted(entry(0)), cancelled(), started("a")];
-    assert_eq!(outcome(&unstarted), Some(RequestOutcome::NotRun));
-    let begun = [JobRecord::Submitted(entry(0)), started("a"), cancelled(), finished("x", false)];
-    assert_eq!(outcome(&begun), Some(RequestOutcome::Unknown));
+    let not_started = [JobRecord::Submitted(entry(0)), cancelled(), started("a")];
+    assert_eq!(outcome(&not_started), Some(RequestOutcome::NotRun));
+    let started_first =
+        [JobRecord::Submitted(entry(0)), started("a"), cancelled(), finished("x", false)];
+    assert_eq!(outcome(&started_first), Some(RequestOutcome::Unknown));
 }
 
-// The soak found this one: retention took the first result and left the late one of a second run,
-// and a VM that started then showed that one.
+// Guards against two results: after retention dropped the first result but not that of a second run,
+// a VM that starts must still report the first.
 #[test]
 fn late_result_outlives_the_first() {
     let log = [
@@ -119,9 +121,9 @@
         finished("first", true),
         JobRecord::Submitted(entry(1)),
     ];
-    let (whole, _) = fold_all(0, &log);
+    let (complete, _) = fold_all(0, &log);
     let (late, _) = fold_all(2, &log[2..]);
-    assert_eq!(result(&whole), Some("first"));
+    assert_eq!(result(&complete), Some("first"));
     assert_eq!(result(&late), Some("first"));
     assert_eq!(late.invariants().violated(), 0);
 }
@@ -138,12 +140,14 @@
     let (mut fold, verdicts) = fold_all(0, &log);
     assert_eq!(verdicts[3], JobVerdict::Buried);
     assert!(fold.rows().is_empty());
-    // The VM that would have kept the job tells the log once more, for readers that start later.
+    // The runner appends the tombstone again, for readers that start later.
     let mut runner = JobRunner::new(JobSettings::default());
-    let again = fold.fold(TimePoint(0), 4, JobRecord::Submitted(entry(2))).expect("a record");
+    let again = fold
+        .fold(TimePoint(0), 4, JobRecord::Submitted(entry(2)))
+        .expect("record not folded before");
     runner.note(&again);
     fold.caught_up();
-    let actions = runner.plan(TimePoint(1), &mut fold, &alone());
+    let actions = runner.plan(TimePoint(1), &mut fold, &single_member());
     assert_eq!(actions, [JobAction::Append(forgotten)]);
 }
 
@@ -151,17 +155,21 @@
 fn runs_behind_its_own_start() {
     let (mut fold, _) = fold_all(0, &[JobRecord::Submitted(entry(0))]);
     fold.caught_up();
-    let members = alone();
+    let members = single_member();
     let mut runner = JobRunner::new(JobSettings::default());
-    let ask = runner.plan(TimePoint(1), &mut fold, &members);
-    assert_eq!(ask, [JobAction::Append(started("me"))], "nothing runs before the start is read");
+    let request = runner.plan(TimePoint(1), &mut fold, &members);
+    assert_eq!(
+        request,
+        [JobAction::Append(started("me"))],
+        "nothing runs before the start is read back"
+    );
     assert_eq!(runner.plan(TimePoint(2), &mut fold, &members), []);
     fold.fold(TimePoint(3), 1, started("me"));
     let run = runner.plan(TimePoint(3), &mut fold, &members);
     assert_eq!(run, [JobAction::Run(entry(0))]);
     assert_eq!(runner.plan(TimePoint(4), &mut fold, &members), [], "it runs once");
 
-    // The result waits for its record to be read back, and is written again if it is not.
+    // The result is appended again until its record is read back.
     let end = JobEnd { outcome: RequestOutcome::Done, result: "x".to_owned() };
     runner.finish("ramsa", "j", end);
     let append = [JobAction::Append(finished("x", false))];
@@ -173,11 +181,11 @@
     assert_eq!(runner.plan(later.plus(1), &mut fold, &members), []);
 }
 
-// The soak found this one: VMs that saw no majority for longer than retention kept no jobs, and the
-// log lost one that was accepted.
+// Guards against the loss of an accepted job: without a majority for longer than the log's retention,
+// VMs must still rewrite it.
 #[test]
 fn kept_without_a_majority() {
-    let mut members = alone();
+    let mut members = single_member();
     let listed = |name: &str| ListedVm {
         name: name.into(),
         place: members.own().place().clone(),
@@ -192,8 +200,8 @@
     let mut runner = JobRunner::new(settings);
     assert_eq!(runner.plan(TimePoint(1), &mut fold, &members), [], "it may run elsewhere");
     let later = TimePoint(1_000 * MICROS_PER_MILLI);
-    let kept = runner.plan(later, &mut fold, &members);
-    assert_eq!(kept, [JobAction::Append(JobRecord::Submitted(entry(1)))]);
+    let rewritten = runner.plan(later, &mut fold, &members);
+    assert_eq!(rewritten, [JobAction::Append(JobRecord::Submitted(entry(1)))]);
 }
 
 #[test]
@@ -202,10 +210,10 @@
     fold.caught_up();
     let settings = JobSettings { rewrite_ms: 1_000, ..Default::default() };
     let mut runner = JobRunner::new(settings);
-    let members = alone();
+    let members = single_member();
     assert_eq!(runner.plan(TimePoint(1), &mut fold, &members), []);
     let later = TimePoint(1_000 * MICROS_PER_MILLI);
-    let kept = runner.plan(later, &mut fold, &members);
+    let rewritten = runner.plan(later, &mut fold, &members);
     let records = [finished("x", true), JobRecord::Submitted(entry(1))];
-    assert_eq!(kept, records.map(JobAction::Append));
+    assert_eq!(rewritten, records.map(JobAction::Append));
 }
--- a/decision/tests/suite/owner_faults.rs
+++ b/decision/tests/suite/owner_faults.rs
@@ -55,7 +55,7 @@
     // grant and use. No adapter in use is evicted, no request runs on a wrong adapter, and each
     // request gets exactly one answer.
     #[test]
-    fn combined_faults(
+    fn faults_together(
         seed in any::<u64>(),
         restarts in any::<bool>(),
         load_faults in any::<bool>(),
--- a/decision/tests/suite/owner_rules.rs
+++ b/decision/tests/suite/owner_rules.rs
@@ -159,7 +159,7 @@
 // Guards against eviction by a valid old intent on an engine without fencing: the paused old owner
 // may still send its order, so the slot is not granted until the zombie window has passed.
 #[test]
-fn old_intent_blocks_grants() {
+fn old_intent_dooms() {
     let mut harness = OwnerHarness::new(2, 1, 1, false);
     harness.set_live(true);
     let evict = Some(SlotName::from("a1@v1#1.7"));
@@ -214,7 +214,7 @@
 // Guards against grants on slots that a restart lost: a report of the engine's earlier incarnation
 // that arrives after one of the later incarnation is ignored.
 #[test]
-fn earlier_incarnation_report_ignored() {
+fn late_report_void() {
     let mut harness = OwnerHarness::new(1, 1, 2, true);
     harness.set_live(true);
     harness.report(0, 1, &["a1@v1#1.7"]);
@@ -227,7 +227,7 @@
 // incarnation last considers the later one ended. An incarnation that still reports after the
 // maximum report lag is the running one.
 #[test]
-fn reports_of_restart_reordered() {
+fn lives_out_of_order() {
     let mut harness = OwnerHarness::new(1, 1, 2, true);
     harness.set_live(true);
     harness.report(0, 2, &["a1@v1#1.7"]);
@@ -275,7 +275,7 @@
 // Guards against a lost request when a load order gets no answer: the slot is unknown until the
 // engine's next report shows that the load succeeded.
 #[test]
-fn load_result_unknown() {
+fn late_load() {
     let mut harness = OwnerHarness::new(1, 1, 4, true);
     harness.set_live(true);
     harness.report(0, 1, &[]);
@@ -288,7 +288,7 @@
 // Guards against eviction under a VM that is paused and considered dead: the slot of its grant stays
 // pinned for the zombie window.
 #[test]
-fn dead_vm_keeps_pins() {
+fn gone_vm_pins() {
     let mut harness = OwnerHarness::new(1, 1, 1, true);
     harness.set_live(true);
     harness.report(0, 1, &["a1@v1#1.7"]);
@@ -304,7 +304,7 @@
 // Guards against one tenant that fills the audit queue of four: another tenant's request displaces
 // the last one of the flooding tenant, which is refused immediately.
 #[test]
-fn flooding_tenant_displaced() {
+fn flood_gives_way() {
     let mut harness = OwnerHarness::new(1, 1, 1, true);
     harness.set_live(true);
     harness.report(0, 1, &[]);
@@ -341,7 +341,7 @@
 
 // A draining server gets no new grants; if all drain, requests are refused.
 #[test]
-fn draining_server_gets_no_grants() {
+fn draining_idle() {
     let mut harness = OwnerHarness::new(1, 2, 1, true);
     harness.set_live(true);
     harness.report(0, 1, &["a1@v1#1.7"]);
@@ -358,7 +358,7 @@
 // A poison request crashes at most two servers, even if four callers send it before the first crash
 // and it is repeated before the owner knows why a connection broke.
 #[test]
-fn concurrent_poison_requests() {
+fn poison_together() {
     let mut harness = OwnerHarness::new(1, 4, 1, true);
     harness.set_live(true);
     for engine in 0..4 {
--- a/decision/tests/suite/stage_table.rs
+++ b/decision/tests/suite/stage_table.rs
@@ -1,6 +1,6 @@
-// A call fails at some stage, perhaps after an earlier try that may have run. What the caller is
-// told is never "not run" when it may have run, a call that must run once is never tried again
-// behind the point of sending, and retries stay within their budget when everything fails.
+// Outcomes and retries per stage: the outcome is never "not run" if any try may have run, a request
+// that must run once is not retried after sending began, and retries stay within their budget if all
+// calls fail.
 
 use coltsfoothook_decision::attempt::{
     AttemptNext, AttemptState, CallStage, RetryAdvice, STAGE_RULES, stage_rule,
@@ -42,7 +42,7 @@
     };
     for rule in STAGE_RULES {
         let cells = [rule.repeatable, rule.once]
-            .map(|ruling| format!("{} | {}", ruling.outcome.as_str(), word(ruling.retry)));
+            .map(|decision| format!("{} | {}", decision.outcome.as_str(), word(decision.retry)));
         let line = format!("| `{}` | {} | {} |", rule.stage.as_str(), cells[0], cells[1]);
         assert!(page.contains(&line), "docs/FAILURES.md lacks {line}");
     }
--- a/decision/tests/suite/takeover_rank.rs
+++ b/decision/tests/suite/takeover_rank.rs
@@ -1,6 +1,6 @@
-// An owner dies and several VMs could take its group over. The first by rank does so at once and
-// the next waits; a VM that sees no majority takes nothing; and without the log a VM dispatches
-// without an owner only when the owner is surely gone.
+// Takeover of a group by rank: the first VM acts immediately and the next ones wait, a VM without a
+// majority takes nothing over, and dispatch without an owner needs the log to be down and the owner
+// to be dead for long enough.
 
 use std::net::SocketAddr;
 
@@ -31,11 +31,11 @@
     MemberPlace { caller: address, peer: address, domain: "d".into(), region: "r".into() }
 }
 
-fn vm(name: &str, life: u64) -> VmIdentity {
-    VmIdentity { vm: name.into(), incarnation: VmIncarnation(life) }
+fn vm(name: &str, incarnation: u64) -> VmIdentity {
+    VmIdentity { vm: name.into(), incarnation: VmIncarnation(incarnation) }
 }
 
-/// What `me` sees: all three VMs are listed, and those in `states` were heard of.
+/// Member table of `me`: all three VMs are listed, and a message was received from those in `states`.
 fn members(me: &str, now: TimePoint, states: &[(&str, u64, MemberState)]) -> MemberTable {
     let mut table = MemberTable::new(MemberSettings::default(), vm(me, 1), place());
     let listed =
@@ -43,9 +43,9 @@
     let mut rng = Pcg64::seed_from_u64(1);
     let mut actions = Vec::new();
     table.handle(now, MemberEvent::Listed(listed.to_vec()), &mut rng, &mut actions);
-    for (name, life, state) in states {
+    for (name, incarnation, state) in states {
         let from = MemberDigest {
-            vm: vm(name, *life),
+            vm: vm(name, *incarnation),
             sequence: 5,
             state: *state,
             place: Some(place()),
@@ -68,7 +68,7 @@
     fold
 }
 
-/// The millisecond at which `me` takes the group over, asked every 100 ms for 6 s.
+/// Milliseconds after which `me` takes the group over; the plan is evaluated every 100 ms for 6 s.
 fn takes_over_at(
     me: &str,
     states: &[(&str, u64, MemberState)],
@@ -84,43 +84,43 @@
 use MemberState::{Alive, Dead, Leaving, Suspect};
 
 #[test]
-fn ranks_act_in_turn() {
+fn ranks_act_in_order() {
     let control = ControlFold::default();
     let mut times: Vec<u64> = VMS
         .iter()
         .map(|me| {
             let others: Vec<_> =
                 VMS.iter().filter(|name| *name != me).map(|name| (*name, 1, Alive)).collect();
-            takes_over_at(me, &others, &control).expect("each would in the end")
+            takes_over_at(me, &others, &control).expect("every rank acts in the end")
         })
         .collect();
     times.sort_unstable();
-    assert_eq!(times, [0, 700, 1_400], "every listed VM was heard of, so nobody waits for others");
+    assert_eq!(times, [0, 700, 1_400], "all listed VMs are known, so the settling time ends early");
 }
 
-/// One of the listed VMs was not heard of since the start: it may own the group, so the others give
-/// it the whole settling time before they act in turn.
+/// A listed VM from which no message was received since the start may own the group, so the others
+/// wait for the settling time before they act by rank.
 #[test]
-fn unheard_vm_delays_all() {
+fn unknown_vm_delays_all() {
     let control = ControlFold::default();
     let mut times = [("a", "b"), ("b", "a")].map(|(me, other)| {
-        takes_over_at(me, &[(other, 1, Alive)], &control).expect("each would in the end")
+        takes_over_at(me, &[(other, 1, Alive)], &control).expect("every rank acts in the end")
     });
     times.sort_unstable();
     assert_eq!(times, [2_000, 2_700]);
 }
 
 #[test]
-fn only_gone_owners_lose_their_group() {
+fn only_ended_owners_are_replaced() {
     let control = owned_by(vm("b", 1));
-    let takes = |state, life| {
-        takes_over_at("a", &[("b", life, state), ("c", 1, Alive)], &control).is_some()
+    let takes = |state, incarnation| {
+        takes_over_at("a", &[("b", incarnation, state), ("c", 1, Alive)], &control).is_some()
     };
     assert!(!takes(Alive, 1));
     assert!(!takes(Suspect, 1), "a suspected owner may refute it");
     assert!(takes(Dead, 1));
     assert!(takes(Leaving, 1));
-    assert!(takes(Alive, 2), "the life that owned it is over");
+    assert!(takes(Alive, 2), "the incarnation that owned it has ended");
 }
 
 #[test]
@@ -134,34 +134,34 @@
     let table = members("a", ms(0), &[("b", 1, Dead), ("c", 1, Alive)]);
     let control = owned_by(vm("b", 1));
     let mut plan = TakeoverPlan::new(TakeoverSettings::default(), ms(0));
-    let asked: Vec<u64> = (0..60)
+    let appended: Vec<u64> = (0..60)
         .map(|step| step * 100)
         .filter(|at| !plan.plan(ms(*at), &[group()], &table, &control).is_empty())
         .collect();
-    assert!(asked.len() >= 2 && asked[1] - asked[0] == 1_500, "asked at {asked:?}");
+    assert!(appended.len() >= 2 && appended[1] - appended[0] == 1_500, "appended at {appended:?}");
 }
 
 #[test]
 fn dispatch_without_owner() {
     let settings = TakeoverSettings::default();
     let control = owned_by(vm("b", 1));
-    let ruling = |now, read, states: &[(&str, u64, MemberState)]| {
+    let decide = |now, read, states: &[(&str, u64, MemberState)]| {
         let table = members("a", ms(0), states);
         ownerless(ms(now), &settings, &group(), read, &table, &control)
     };
     let dead = [("b", 1, Alive), ("b", 1, Dead), ("c", 1, Alive)];
-    assert_eq!(ruling(5_000, false, &dead), OwnerlessRuling::Allowed);
-    assert_eq!(ruling(1_000, false, &dead), OwnerlessRuling::OwnerMayLive);
-    assert_eq!(ruling(5_000, true, &dead), OwnerlessRuling::LogUp);
+    assert_eq!(decide(5_000, false, &dead), OwnerlessRuling::Allowed);
+    assert_eq!(decide(1_000, false, &dead), OwnerlessRuling::OwnerMayLive);
+    assert_eq!(decide(5_000, true, &dead), OwnerlessRuling::LogUp);
     let alive = [("b", 1, Alive), ("c", 1, Alive)];
-    assert_eq!(ruling(5_000, false, &alive), OwnerlessRuling::OwnerMayLive);
+    assert_eq!(decide(5_000, false, &alive), OwnerlessRuling::OwnerMayLive);
     let cut_off = [("b", 1, Dead), ("c", 1, Dead)];
-    assert_eq!(ruling(5_000, false, &cut_off), OwnerlessRuling::NoMajority);
+    assert_eq!(decide(5_000, false, &cut_off), OwnerlessRuling::NoMajority);
 }
 
 #[test]
 fn ranks_wait_after_an_outage() {
-    // All VMs find a snapshot long overdue when the log comes back; still one writes at a time.
+    // After an outage of the log a snapshot is overdue for all VMs; only one at a time may write it.
     let mut times: Vec<u64> = VMS
         .iter()
         .map(|me| {
@@ -171,9 +171,9 @@
             let mut plan = SnapshotPlan::new(SnapshotSettings::default(), "config", ms(0));
             plan.due(ms(899_000), 5, &table);
             let back = 2_000_000;
-            let turn = (0..100).map(|step| step * 100);
-            let mut due = turn.filter(|wait| plan.due(ms(back + wait), 5, &table));
-            due.next().expect("each would in the end")
+            let steps = (0..100).map(|step| step * 100);
+            let mut due = steps.filter(|wait| plan.due(ms(back + wait), 5, &table));
+            due.next().expect("every rank acts in the end")
         })
         .collect();
     times.sort_unstable();
