--- a/decision/src/claim.rs
+++ b/decision/src/claim.rs
@@ -51,7 +51,7 @@
     pub window_ms: u64,
     /// Milliseconds by which the clocks of callers and VMs may differ.
     pub clock_ms: u64,
-    /// Issued keys whose outcome is remembered. Of older ones only the fact of their use is.
+    /// Keys whose outcome is remembered. Of older issued keys only the fact of their use is.
     pub issued_kept: usize,
     /// Upper bound of keys that one incarnation of a VM issues, at one bit of memory each.
     pub max_issued: u64,
@@ -627,8 +627,8 @@
         self.drop_old_keys();
     }
 
-    /// Forgets the outcome of the oldest key; a key that is being claimed or run is kept and moved
-    /// to the back.
+    /// Forgets the oldest key if more than [`ClaimSettings::issued_kept`] are remembered; a key
+    /// that is being claimed or run is kept and moved to the back.
     fn drop_old_keys(&mut self) {
         if self.order.len() <= self.settings.issued_kept {
             return;
--- a/decision/src/follow.rs
+++ b/decision/src/follow.rs
@@ -12,8 +12,11 @@
 /// Position in a stream, and the records that wait for a snapshot.
 #[derive(Clone, Debug)]
 pub(crate) struct StreamCursor<R> {
+    /// Next offset to read.
     next: u64,
+    /// Offset from which on no record was missed, up to `next`.
     first: u64,
+    /// Whether the folded state includes every record before `next`.
     complete: bool,
     buffered: Vec<(u64, R)>,
 }
@@ -48,7 +51,7 @@
         true
     }
 
-    /// Records that the log holds nothing before `first` any more.
+    /// Marks the records before `first` as dropped from the log.
     pub(crate) fn retained_from(&mut self, first: u64) {
         if first > self.next {
             self.complete = false;
--- a/decision/src/job.rs
+++ b/decision/src/job.rs
@@ -71,7 +71,7 @@
     Forgotten,
     /// A forgotten job was rewritten. It stays forgotten, and [`JobRecord::Forgotten`] is appended
     /// again.
-    Buried,
+    StaleRewrite,
     /// The record refers to a job that is not known.
     NoSuchJob,
 }
@@ -187,8 +187,8 @@
         &self.invariants
     }
 
-    /// Records that the end of the stream was reached once since the start. Records read before
-    /// that are of unknown age and are rewritten sooner.
+    /// Marks the end of the stream as reached once since the start. Records read before that are of
+    /// unknown age and are rewritten sooner.
     pub fn caught_up(&mut self) {
         self.caught_up = true;
     }
@@ -257,7 +257,7 @@
             Err(at) => at,
         };
         if entry.rewritten > 0 && self.has_tombstone(&tenant, &job) {
-            return JobVerdict::Buried;
+            return JobVerdict::StaleRewrite;
         }
         let mut row = JobRow::new(now, offset, tenant, job, !self.caught_up);
         row.end_is_first = entry.rewritten == 0;
@@ -455,7 +455,7 @@
 
     /// Processes the verdict of a folded record.
     pub fn note(&mut self, resolution: &JobResolution) {
-        if resolution.verdict == JobVerdict::Buried {
+        if resolution.verdict == JobVerdict::StaleRewrite {
             self.stale_rewrites.push((resolution.tenant.clone(), resolution.job.clone()));
         }
     }
--- a/decision/src/owner.rs
+++ b/decision/src/owner.rs
@@ -39,7 +39,7 @@
 pub use crate::place::PlaceQuery;
 use crate::queue::{ArrivingRequest, WaitQueue, WaitingRequest};
 use crate::slot::{BrokenRun, EngineState, SlotPhase};
-use crate::suspect::{SuspectBook, SuspectVerdict};
+use crate::suspect::{SuspectTracker, SuspectVerdict};
 pub use crate::topology::{
     EngineInfo, GroupTopology, OwnerSettings, StoreShare, TenantShare, class_defaults,
 };
@@ -105,20 +105,26 @@
     pub(crate) adapters: AdapterTable,
     pub(crate) queue: WaitQueue,
     pub(crate) grants: Vec<GrantState>,
+    /// Grants of earlier epochs that VMs have reported.
     pub(crate) foreign: Vec<ForeignGrant>,
     pub(crate) orders: Vec<LoadOrder>,
     pub(crate) budget: LoadBudget,
+    /// Loads required by schedules, sorted by due time.
     pub(crate) ahead: Vec<AheadLoad>,
-    pub(crate) book: SuspectBook,
+    pub(crate) book: SuspectTracker,
     pub(crate) vms: Vec<VmNeed>,
     pub(crate) vms_known: bool,
+    /// When VMs were last queried for their grants of earlier epochs.
     pub(crate) asked_at: TimePoint,
+    /// Whether slots inherited from earlier epochs may be evicted.
     pub(crate) inherited_free: bool,
     pub(crate) majority: bool,
     pub(crate) log_writable: bool,
     pub(crate) deposed: bool,
     pub(crate) next_number: u64,
+    /// Moving average of the time of a load.
     pub(crate) load_ms: f64,
+    /// Moving average of the time from a grant to its successful release.
     pub(crate) service_ms: f64,
     pub(crate) invariants: InvariantLog,
 }
@@ -150,7 +156,7 @@
             foreign: Vec::new(),
             orders: Vec::new(),
             ahead: Vec::new(),
-            book: SuspectBook::default(),
+            book: SuspectTracker::default(),
             vms: Vec::new(),
             vms_known: false,
             asked_at: TimePoint::default(),
--- a/decision/src/snapshot.rs
+++ b/decision/src/snapshot.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Records that a snapshot of the state before `through` was read from the log.
+    /// Processes a snapshot, of the state before `through`, that was read from the log.
     pub fn note(&mut self, now: TimePoint, through: u64) {
         if self.last_read.is_none_or(|(_, known)| through > known) {
             self.last_read = Some((now, through));
--- a/decision/src/suspect.rs
+++ b/decision/src/suspect.rs
@@ -34,12 +34,12 @@
 /// itself and has not read back yet. The latter count immediately, so that a resend does not crash
 /// a third server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SuspectBook {
+pub(crate) struct SuspectTracker {
     recorded: Vec<SuspectEntry>,
     own: Vec<SuspectEntry>,
 }
 
-impl SuspectBook {
+impl SuspectTracker {
     /// Replaces the list read from the control stream and drops own entries that it covers.
     pub(crate) fn set_recorded(&mut self, mut entries: Vec<SuspectEntry>) {
         entries.sort_unstable_by_key(|entry| entry.fingerprint);
--- a/decision/src/takeover.rs
+++ b/decision/src/takeover.rs
@@ -263,7 +263,7 @@
     /// request.
     Allowed,
     /// The owner has not been dead for long enough and may still evict.
-    OwnerMayLive,
+    OwnerMayBeAlive,
     /// The log is readable: a takeover will follow, and the new owner gives grants.
     LogUp,
     /// This VM may be the one that is cut off.
@@ -295,5 +295,5 @@
     };
     let long_enough = now.since(row.since()) >= settings.ownerless_ms * MICROS_PER_MILLI;
     let dead = row.identity() != &ownership.owner || row.state() == MemberState::Dead;
-    if dead && long_enough { OwnerlessRuling::Allowed } else { OwnerlessRuling::OwnerMayLive }
+    if dead && long_enough { OwnerlessRuling::Allowed } else { OwnerlessRuling::OwnerMayBeAlive }
 }
--- a/decision/tests/suite/claim_once.rs
+++ b/decision/tests/suite/claim_once.rs
@@ -1,5 +1,6 @@
-// Requests with idempotency keys that are resent to the same or another VM, while answers to appends
-// are lost and VMs restart: a request runs at most once, and "not run" is answered only if it did not.
+// Requests with idempotency keys that are resent to the same or another VM, while answers to
+// appends are lost and VMs restart: a request runs at most once, and "not run" is answered only if
+// it did not.
 
 use coltsfoothook_decision::claim::{
     ClaimAnswer, ClaimAsk, ClaimSettings, ClaimStart, ClaimTable, parse_issued,
--- a/decision/tests/suite/config_race.rs
+++ b/decision/tests/suite/config_race.rs
@@ -164,7 +164,9 @@
         if late.whole() {
             prop_assert_eq!(late.snapshot(), complete.snapshot());
         }
-        prop_assert!(late.adopt(complete.snapshot().expect("complete state")).is_some() || late.whole());
+        prop_assert!(
+            late.adopt(complete.snapshot().expect("complete state")).is_some() || late.whole()
+        );
         prop_assert_eq!(late.in_force(), complete.in_force());
     }
 }
--- a/decision/tests/suite/control_fold.rs
+++ b/decision/tests/suite/control_fold.rs
@@ -95,8 +95,8 @@
         ..ProptestConfig::default()
     })]
 
-    // A reader that starts from a snapshot has the same state as one that read all records, including
-    // intents and counted crashes; the epoch never decreases.
+    // A reader that starts from a snapshot has the same state as one that read all records,
+    // including intents and counted crashes; the epoch never decreases.
     #[test]
     fn snapshot_equals_full_fold(
         records in proptest::collection::vec(any_record(), 1..60),
--- a/decision/tests/suite/job_results.rs
+++ b/decision/tests/suite/job_results.rs
@@ -1,6 +1,6 @@
 // Audit jobs under crashes of the runner, lost answers, concurrent runs, late cancellation and log
-// retention: an accepted job is never lost, and all readers see the same result, the first in offset
-// order.
+// retention: an accepted job is never lost, and all readers see the same result, the first in
+// offset order.
 
 use std::net::SocketAddr;
 
@@ -110,8 +110,8 @@
     assert_eq!(outcome(&started_first), Some(RequestOutcome::Unknown));
 }
 
-// Guards against two results: after retention dropped the first result but not that of a second run,
-// a VM that starts must still report the first.
+// Guards against two results: after retention dropped the first result but not that of a second
+// run, a VM that starts must still report the first.
 #[test]
 fn late_result_outlives_the_first() {
     let log = [
@@ -138,7 +138,7 @@
         JobRecord::Submitted(entry(1)),
     ];
     let (mut fold, verdicts) = fold_all(0, &log);
-    assert_eq!(verdicts[3], JobVerdict::Buried);
+    assert_eq!(verdicts[3], JobVerdict::StaleRewrite);
     assert!(fold.rows().is_empty());
     // The runner appends the tombstone again, for readers that start later.
     let mut runner = JobRunner::new(JobSettings::default());
@@ -181,8 +181,8 @@
     assert_eq!(runner.plan(later.plus(1), &mut fold, &members), []);
 }
 
-// Guards against the loss of an accepted job: without a majority for longer than the log's retention,
-// VMs must still rewrite it.
+// Guards against the loss of an accepted job: without a majority for longer than the log's
+// retention, VMs must still rewrite it.
 #[test]
 fn kept_without_a_majority() {
     let mut members = single_member();
--- a/decision/tests/suite/manifest_faults.rs
+++ b/decision/tests/suite/manifest_faults.rs
@@ -1,4 +1,5 @@
-//! Faulty manifests and deltas: all faults are reported with their paths, and the base is unchanged.
+//! Faulty manifests and deltas: all faults are reported with their paths, and the base is
+//! unchanged.
 
 use coltsfoothook_decision::check::{FaultKind, check_manifest, normalize};
 use coltsfoothook_decision::delta::apply_delta;
@@ -110,8 +111,8 @@
 
 #[test]
 fn removed_while_referenced() {
-    // Removal of a tenant and a model that adapters and engines still refer to. If accepted, requests
-    // could not be placed; every remaining reference is reported.
+    // Removal of a tenant and a model that adapters and engines still refer to. If accepted,
+    // requests could not be placed; every remaining reference is reported.
     let base = small_manifest();
     let delta: ManifestDelta =
         serde_json::from_value(json!({"remove": {"tenants": ["wanjiru"], "models": ["base-8b"]}}))
--- a/decision/tests/suite/owner_rules.rs
+++ b/decision/tests/suite/owner_rules.rs
@@ -196,8 +196,8 @@
     assert!(matches!(freed[0].1, EngineOrder::Unload { .. }));
 }
 
-// Guards against eviction in a partition: VMs on the other side may dispatch to loaded slots without
-// an owner. An owner that sees no majority evicts nothing, but still grants loaded slots.
+// Guards against eviction in a partition: VMs on the other side may dispatch to loaded slots
+// without an owner. An owner that sees no majority evicts nothing, but still grants loaded slots.
 #[test]
 fn majority_before_eviction() {
     let mut harness = OwnerHarness::new(1, 1, 1, true);
@@ -285,8 +285,8 @@
     assert_eq!(grants(&harness.report(0, 1, &[slot.as_str()])).len(), 1);
 }
 
-// Guards against eviction under a VM that is paused and considered dead: the slot of its grant stays
-// pinned for the zombie window.
+// Guards against eviction under a VM that is paused and considered dead: the slot of its grant
+// stays pinned for the zombie window.
 #[test]
 fn gone_vm_pins() {
     let mut harness = OwnerHarness::new(1, 1, 1, true);
--- a/decision/tests/suite/stage_table.rs
+++ b/decision/tests/suite/stage_table.rs
@@ -1,6 +1,6 @@
 // Outcomes and retries per stage: the outcome is never "not run" if any try may have run, a request
-// that must run once is not retried after sending began, and retries stay within their budget if all
-// calls fail.
+// that must run once is not retried after sending began, and retries stay within their budget if
+// all calls fail.
 
 use coltsfoothook_decision::attempt::{
     AttemptNext, AttemptState, CallStage, RetryAdvice, STAGE_RULES, stage_rule,
--- a/decision/tests/suite/takeover_rank.rs
+++ b/decision/tests/suite/takeover_rank.rs
@@ -35,7 +35,8 @@
     VmIdentity { vm: name.into(), incarnation: VmIncarnation(incarnation) }
 }
 
-/// Member table of `me`: all three VMs are listed, and a message was received from those in `states`.
+/// Member table of `me`: all three VMs are listed, and a message was received from those in
+/// `states`.
 fn members(me: &str, now: TimePoint, states: &[(&str, u64, MemberState)]) -> MemberTable {
     let mut table = MemberTable::new(MemberSettings::default(), vm(me, 1), place());
     let listed =
@@ -151,17 +152,18 @@
     };
     let dead = [("b", 1, Alive), ("b", 1, Dead), ("c", 1, Alive)];
     assert_eq!(decide(5_000, false, &dead), OwnerlessRuling::Allowed);
-    assert_eq!(decide(1_000, false, &dead), OwnerlessRuling::OwnerMayLive);
+    assert_eq!(decide(1_000, false, &dead), OwnerlessRuling::OwnerMayBeAlive);
     assert_eq!(decide(5_000, true, &dead), OwnerlessRuling::LogUp);
     let alive = [("b", 1, Alive), ("c", 1, Alive)];
-    assert_eq!(decide(5_000, false, &alive), OwnerlessRuling::OwnerMayLive);
+    assert_eq!(decide(5_000, false, &alive), OwnerlessRuling::OwnerMayBeAlive);
     let cut_off = [("b", 1, Dead), ("c", 1, Dead)];
     assert_eq!(decide(5_000, false, &cut_off), OwnerlessRuling::NoMajority);
 }
 
 #[test]
 fn ranks_wait_after_an_outage() {
-    // After an outage of the log a snapshot is overdue for all VMs; only one at a time may write it.
+    // After an outage of the log a snapshot is overdue for all VMs; only one at a time may write
+    // it.
     let mut times: Vec<u64> = VMS
         .iter()
         .map(|me| {
