--- a/decision/src/queue.rs
+++ b/decision/src/queue.rs
@@ -18,6 +18,7 @@
     pub(crate) ready_at: Option<TimePoint>,
     /// Whether the adapter was not loaded on arrival.
     pub(crate) stalled: bool,
+    /// Virtual times between which it would be served at its tenant's fair share.
     start_tag: f64,
     finish_tag: f64,
 }
@@ -33,11 +34,14 @@
     pub(crate) stalled: bool,
 }
 
+/// Fair-queueing state of one tenant.
 #[derive(Clone, Debug)]
 struct TenantClock {
     tenant: CustomerName,
     weight: f64,
+    /// Virtual finish time of its last request, per class.
     finish: [f64; RequestClass::ALL.len()],
+    /// Queued requests, per class.
     waiting: [u32; RequestClass::ALL.len()],
 }
 
@@ -50,6 +54,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitQueue {
     classes: [Vec<WaitingRequest>; RequestClass::ALL.len()],
+    /// Virtual time per class: the start tag of the request served last.
     clocks: [f64; RequestClass::ALL.len()],
     tenants: Vec<TenantClock>,
 }
