--- a/decision/src/digest.rs
+++ b/decision/src/digest.rs
@@ -1,7 +1,7 @@
-//! What VMs tell one another of VMs, and what the membership is told and wants done.
+//! Messages between VMs about membership, and the events and actions of the state machine in
+//! [`crate::member`].
 //!
-//! [`crate::member`] is the state machine; these are its plain types. See docs/AGREEMENT.md,
-//! "Membership".
+//! See docs/AGREEMENT.md, "Membership".
 
 use std::net::SocketAddr;
 
@@ -9,24 +9,24 @@
 use crate::value;
 
 value! {
-    /// What a VM believes of another one.
+    /// State of a VM in the view of another one.
     #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
     pub enum MemberState {
-        /// It answers.
+        /// It answers probes.
         Alive,
-        /// It says that it leaves: it finishes what it has and takes nothing new.
+        /// It reported that it is leaving: it finishes its requests and takes no new ones.
         Leaving,
-        /// A probe of it failed, directly and through others; it may still refute this.
+        /// A direct probe and the indirect ones failed; it may still refute the suspicion.
         Suspect,
-        /// It did not refute the suspicion in time, or was never heard of.
+        /// It did not refute the suspicion in time, or nothing was ever received from it.
         Dead,
     }
 
-    /// Where a VM is reached; it does not change during a life.
+    /// Addresses and location of a VM, constant during an incarnation.
     pub struct MemberPlace {
-        /// Where callers connect.
+        /// Address that callers connect to.
         pub caller: SocketAddr,
-        /// Where other VMs connect.
+        /// Address that other VMs connect to.
         pub peer: SocketAddr,
         /// Its failure domain.
         pub domain: DomainName,
@@ -34,170 +34,173 @@
         pub region: RegionName,
     }
 
-    /// What a VM tells of itself and the others pass on.
+    /// Facts that a VM reports about itself and the others forward.
     #[derive(Default)]
     pub struct MemberFacts {
-        /// The configuration version in force at it.
+        /// Configuration version in force at the VM.
         pub config: ConfigVersion,
-        /// The offset before which it has folded the control stream.
+        /// Offset in the control stream up to which (exclusive) the VM has folded records.
         pub control: u64,
-        /// Whether it can read the log.
+        /// Whether the VM can read the log.
         pub reads_log: bool,
-        /// Its weight in the list of addresses that callers get; 0 keeps callers away.
+        /// Weight of the VM in the address list for callers; 0 keeps callers away.
         pub weight: u32,
-        /// Its own use of the tenants' limits, for [`crate::limit`]; sorted by tenant.
+        /// The VM's own usage of customer limits, for [`crate::limit`]; sorted by customer.
         pub usage: Vec<CustomerUsage>,
     }
 
-    /// How much of a customer's limit a VM was asked for since its process began.
+    /// Usage of a customer's limit at one VM since its process started.
     pub struct CustomerUsage {
-        /// The tenant.
+        /// The customer.
         pub tenant: CustomerName,
-        /// Requests in a thousand seconds, those refused among them, for releases that know no totals.
+        /// Requests per 1,000 seconds, refused ones included; for releases that do not read the
+        /// totals.
         #[serde(default)]
         pub per_ks: u64,
-        /// Requests, those refused among them.
+        /// Total requests, refused ones included.
         #[serde(default)]
         pub asked: u64,
-        /// Requests that were admitted.
+        /// Total requests admitted.
         #[serde(default)]
         pub admitted: u64,
     }
 
-    /// News of one VM.
+    /// State and facts of one VM, as VMs exchange them.
     pub struct MemberDigest {
-        /// The VM and its life.
+        /// The VM and its incarnation.
         pub vm: VmIdentity,
-        /// Grows whenever the VM changes what it says of itself, and beyond every number that it
-        /// hears of itself, so that its own word is the last.
+        /// Version of the digest. The VM raises it whenever its own state or facts change, and
+        /// above any number that it receives about itself, so that its own digest takes precedence.
         pub sequence: u64,
-        /// Its state.
+        /// State of the VM.
         pub state: MemberState,
-        /// Where it is; left out for VMs that are known for long.
+        /// Addresses of the VM; `None` in digests of a VM that has been known for long.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub place: Option<MemberPlace>,
-        /// What it says of itself.
+        /// Facts that the VM reports about itself.
         pub facts: MemberFacts,
     }
 
-    /// A probe: asks whether a VM is there, and brings news.
+    /// Probe of a VM, with piggybacked digests.
     pub struct ProbeMessage {
-        /// The sender's number for the probe.
+        /// Number that the sender assigned to the probe.
         pub number: u64,
-        /// The sender's own digest.
+        /// Digest of the sender.
         pub from: MemberDigest,
-        /// The VM to probe on the sender's behalf; none asks the receiver itself.
+        /// VM to probe on the sender's behalf; `None` for a probe of the receiver itself.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub target: Option<VmName>,
-        /// News of others; at most [`crate::member::MemberSettings::digests`].
+        /// Digests of other VMs; at most [`crate::member::MemberSettings::digests`].
         pub news: Vec<MemberDigest>,
     }
 
-    /// The answer to a probe.
+    /// Reply to a probe.
     pub struct ProbeReply {
-        /// The number of the probe.
+        /// Number of the probe, from [`ProbeMessage::number`].
         pub number: u64,
-        /// The answering VM's own digest.
+        /// Digest of the replying VM.
         pub from: MemberDigest,
-        /// Whether the VM probed on the sender's behalf answered; true for a direct probe.
+        /// Whether the VM probed on the sender's behalf answered; `true` for a direct probe.
         pub reached: bool,
-        /// News of others.
+        /// Digests of other VMs; more for a VM that has just started
+        /// ([`crate::member::MemberSettings::join_digests`]).
         pub news: Vec<MemberDigest>,
     }
 
-    /// A VM in the platform's list, which lags.
+    /// Entry of the platform's list of VMs, which may lag behind reality.
     pub struct ListedVm {
-        /// Its name.
+        /// Name of the VM.
         pub name: VmName,
-        /// Where it is.
+        /// Addresses and location of the VM.
         pub place: MemberPlace,
-        /// What the list says of it.
+        /// State of the VM according to the list.
         pub state: ListedState,
     }
 
-    /// What the platform's list says of a VM.
+    /// State of a VM in the platform's list.
     #[derive(Copy, Eq)]
     pub enum ListedState {
-        /// It runs.
+        /// The VM runs.
         Live,
-        /// It is about to be stopped.
+        /// The platform is about to stop the VM.
         Leaving,
     }
 }
 
 impl MemberDigest {
-    /// Of two digests of a VM the one with the higher rank is the later.
+    /// Returns the order of digests of one VM; the higher one is the later.
     pub(crate) fn rank(&self) -> (u64, u64, MemberState) {
         (self.sequence, self.vm.incarnation.0, self.state)
     }
 }
 
-/// What the membership is told.
+/// Input of the membership state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberEvent {
-    /// Time passed; due several times in each period, see [`crate::member::MemberTable::next_due`].
+    /// Time passed; due several times per period, see [`crate::member::MemberTable::next_due`].
     Tick,
     /// The platform's list was read.
     Listed(Vec<ListedVm>),
     /// This VM's own facts changed.
     Facts(MemberFacts),
-    /// A probe came in. It is answered by an action with the same `call`.
+    /// A probe was received. It is answered by a [`MemberAction::Reply`] with the same `call`.
     Probe {
-        /// The transport's number for the call.
+        /// Number that the transport assigned to the call.
         call: u64,
         /// The probe.
         message: ProbeMessage,
     },
     /// A probe was answered.
     Reply(ProbeReply),
-    /// A probe could not be sent or its answer not be read.
+    /// A probe could not be sent or its reply could not be read.
     ProbeTimeout {
-        /// The probe's number.
+        /// Number of the probe.
         number: u64,
     },
-    /// This VM begins to shut down.
+    /// This VM starts to shut down.
     Leave,
 }
 
-/// What the membership wants done.
+/// Output of the membership state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
-    /// Send a probe and report its answer.
+    /// Send a probe and pass its reply back as [`MemberEvent::Reply`].
     SendProbe {
-        /// The VM that is probed.
+        /// The VM to probe.
         to: VmName,
-        /// Where it is.
+        /// Peer address of that VM.
         address: SocketAddr,
         /// The probe.
         message: ProbeMessage,
     },
-    /// Ask another VM to probe on this VM's behalf, and report its answer.
+    /// Request another VM to probe on this VM's behalf, and pass its reply back as
+    /// [`MemberEvent::Reply`].
     SendIndirect {
-        /// The VM that is asked.
+        /// The VM that sends the probe on this VM's behalf.
         via: VmName,
-        /// Where it is.
+        /// Peer address of that VM.
         address: SocketAddr,
-        /// The probe, with its target.
+        /// The probe, with `target` set.
         message: ProbeMessage,
     },
-    /// Answer a probe.
+    /// Reply to a received probe.
     Reply {
-        /// The transport's number for the call.
+        /// Number that the transport assigned to the call.
         call: u64,
-        /// The answer.
+        /// The reply.
         reply: ProbeReply,
     },
-    /// A VM's state changed in this VM's view.
+    /// The state of a VM changed in this VM's view.
     Changed(MemberChange),
 }
 
-/// A change of a VM's state.
+/// Change of a VM's state in this VM's view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
-    /// The VM and its life.
+    /// The VM and its incarnation.
     pub vm: VmIdentity,
-    /// Its state before; none for a VM that was not known.
+    /// Previous state; `None` for a VM that was not known.
     pub was: Option<MemberState>,
-    /// Its state now.
+    /// New state.
     pub state: MemberState,
 }
--- a/decision/src/limit.rs
+++ b/decision/src/limit.rs
@@ -11,7 +11,7 @@
 use crate::digest::CustomerUsage;
 use crate::id::{CustomerName, MICROS_PER_MILLI, TimePoint, VmIncarnation, VmName};
 use crate::manifest::ServingManifest;
-use crate::member::{MemberTable, SPREAD_CUSTOMERS};
+use crate::member::{MemberTable, MAX_SPREAD_CUSTOMERS};
 use crate::routing::ModelNeed;
 use crate::usage::{CustomerUse, FadingRate, MICROS_PER_SECOND, ToldUses, UseLedger, UseTotal};
 use crate::value;
@@ -435,7 +435,7 @@
     pub fn usage(&mut self, now: TimePoint) -> Vec<CustomerUsage> {
         let mut used = self.tell(now, 0).uses;
         used.sort_by(|a, b| b.total.asked.total_cmp(&a.total.asked));
-        used.truncate(SPREAD_CUSTOMERS);
+        used.truncate(MAX_SPREAD_CUSTOMERS);
         used.sort_by(|a, b| a.customer.cmp(&b.customer));
         let usage = used.into_iter().map(|used| CustomerUsage {
             per_ks: self.asked_per_ks(now, &used.customer),
--- a/decision/src/member.rs
+++ b/decision/src/member.rs
@@ -1,4 +1,10 @@
-//! Which entry VMs are alive: random probes with piggybacked digests.
+//! SWIM-style membership of entry VMs: random probes with piggybacked digests.
+//!
+//! Each VM probes one other VM per period, and indirectly through helper VMs if the direct probe is
+//! not answered. Digests ride on probes and replies, so the cost per VM does not grow with the
+//! fleet. A VM that does not answer is suspected, and is declared dead unless it refutes the
+//! suspicion in time. All times are on the VM's own monotonic clock, so clock skew and clock jumps
+//! have no effect. See docs/AGREEMENT.md, "Membership".
 //!
 //! Each VM probes one other in each period, through two more if it does not answer, and news rides
 //! on probes and their answers; so the cost of a VM does not grow with their number. A VM that
@@ -22,7 +28,7 @@
 //! let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
 //! let mut actions = Vec::new();
 //! table.handle(TimePoint(0), MemberEvent::Tick, &mut rng, &mut actions);
-//! assert!(actions.is_empty(), "a VM that knows no other has none to probe");
+//! assert!(actions.is_empty(), "a VM that knows no other VM sends no probes");
 //! ```
 
 use rand::{Rng, RngExt};
@@ -37,27 +43,27 @@
 /// Settings of the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSettings {
-    /// Milliseconds between probes.
+    /// Milliseconds between probes. A probe without an answer fails after this time.
     pub period_ms: u64,
-    /// Milliseconds after which an unanswered probe is tried through other VMs. The round trip
-    /// between failure domains is a few milliseconds, so this is ample.
+    /// Milliseconds after which an unanswered probe is retried through helper VMs. Well above the
+    /// round trip between failure domains, which is a few milliseconds.
     pub indirect_ms: u64,
-    /// How many VMs an unanswered probe is tried through.
+    /// Number of helper VMs that an unanswered probe is retried through.
     pub helpers: usize,
-    /// Milliseconds in which a suspected VM must refute the suspicion. Together with the first
-    /// probe and its period this keeps a dead VM's detection under 3 s.
+    /// Milliseconds in which a suspected VM must refute the suspicion. Together with the probe and
+    /// its period this bounds the detection of a dead VM to under 3 s.
     pub suspicion_ms: u64,
-    /// The most digests that ride on a probe or its answer.
+    /// Maximum number of digests on a probe or its reply.
     pub digests: usize,
-    /// The most digests that ride on the answer to a VM that has just started.
+    /// Maximum number of digests on the reply to a VM that has just started.
     pub join_digests: usize,
-    /// The fewest milliseconds between two spreads of a VM's own facts. At many VMs the spread is
-    /// slower: [`SPREAD_PER_VM_MS`] for each.
+    /// Minimum milliseconds between two updates of a VM's own facts. In large fleets the interval
+    /// is [`SPREAD_PER_VM_MS`] per known VM.
     pub spread_ms: u64,
-    /// The most VMs that are known at a time; news of further ones is dropped.
+    /// Maximum number of other VMs in the table; updates about further VMs are dropped.
     pub members: usize,
-    /// Milliseconds after which a dead VM that is not listed is forgotten. It must outlast the
-    /// zombie window of docs/DESIGN.md, "When a slot may be evicted".
+    /// Milliseconds after which a dead VM that is not listed is removed from the table. Must be
+    /// longer than the zombie window of docs/DESIGN.md, "When a slot may be evicted".
     pub forget_ms: u64,
 }
 
@@ -77,22 +83,24 @@
     }
 }
 
-/// Milliseconds that each known VM adds to the spread of a VM's own facts. With 360 VMs each one
-/// spreads every 9 s, which keeps all digests that reach a VM near 4 KB/s.
+/// Milliseconds that each known VM adds to the interval between updates of a VM's own facts. With
+/// 360 VMs each one updates its facts every 9 s, which keeps the digests that a VM receives near 4
+/// KB/s.
 pub const SPREAD_PER_VM_MS: u64 = 25;
-/// The most tenants whose use a VM spreads.
-pub const SPREAD_CUSTOMERS: usize = 8;
-/// In one of so many periods a dead VM is probed, so that parted regions find each other again.
-const DEAD_PROBE_EVERY: u64 = 5;
-/// Rounds of spreading a piece of news, times the binary logarithm of the number of VMs.
+/// Maximum number of customers whose usage a VM includes in its digest.
+pub const MAX_SPREAD_CUSTOMERS: usize = 8;
+/// Every how many periods a dead VM is probed, so that the two sides of a healed partition find
+/// each other again.
+const DEAD_PROBE_INTERVAL: u64 = 5;
+/// Times that an update is sent, per binary logarithm of the number of VMs.
 const SPREAD_ROUNDS: u32 = 3;
-/// The fewest milliseconds between two pushes of urgent news. In the worst case, a part of the fleet
-/// that falls silent, a VM sends so some twenty small messages a second for a few seconds.
-const PUSH_EVERY_MS: u64 = 100;
-/// A pause of so many periods means that this VM stood still, not the others.
-const PAUSE_PERIODS: u64 = 3;
+/// Minimum milliseconds between two pushes of urgent updates. If a large part of the fleet fails,
+/// this limits a VM to some twenty extra small messages per second for a few seconds.
+const PUSH_INTERVAL_MS: u64 = 100;
+/// Periods between two ticks beyond which this VM itself is assumed to have been suspended.
+const MAX_TICK_GAP_PERIODS: u64 = 3;
 
-/// A probe that waits for its answer.
+/// A probe without an answer yet.
 #[derive(Clone, Debug, PartialEq)]
 struct OpenProbe {
     number: u64,
@@ -103,15 +111,16 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum ProbePurpose {
-    /// This VM wants to know; `helped` tells that helpers were asked.
-    Own { helped: bool },
-    /// A helper's answer counts for the own probe of this number.
+    /// A probe for this VM itself; `indirect` is set once helpers were requested.
+    Own { indirect: bool },
+    /// A request to a helper; its positive answer completes the own probe with this number.
     Helper { own: u64 },
-    /// Another VM wants to know.
-    Behalf { call: u64, asked: u64 },
+    /// A probe on behalf of another VM, which is answered through `call` with its own probe number
+    /// `requested`.
+    Relayed { call: u64, requested: u64 },
 }
 
-/// All entry VMs as one of them sees them.
+/// Membership view of one entry VM.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     settings: MemberSettings,
@@ -129,7 +138,7 @@
 }
 
 impl MemberTable {
-    /// The table of a VM that has just started and knows nobody.
+    /// Creates the table of a VM that has just started and knows no other VM.
     #[must_use]
     pub fn new(settings: MemberSettings, vm: VmIdentity, place: MemberPlace) -> Self {
         let digest = MemberDigest {
@@ -166,7 +175,7 @@
         }
     }
 
-    /// Handles `event` and appends what is to be done to `actions`.
+    /// Handles `event` and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         now: TimePoint,
@@ -176,53 +185,54 @@
     ) {
         match event {
             MemberEvent::Tick => self.tick(now, rng, actions),
-            MemberEvent::Listed(list) => self.take_list(now, list, actions),
-            MemberEvent::Facts(facts) => self.take_facts(now, facts),
+            MemberEvent::Listed(list) => self.apply_list(now, list, actions),
+            MemberEvent::Facts(facts) => self.set_facts(now, facts),
             MemberEvent::Probe { call, message } => {
-                self.take_probe(now, call, message, rng, actions)
+                self.handle_probe(now, call, message, rng, actions)
             }
-            MemberEvent::Reply(reply) => self.take_reply(now, reply, actions),
-            MemberEvent::ProbeTimeout { number } => self.take_timeout(now, number, rng, actions),
+            MemberEvent::Reply(reply) => self.handle_reply(now, reply, actions),
+            MemberEvent::ProbeTimeout { number } => self.handle_timeout(now, number, rng, actions),
             MemberEvent::Leave => self.leave(now, rng, actions),
         }
         self.push_urgent(now, rng, actions);
     }
 
-    /// When the next tick is due.
+    /// Returns when the next [`MemberEvent::Tick`] is due.
     #[must_use]
     pub fn next_due(&self) -> TimePoint {
-        let waits = self.settings.indirect_ms * MICROS_PER_MILLI;
-        let probes = self.probes.iter().map(|probe| probe.sent.plus(waits));
+        let indirect_after = self.settings.indirect_ms * MICROS_PER_MILLI;
+        let probes = self.probes.iter().map(|probe| probe.sent.plus(indirect_after));
         probes.chain([self.next_period]).min().unwrap_or(self.next_period)
     }
 
-    /// This VM's own row.
+    /// Returns this VM's own row.
     #[must_use]
     pub fn own(&self) -> &MemberRow {
         &self.own
     }
 
-    /// All other VMs, sorted by name.
+    /// Returns the rows of all other known VMs, sorted by name.
     #[must_use]
     pub fn others(&self) -> &[MemberRow] {
         &self.rows
     }
 
-    /// The VMs that take new work, this one among them if it does. Suspected VMs are left out: a
-    /// wrong suspicion only keeps callers away for a moment, a right one is known a second sooner.
+    /// Returns the VMs that take new work, including this one unless it leaves. Suspected VMs are
+    /// left out: a false suspicion keeps callers away only briefly, a true one is acted on a second
+    /// earlier.
     pub fn live(&self) -> impl Iterator<Item = &MemberRow> {
         let all = std::iter::once(&self.own).chain(&self.rows);
         all.filter(|row| row.state() == MemberState::Alive)
     }
 
-    /// Whether the platform's list was read and every VM in it was heard of, so that one which does
-    /// not answer is known from one that was not asked yet.
+    /// Returns whether the platform's list was read and a digest was received from every VM in the
+    /// table. Until then a VM that does not answer cannot be told from one that was not probed yet.
     #[must_use]
     pub fn acquainted(&self) -> bool {
         self.own.listed.is_some() && self.rows.iter().all(|row| row.heard)
     }
 
-    /// The row of `vm`, if it is known.
+    /// Returns the row of `vm`, or `None` if it is unknown.
     #[must_use]
     pub fn row(&self, vm: &str) -> Option<&MemberRow> {
         if self.own.name() == vm {
@@ -231,22 +241,23 @@
         self.find(vm).ok().map(|at| &self.rows[at])
     }
 
-    /// The state of `vm`, if it is known.
+    /// Returns the state of `vm`, or `None` if it is unknown.
     #[must_use]
     pub fn state_of(&self, vm: &str) -> Option<MemberState> {
         self.row(vm).map(MemberRow::state)
     }
 
-    /// Whether the life `vm` of a VM still runs, as far as this VM knows: it, and not a later
-    /// life of the same VM, answers or is only suspected.
+    /// Returns whether this incarnation of a VM may still run: no other incarnation of the VM is
+    /// known to have replaced it, and it is not dead. A suspected VM counts as running.
     #[must_use]
     pub fn runs(&self, vm: &VmIdentity) -> bool {
         let row = self.row(vm.vm.as_str());
         row.is_some_and(|row| row.identity() == vm && row.digest.state != MemberState::Dead)
     }
 
-    /// Whether this VM sees more than half of the region's VMs answer, itself among them. VMs that
-    /// are listed and silent count against it, so two sides of a partition never both have one.
+    /// Returns whether more than half of the region's VMs answer, this VM included. VMs that are
+    /// listed or died recently count as known even though they do not answer, so at most one side
+    /// of a partition has a majority.
     #[must_use]
     pub fn majority(&self, region: &str) -> bool {
         let all = std::iter::once(&self.own).chain(&self.rows);
@@ -263,28 +274,28 @@
         self.rows.binary_search_by(|row| row.name().cmp(vm))
     }
 
-    fn known(&self) -> u64 {
+    fn vm_count(&self) -> u64 {
         self.rows.len() as u64 + 1
     }
 
     fn tick(&mut self, now: TimePoint, rng: &mut dyn Rng, actions: &mut Vec<MemberAction>) {
-        self.notice_pause(now);
-        self.end_suspicions(now, actions);
+        self.restart_timers_after_suspension(now);
+        self.expire_suspicions(now, actions);
         self.check_probes(now, rng, actions);
         self.spread_facts(now);
         if now >= self.next_period {
             self.next_period = now.plus(self.settings.period_ms * MICROS_PER_MILLI);
-            self.forget(now);
+            self.remove_dead(now);
             self.start_probe(now, rng, actions);
         }
     }
 
-    /// After a pause of its own (a stopped process, a frozen VM) every open probe looks unanswered
-    /// and every suspicion ripe; a VM that took them at their word would declare the others dead.
-    /// It starts its timers anew instead.
-    fn notice_pause(&mut self, now: TimePoint) {
+    /// Restarts all timers if this VM was suspended (a stopped process, a frozen VM). Its open
+    /// probes and suspicions would otherwise all expire at once, and it would declare the other VMs
+    /// dead.
+    fn restart_timers_after_suspension(&mut self, now: TimePoint) {
         let last = self.last_tick.replace(now);
-        let limit = self.settings.period_ms * MICROS_PER_MILLI * PAUSE_PERIODS;
+        let limit = self.settings.period_ms * MICROS_PER_MILLI * MAX_TICK_GAP_PERIODS;
         if last.is_none_or(|last| now.since(last) <= limit) {
             return;
         }
@@ -294,39 +305,39 @@
         }
     }
 
-    fn end_suspicions(&mut self, now: TimePoint, actions: &mut Vec<MemberAction>) {
+    fn expire_suspicions(&mut self, now: TimePoint, actions: &mut Vec<MemberAction>) {
         let limit = self.settings.suspicion_ms * MICROS_PER_MILLI;
         for row in &mut self.rows {
-            let ripe = now.since(row.since) >= limit;
-            if row.digest.state == MemberState::Suspect && ripe {
+            let expired = now.since(row.since) >= limit;
+            if row.digest.state == MemberState::Suspect && expired {
                 row.turn(now, MemberState::Dead, actions);
             }
         }
     }
 
     fn check_probes(&mut self, now: TimePoint, rng: &mut dyn Rng, actions: &mut Vec<MemberAction>) {
-        let helped_after = self.settings.indirect_ms * MICROS_PER_MILLI;
-        let lost_after = self.settings.period_ms * MICROS_PER_MILLI;
+        let indirect_after = self.settings.indirect_ms * MICROS_PER_MILLI;
+        let failed_after = self.settings.period_ms * MICROS_PER_MILLI;
         let open = std::mem::take(&mut self.probes);
         for probe in open {
             let age = now.since(probe.sent);
-            let own = probe.purpose == ProbePurpose::Own { helped: false };
-            if age >= lost_after {
-                self.lose_probe(now, probe, actions);
-            } else if own && age >= helped_after {
-                self.ask_helpers(now, probe, rng, actions);
+            let direct = probe.purpose == ProbePurpose::Own { indirect: false };
+            if age >= failed_after {
+                self.fail_probe(now, probe, actions);
+            } else if direct && age >= indirect_after {
+                self.send_indirect_probes(now, probe, rng, actions);
             } else {
                 self.probes.push(probe);
             }
         }
     }
 
-    fn lose_probe(&mut self, now: TimePoint, probe: OpenProbe, actions: &mut Vec<MemberAction>) {
+    fn fail_probe(&mut self, now: TimePoint, probe: OpenProbe, actions: &mut Vec<MemberAction>) {
         match probe.purpose {
             ProbePurpose::Own { .. } => self.suspect(now, probe.target.as_str(), actions),
             ProbePurpose::Helper { .. } => {}
-            ProbePurpose::Behalf { call, asked } => {
-                let reply = self.reply(now, asked, false, None);
+            ProbePurpose::Relayed { call, requested } => {
+                let reply = self.reply(now, requested, false, None);
                 actions.push(MemberAction::Reply { call, reply });
             }
         }
@@ -340,7 +351,7 @@
         }
     }
 
-    fn ask_helpers(
+    fn send_indirect_probes(
         &mut self,
         now: TimePoint,
         mut probe: OpenProbe,
@@ -349,10 +360,10 @@
     ) {
         let target = probe.target.clone();
         let own = probe.number;
-        probe.purpose = ProbePurpose::Own { helped: true };
+        probe.purpose = ProbePurpose::Own { indirect: true };
         self.probes.push(probe);
         for via in self.pick_helpers(&target, rng) {
-            let number = self.take_number();
+            let number = self.allocate_number();
             let Ok(at) = self.find(via.as_str()) else { continue };
             let address = self.rows[at].place.peer;
             let message = self.message(now, number, &via, Some(target.clone()));
@@ -362,27 +373,27 @@
         }
     }
 
-    /// Passes a change of state on at once. With the news of one period waiting for the next, the
-    /// last of many VMs would hear of a death too late to keep callers away from it within 3 s.
-    /// Such changes are rare, and a burst of them is told together.
+    /// Sends changes of state at once instead of with the next periodic probe. With periodic probes
+    /// alone the last VMs of a large fleet would merge_digest of a death too late to keep callers away
+    /// from it within 3 s. Changes within the push interval are sent together.
     fn push_urgent(&mut self, now: TimePoint, rng: &mut dyn Rng, actions: &mut Vec<MemberAction>) {
         let pending = self.rows.iter().any(|row| row.urgent && row.pushed.is_none());
         if !pending || now < self.next_push {
             return;
         }
-        self.next_push = now.plus(PUSH_EVERY_MS * MICROS_PER_MILLI);
+        self.next_push = now.plus(PUSH_INTERVAL_MS * MICROS_PER_MILLI);
         for row in &mut self.rows {
             row.pushed = Some(now);
         }
-        let none = VmName::default();
-        for to in self.pick_helpers(&none, rng) {
+        let no_target = VmName::default();
+        for to in self.pick_helpers(&no_target, rng) {
             self.probe(now, to, actions);
         }
     }
 
     fn pick_helpers(&self, target: &VmName, rng: &mut dyn Rng) -> Vec<VmName> {
-        let able = self.rows.iter().filter(|row| row.answers() && row.digest.vm.vm != *target);
-        let mut names: Vec<&VmName> = able.map(|row| &row.digest.vm.vm).collect();
+        let candidates = self.rows.iter().filter(|row| row.answers() && row.digest.vm.vm != *target);
+        let mut names: Vec<&VmName> = candidates.map(|row| &row.digest.vm.vm).collect();
         let mut helpers = Vec::new();
         while helpers.len() < self.settings.helpers && !names.is_empty() {
             let at = rng.random_range(0..names.len());
@@ -393,8 +404,8 @@
 
     fn start_probe(&mut self, now: TimePoint, rng: &mut dyn Rng, actions: &mut Vec<MemberAction>) {
         self.periods += 1;
-        let dead_turn = self.periods.is_multiple_of(DEAD_PROBE_EVERY);
-        let dead = if dead_turn { self.pick_dead(rng) } else { None };
+        let probe_dead = self.periods.is_multiple_of(DEAD_PROBE_INTERVAL);
+        let dead = if probe_dead { self.pick_dead(rng) } else { None };
         let Some(to) = dead.or_else(|| self.next_in_round(rng)) else { return };
         self.probe(now, to, actions);
     }
@@ -402,9 +413,9 @@
     fn probe(&mut self, now: TimePoint, to: VmName, actions: &mut Vec<MemberAction>) {
         let Ok(at) = self.find(to.as_str()) else { return };
         let address = self.rows[at].place.peer;
-        let number = self.take_number();
+        let number = self.allocate_number();
         let message = self.message(now, number, &to, None);
-        let purpose = ProbePurpose::Own { helped: false };
+        let purpose = ProbePurpose::Own { indirect: false };
         self.probes.push(OpenProbe { number, target: to.clone(), sent: now, purpose });
         actions.push(MemberAction::SendProbe { to, address, message });
     }
@@ -416,12 +427,13 @@
         Some(names[at].clone())
     }
 
-    /// Every VM comes once in each round, in an order drawn anew, so that a dead one is probed by
-    /// each other within a round. Listed VMs that were never heard of are probed like live ones.
+    /// Returns the next VM to probe. Each VM is probed once per round, in a newly shuffled order,
+    /// so that every other VM probes a dead one within a round. Listed VMs from which nothing was
+    /// received yet are probed like live ones.
     fn next_in_round(&mut self, rng: &mut dyn Rng) -> Option<VmName> {
         loop {
             if self.round.is_empty() {
-                self.round = self.draw_round(rng);
+                self.round = self.shuffle_round(rng);
             }
             let name = self.round.pop()?;
             let Ok(at) = self.find(name.as_str()) else { continue };
@@ -431,7 +443,7 @@
         }
     }
 
-    fn draw_round(&self, rng: &mut dyn Rng) -> Vec<VmName> {
+    fn shuffle_round(&self, rng: &mut dyn Rng) -> Vec<VmName> {
         let probed = self.rows.iter().filter(|row| row.probed());
         let mut names: Vec<VmName> = probed.map(|row| row.digest.vm.vm.clone()).collect();
         for at in (1..names.len()).rev() {
@@ -440,30 +452,30 @@
         names
     }
 
-    fn take_number(&mut self) -> u64 {
+    fn allocate_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
 
-    fn forget(&mut self, now: TimePoint) {
+    fn remove_dead(&mut self, now: TimePoint) {
         let limit = self.settings.forget_ms * MICROS_PER_MILLI;
         self.rows.retain(|row| {
-            let gone = row.digest.state == MemberState::Dead && row.listed.is_none();
-            !gone || now.since(row.since) < limit
+            let removable = row.digest.state == MemberState::Dead && row.listed.is_none();
+            !removable || now.since(row.since) < limit
         });
     }
 
-    fn take_list(&mut self, now: TimePoint, list: Vec<ListedVm>, actions: &mut Vec<MemberAction>) {
+    fn apply_list(&mut self, now: TimePoint, list: Vec<ListedVm>, actions: &mut Vec<MemberAction>) {
         self.own.listed = None;
         for row in &mut self.rows {
             row.listed = None;
         }
         for entry in list {
-            self.take_listed(now, entry, actions);
+            self.apply_listed(now, entry, actions);
         }
     }
 
-    fn take_listed(&mut self, now: TimePoint, entry: ListedVm, actions: &mut Vec<MemberAction>) {
+    fn apply_listed(&mut self, now: TimePoint, entry: ListedVm, actions: &mut Vec<MemberAction>) {
         if entry.name.as_str() == self.own.name() {
             self.own.listed = Some(entry.state);
             return;
@@ -485,8 +497,8 @@
         }
     }
 
-    fn take_facts(&mut self, now: TimePoint, mut facts: MemberFacts) {
-        facts.usage.truncate(SPREAD_CUSTOMERS);
+    fn set_facts(&mut self, now: TimePoint, mut facts: MemberFacts) {
+        facts.usage.truncate(MAX_SPREAD_CUSTOMERS);
         let own = &self.own.digest.facts;
         let urgent = facts.weight != own.weight || facts.reads_log != own.reads_log;
         if facts == *own {
@@ -505,13 +517,13 @@
             return;
         }
         let Some(facts) = self.pending.take() else { return };
-        let every = self.settings.spread_ms.max(SPREAD_PER_VM_MS * self.known());
-        self.next_spread = now.plus(every * MICROS_PER_MILLI);
+        let interval_ms = self.settings.spread_ms.max(SPREAD_PER_VM_MS * self.vm_count());
+        self.next_spread = now.plus(interval_ms * MICROS_PER_MILLI);
         self.own.digest.facts = facts;
         self.own.digest.sequence += 1;
     }
 
-    fn take_probe(
+    fn handle_probe(
         &mut self,
         now: TimePoint,
         call: u64,
@@ -520,13 +532,13 @@
         actions: &mut Vec<MemberAction>,
     ) {
         let from = message.from.vm.clone();
-        let starting = self.row(from.vm.as_str()).is_none_or(|row| *row.identity() != from);
-        self.learn_all(now, message.from, message.news, actions);
+        let joining = self.row(from.vm.as_str()).is_none_or(|row| *row.identity() != from);
+        self.merge_all(now, message.from, message.news, actions);
         let target = message.target.filter(|target| target.as_str() != self.own.name());
         let Some(target) = target else {
             let mut reply = self.reply(now, message.number, true, Some(&from));
-            if starting {
-                self.add_for_joiner(&mut reply, rng);
+            if joining {
+                self.fill_joiner_reply(&mut reply, rng);
             }
             actions.push(MemberAction::Reply { call, reply });
             return;
@@ -537,17 +549,17 @@
             return;
         };
         let address = self.rows[at].place.peer;
-        let number = self.take_number();
+        let number = self.allocate_number();
         let probe = self.message(now, number, &target, None);
-        let purpose = ProbePurpose::Behalf { call, asked: message.number };
+        let purpose = ProbePurpose::Relayed { call, requested: message.number };
         self.probes.push(OpenProbe { number, target: target.clone(), sent: now, purpose });
         actions.push(MemberAction::SendProbe { to: target, address, message: probe });
     }
 
-    fn take_reply(&mut self, now: TimePoint, reply: ProbeReply, actions: &mut Vec<MemberAction>) {
+    fn handle_reply(&mut self, now: TimePoint, reply: ProbeReply, actions: &mut Vec<MemberAction>) {
         let number = reply.number;
         let reached = reply.reached;
-        self.learn_all(now, reply.from, reply.news, actions);
+        self.merge_all(now, reply.from, reply.news, actions);
         let Some(at) = self.probes.iter().position(|probe| probe.number == number) else { return };
         let probe = self.probes.remove(at);
         match probe.purpose {
@@ -556,14 +568,14 @@
                 self.probes.retain(|probe| probe.number != own);
             }
             ProbePurpose::Helper { .. } => {}
-            ProbePurpose::Behalf { call, asked } => {
-                let reply = self.reply(now, asked, true, None);
+            ProbePurpose::Relayed { call, requested } => {
+                let reply = self.reply(now, requested, true, None);
                 actions.push(MemberAction::Reply { call, reply });
             }
         }
     }
 
-    fn take_timeout(
+    fn handle_timeout(
         &mut self,
         now: TimePoint,
         number: u64,
@@ -572,46 +584,51 @@
     ) {
         let Some(at) = self.probes.iter().position(|probe| probe.number == number) else { return };
         let probe = self.probes.remove(at);
-        if probe.purpose == (ProbePurpose::Own { helped: false }) {
-            self.ask_helpers(now, probe, rng, actions);
-        } else if matches!(probe.purpose, ProbePurpose::Behalf { .. }) {
-            self.lose_probe(now, probe, actions);
+        if probe.purpose == (ProbePurpose::Own { indirect: false }) {
+            self.send_indirect_probes(now, probe, rng, actions);
+        } else if matches!(probe.purpose, ProbePurpose::Relayed { .. }) {
+            self.fail_probe(now, probe, actions);
         } else if matches!(probe.purpose, ProbePurpose::Own { .. }) {
-            // The helpers may still reach it, until the period is over.
+            // A helper may still reach the VM before the period ends.
             self.probes.push(probe);
         }
     }
 
-    /// Says that this VM leaves, at once to as many VMs as a probe has helpers.
+    /// Marks this VM as leaving and notifies as many VMs as a probe has helpers at once.
     fn leave(&mut self, now: TimePoint, rng: &mut dyn Rng, actions: &mut Vec<MemberAction>) {
         self.own.digest.state = MemberState::Leaving;
         self.own.digest.sequence += 1;
         self.own.since = now;
-        let none = VmName::default();
-        for to in self.pick_helpers(&none, rng) {
+        let no_target = VmName::default();
+        for to in self.pick_helpers(&no_target, rng) {
             self.probe(now, to, actions);
         }
     }
 
-    fn learn_all(
+    fn merge_all(
         &mut self,
         now: TimePoint,
         from: MemberDigest,
-        news: Vec<MemberDigest>,
+        updates: Vec<MemberDigest>,
         actions: &mut Vec<MemberAction>,
     ) {
-        self.learn(now, from, actions);
-        for digest in news.into_iter().take(self.settings.join_digests) {
-            self.learn(now, digest, actions);
+        self.merge_digest(now, from, actions);
+        for digest in updates.into_iter().take(self.settings.join_digests) {
+            self.merge_digest(now, digest, actions);
         }
     }
 
-    /// Takes a piece of news if it is newer than what is known.
+    /// Merges a digest if it is newer than the known one.
+    ///
+    /// Incarnations of a VM are ordered by sequence alone: incarnation numbers are random and
+    /// clocks may jump, so neither shows which incarnation is the later one. A restarted VM starts
+    /// with a low sequence, receives the digest of its previous incarnation from the first VM that
+    /// it contacts, and raises its sequence beyond it.
     ///
     /// Lives are ordered by sequence alone: incarnations are drawn, and clocks may jump, so neither
     /// tells which life is the later one. A restarted VM begins low, hears of its former life from
     /// the first VM that it meets, and raises its sequence beyond it.
-    fn learn(&mut self, now: TimePoint, digest: MemberDigest, actions: &mut Vec<MemberAction>) {
+    fn merge_digest(&mut self, now: TimePoint, digest: MemberDigest, actions: &mut Vec<MemberAction>) {
         if digest.vm.vm.as_str() == self.own.name() {
             self.refute(&digest);
             return;
@@ -632,8 +649,8 @@
         digest: MemberDigest,
         actions: &mut Vec<MemberAction>,
     ) {
-        let room = self.rows.len() < self.settings.members;
-        let Some(place) = digest.place.clone().filter(|_| room) else { return };
+        let has_room = self.rows.len() < self.settings.members;
+        let Some(place) = digest.place.clone().filter(|_| has_room) else { return };
         if digest.state == MemberState::Dead {
             return;
         }
@@ -645,8 +662,8 @@
 
     fn refute(&mut self, digest: &MemberDigest) {
         let own = &mut self.own.digest;
-        let mine = digest.vm == own.vm && digest.state == own.state;
-        if digest.sequence >= own.sequence && !mine {
+        let is_current = digest.vm == own.vm && digest.state == own.state;
+        if digest.sequence >= own.sequence && !is_current {
             own.sequence = digest.sequence + 1;
         }
     }
@@ -660,8 +677,8 @@
     ) -> ProbeMessage {
         let from = self.own.digest.clone();
         let to = self.row(to.as_str()).map(|row| row.identity().clone());
-        let news = self.news(now, to.as_ref());
-        ProbeMessage { number, from, target, news }
+        let updates = self.select_updates(now, to.as_ref());
+        ProbeMessage { number, from, target, news: updates }
     }
 
     fn reply(
@@ -672,37 +689,37 @@
         to: Option<&VmIdentity>,
     ) -> ProbeReply {
         let from = self.own.digest.clone();
-        let news = self.news(now, to);
-        ProbeReply { number, from, reached, news }
+        let updates = self.select_updates(now, to);
+        ProbeReply { number, from, reached, news: updates }
     }
 
-    /// Picks the news for a message: what the receiver must hear of itself, then changes of state,
-    /// then other changes, the least told first.
-    fn news(&mut self, now: TimePoint, to: Option<&VmIdentity>) -> Vec<MemberDigest> {
-        let rounds = SPREAD_ROUNDS * (self.known() + 1).ilog2().max(1);
-        let mut fresh: Vec<(bool, bool, u32, usize)> = Vec::new();
+    /// Selects the digests for a message: what the receiver must refute about itself first, then
+    /// changes of state, then other changes, those sent least often first.
+    fn select_updates(&mut self, now: TimePoint, to: Option<&VmIdentity>) -> Vec<MemberDigest> {
+        let rounds = SPREAD_ROUNDS * (self.vm_count() + 1).ilog2().max(1);
+        let mut candidates: Vec<(bool, bool, u32, usize)> = Vec::new();
         for (at, row) in self.rows.iter().enumerate() {
             let receiver = to.filter(|to| to.vm == row.digest.vm.vm);
-            let wrong = receiver.is_some_and(|to| *to != row.digest.vm || !row.answers());
+            let must_refute = receiver.is_some_and(|to| *to != row.digest.vm || !row.answers());
             let spread = receiver.is_none() && row.told < rounds;
-            if row.heard && (wrong || spread) {
-                fresh.push((!wrong, !row.urgent, row.told, at));
+            if row.heard && (must_refute || spread) {
+                candidates.push((!must_refute, !row.urgent, row.told, at));
             }
         }
-        fresh.sort_unstable();
-        fresh.truncate(self.settings.digests);
-        fresh.into_iter().map(|(_, _, _, at)| self.rows[at].tell(now)).collect()
+        candidates.sort_unstable();
+        candidates.truncate(self.settings.digests);
+        candidates.into_iter().map(|(_, _, _, at)| self.rows[at].tell(now)).collect()
     }
 
-    /// A VM that has just started learns of as many others as fit, drawn by chance, so that it
+    /// Fills the reply to a VM that has just started with randomly selected other VMs, so that it
     /// knows a large fleet within a few probes.
-    fn add_for_joiner(&self, reply: &mut ProbeReply, rng: &mut dyn Rng) {
+    fn fill_joiner_reply(&self, reply: &mut ProbeReply, rng: &mut dyn Rng) {
         let mut order: Vec<usize> = (0..self.rows.len()).collect();
         while reply.news.len() < self.settings.join_digests && !order.is_empty() {
             let at = order.swap_remove(rng.random_range(0..order.len()));
             let row = &self.rows[at];
-            let told = reply.news.iter().any(|digest| digest.vm == row.digest.vm);
-            if row.heard && row.answers() && !told {
+            let included = reply.news.iter().any(|digest| digest.vm == row.digest.vm);
+            if row.heard && row.answers() && !included {
                 reply.news.push(row.digest_with_place(true));
             }
         }
