--- a/decision/src/counts.rs
+++ b/decision/src/counts.rs
@@ -1,41 +1,44 @@
-//! Requests at one server, as this VM and the others count them.
+//! Requests in flight at one server, as counted by this VM and the others.
 //!
-//! In small fleets each VM tells all others of its counts within milliseconds. In large ones that would cost
-//! with the square of their number: there a VM tells the aggregator of its failure domain, which tells the
-//! sum over all VMs to those of the domain ([`crate::domain_news`]).
+//! In small fleets each VM reports its counts to all others within milliseconds. In large ones the
+//! cost of that would grow with the square of the number of VMs, so each VM reports to the
+//! aggregator of its failure domain, which sends the sum over all VMs back
+//! ([`crate::domain_news`]).
 
 use crate::id::{TimePoint, VmName};
 use crate::reading::ReadingPace;
 
-/// How long a peer's count of its requests at a server is used. Peers repeat it, or say that there are none,
-/// within a second.
-const PEER_LOAD_TRUST_US: u64 = 4_000_000;
-/// How long a count of unread tokens stands as it is: somewhat longer than it takes to be repeated.
-const FRESH_US: u64 = 150_000;
-/// How long the sum over all VMs is used. Several messages of the aggregator may be lost in it; with none,
-/// only this VM's own requests are known.
-const FLEET_TRUST_US: u64 = 1_500_000;
-/// How long an aggregator counts what a VM of its domain told, which the VM repeats several times in it. A VM
-/// that tells another aggregator instead would be counted twice for longer.
-const MEMBER_TRUST_US: u64 = 1_000_000;
-
-/// Requests at a server, as one VM counts them.
+/// Validity of a peer's count of its requests at a server, in microseconds. Peers report a count
+/// again, or report that it is zero, within a second.
+const PEER_LOAD_TTL_US: u64 = 4_000_000;
+/// Time for which a reported count of unread tokens is used unreduced, in microseconds; slightly
+/// longer than the interval between two reports.
+const UNREDUCED_US: u64 = 150_000;
+/// Validity of the sum over all VMs, in microseconds; several messages of the aggregator may be
+/// lost meanwhile. Without a valid sum only the counts of this VM and those reported by peers are
+/// known.
+const FLEET_TTL_US: u64 = 1_500_000;
+/// Validity of a VM's count at its aggregator, in microseconds; the VM reports it several times in
+/// this period. A VM that switches to another aggregator is counted twice for this long.
+const MEMBER_TTL_US: u64 = 1_000_000;
+
+/// Requests at a server, as counted by one VM or summed over several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadFigure {
-    /// Requests sent whose answer has not ended.
+    /// Requests that were sent and whose response has not ended.
     pub running: u32,
-    /// Prompt tokens of those without a first event.
+    /// Prompt tokens of those requests for which no first response event was received.
     pub unread: u64,
 }
 
 impl LoadFigure {
-    /// Both together.
+    /// Returns the sum of both.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self { running: self.running + other.running, unread: self.unread + other.unread }
     }
 
-    fn less(self, other: Self) -> Self {
+    fn saturating_minus(self, other: Self) -> Self {
         Self {
             running: self.running.saturating_sub(other.running),
             unread: self.unread.saturating_sub(other.unread),
@@ -50,82 +53,84 @@
     at: TimePoint,
 }
 
-/// The counts of all VMs at one server.
+/// Counts of all VMs at one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestCounts {
-    /// This VM's requests.
+    /// Requests of this VM.
     pub(crate) own: LoadFigure,
-    /// This VM's as it last told them, which the sum over all contains.
-    told: LoadFigure,
+    /// This VM's count as it last reported it, which the sum over all VMs includes.
+    reported: LoadFigure,
     /// Sorted by VM.
     peers: Vec<PeerLoad>,
     fleet: Option<(LoadFigure, TimePoint)>,
 }
 
 impl RequestCounts {
-    /// Takes what another VM counts.
+    /// Records the count that another VM reported.
     pub(crate) fn peer(&mut self, vm: &VmName, figure: LoadFigure, at: TimePoint) {
         match self.peers.binary_search_by(|peer| peer.vm.cmp(vm)) {
             Ok(found) => {
                 self.peers[found].figure = figure;
                 self.peers[found].at = at;
             }
-            Err(place) => self.peers.insert(place, PeerLoad { vm: vm.clone(), figure, at }),
+            Err(index) => self.peers.insert(index, PeerLoad { vm: vm.clone(), figure, at }),
         }
     }
 
-    /// Forgets what another VM counted.
+    /// Drops the count of another VM.
     pub(crate) fn peer_gone(&mut self, vm: &VmName) {
         if let Ok(found) = self.peers.binary_search_by(|peer| peer.vm.cmp(vm)) {
             self.peers.remove(found);
         }
     }
 
-    /// Takes the sum over all VMs.
+    /// Records the sum over all VMs, as received from the aggregator.
     pub(crate) fn fleet(&mut self, figure: LoadFigure, at: TimePoint) {
         self.fleet = Some((figure, at));
     }
 
-    /// The own count was told to the aggregator.
+    /// Records that this VM's count was reported to the aggregator.
     pub(crate) fn told(&mut self) {
-        self.told = self.own;
+        self.reported = self.own;
     }
 
-    /// The other VMs' requests as the aggregator told them, and when.
+    /// Returns the other VMs' requests according to the aggregator's last valid sum, and when it
+    /// was received.
     fn others(&self, now: TimePoint) -> Option<(LoadFigure, TimePoint)> {
-        let (figure, at) = self.fleet.filter(|(_, at)| now.since(*at) < FLEET_TRUST_US)?;
-        Some((figure.less(self.told), at))
+        let (figure, at) = self.fleet.filter(|(_, at)| now.since(*at) < FLEET_TTL_US)?;
+        Some((figure.saturating_minus(self.reported), at))
     }
 
-    fn trusted(&self, trust_us: u64, now: TimePoint) -> impl Iterator<Item = &PeerLoad> {
-        self.peers.iter().filter(move |peer| now.since(peer.at) < trust_us)
+    fn valid_peers(&self, ttl_us: u64, now: TimePoint) -> impl Iterator<Item = &PeerLoad> {
+        self.peers.iter().filter(move |peer| now.since(peer.at) < ttl_us)
     }
 
-    /// All requests, as far as this VM knows.
+    /// Returns the requests of all VMs, as far as this VM knows.
     pub(crate) fn all(&self, now: TimePoint) -> LoadFigure {
         if let Some((others, _)) = self.others(now) {
             return self.own.plus(others);
         }
-        let peers = self.trusted(PEER_LOAD_TRUST_US, now);
+        let peers = self.valid_peers(PEER_LOAD_TTL_US, now);
         peers.fold(self.own, |sum, peer| sum.plus(peer.figure))
     }
 
-    /// Tokens that the server still has to read. What others told a while ago has been read since.
+    /// Estimates the prompt tokens that the server still has to process: other VMs' counts are
+    /// reduced by what it has processed since they were reported.
     pub(crate) fn unread(&self, pace: ReadingPace, now: TimePoint) -> u64 {
-        let left = |unread: u64, at: TimePoint| {
-            let age_us = now.since(at).saturating_sub(FRESH_US);
+        let remaining = |unread: u64, at: TimePoint| {
+            let age_us = now.since(at).saturating_sub(UNREDUCED_US);
             unread.saturating_sub(pace.tokens_in(age_us))
         };
         if let Some((others, at)) = self.others(now) {
-            return self.own.unread + left(others.unread, at);
+            return self.own.unread + remaining(others.unread, at);
         }
-        let peers = self.trusted(PEER_LOAD_TRUST_US, now);
-        self.own.unread + peers.map(|peer| left(peer.figure.unread, peer.at)).sum::<u64>()
+        let peers = self.valid_peers(PEER_LOAD_TTL_US, now);
+        self.own.unread + peers.map(|peer| remaining(peer.figure.unread, peer.at)).sum::<u64>()
     }
 
-    /// The requests of this VM and of those that tell it of theirs.
+    /// Returns the requests of this VM and of the VMs that report to it.
     pub(crate) fn members(&self, now: TimePoint) -> LoadFigure {
-        let members = self.trusted(MEMBER_TRUST_US, now);
+        let members = self.valid_peers(MEMBER_TTL_US, now);
         members.fold(self.own, |sum, peer| sum.plus(peer.figure))
     }
 }
--- a/decision/src/limit.rs
+++ b/decision/src/limit.rs
@@ -11,7 +11,7 @@
 use crate::digest::CustomerUsage;
 use crate::id::{CustomerName, MICROS_PER_MILLI, TimePoint, VmIncarnation, VmName};
 use crate::manifest::ServingManifest;
-use crate::member::{MemberTable, MAX_SPREAD_CUSTOMERS};
+use crate::member::{MAX_SPREAD_CUSTOMERS, MemberTable};
 use crate::routing::ModelNeed;
 use crate::usage::{CustomerUse, FadingRate, MICROS_PER_SECOND, ToldUses, UseLedger, UseTotal};
 use crate::value;
--- a/decision/src/member.rs
+++ b/decision/src/member.rs
@@ -6,12 +6,6 @@
 //! suspicion in time. All times are on the VM's own monotonic clock, so clock skew and clock jumps
 //! have no effect. See docs/AGREEMENT.md, "Membership".
 //!
-//! Each VM probes one other in each period, through two more if it does not answer, and news rides
-//! on probes and their answers; so the cost of a VM does not grow with their number. A VM that
-//! does not answer is suspected, and is dead if it does not refute that in time. Time here is the
-//! VM's own monotonic clock, so clocks that differ or jump change nothing.
-//! See docs/AGREEMENT.md, "Membership".
-//!
 //! ```
 //! use coltsfoothook_decision::id::{TimePoint, VmIdentity, VmIncarnation};
 //! use coltsfoothook_decision::member::{MemberEvent, MemberPlace, MemberSettings, MemberTable};
@@ -392,7 +386,8 @@
     }
 
     fn pick_helpers(&self, target: &VmName, rng: &mut dyn Rng) -> Vec<VmName> {
-        let candidates = self.rows.iter().filter(|row| row.answers() && row.digest.vm.vm != *target);
+        let candidates =
+            self.rows.iter().filter(|row| row.answers() && row.digest.vm.vm != *target);
         let mut names: Vec<&VmName> = candidates.map(|row| &row.digest.vm.vm).collect();
         let mut helpers = Vec::new();
         while helpers.len() < self.settings.helpers && !names.is_empty() {
@@ -624,11 +619,12 @@
     /// clocks may jump, so neither shows which incarnation is the later one. A restarted VM starts
     /// with a low sequence, receives the digest of its previous incarnation from the first VM that
     /// it contacts, and raises its sequence beyond it.
-    ///
-    /// Lives are ordered by sequence alone: incarnations are drawn, and clocks may jump, so neither
-    /// tells which life is the later one. A restarted VM begins low, hears of its former life from
-    /// the first VM that it meets, and raises its sequence beyond it.
-    fn merge_digest(&mut self, now: TimePoint, digest: MemberDigest, actions: &mut Vec<MemberAction>) {
+    fn merge_digest(
+        &mut self,
+        now: TimePoint,
+        digest: MemberDigest,
+        actions: &mut Vec<MemberAction>,
+    ) {
         if digest.vm.vm.as_str() == self.own.name() {
             self.refute(&digest);
             return;
@@ -677,8 +673,8 @@
     ) -> ProbeMessage {
         let from = self.own.digest.clone();
         let to = self.row(to.as_str()).map(|row| row.identity().clone());
-        let updates = self.select_updates(now, to.as_ref());
-        ProbeMessage { number, from, target, news: updates }
+        let news = self.select_updates(now, to.as_ref());
+        ProbeMessage { number, from, target, news }
     }
 
     fn reply(
@@ -689,8 +685,8 @@
         to: Option<&VmIdentity>,
     ) -> ProbeReply {
         let from = self.own.digest.clone();
-        let updates = self.select_updates(now, to);
-        ProbeReply { number, from, reached, news: updates }
+        let news = self.select_updates(now, to);
+        ProbeReply { number, from, reached, news }
     }
 
     /// Selects the digests for a message: what the receiver must refute about itself first, then
