--- a/decision/src/fleet.rs
+++ b/decision/src/fleet.rs
@@ -1,4 +1,5 @@
-//! What becomes of engines and of entry VMs: reports, restarts, crashes, and held grants.
+//! Owner-side tracking of engines and entry VMs: engine reports, restarts and crashes, and grants
+//! of earlier epochs.
 
 use rand::Rng;
 
@@ -15,7 +16,7 @@
 use crate::suspect::SuspectVerdict;
 use crate::topology::GroupTopology;
 
-/// A grant of an earlier epoch that a VM holds.
+/// Grant of an earlier epoch that a VM still holds.
 #[derive(Clone, Debug)]
 pub(crate) struct ForeignGrant {
     grant: GrantId,
@@ -26,20 +27,20 @@
     orphaned: Option<TimePoint>,
 }
 
-/// A VM that must tell what it holds before inherited slots may be evicted.
+/// VM that must report its grants of earlier epochs before inherited slots may be evicted.
 #[derive(Clone, Debug)]
 pub(crate) struct VmNeed {
     vm: VmName,
     answered: bool,
-    gone_since: Option<TimePoint>,
+    absent_since: Option<TimePoint>,
 }
 
-/// The most grants of earlier epochs that are kept.
-const FOREIGN_GRANTS: usize = 65_536;
+/// Maximum number of grants of earlier epochs that are tracked; further ones are dropped.
+const MAX_FOREIGN_GRANTS: usize = 65_536;
 
 impl GroupOwner {
-    /// Takes over a configuration. An engine that it no longer lists is kept, because adapters and
-    /// grants refer to engines by number, but gets nothing new.
+    /// Applies a configuration. An engine that it no longer lists stays in the table, because
+    /// adapters and grants refer to engines by index, but it gets no new requests.
     pub(crate) fn set_topology(&mut self, topology: GroupTopology) {
         for engine in &mut self.engines {
             engine.listed = false;
@@ -62,7 +63,7 @@
         self.engines.iter().position(|engine| engine.info.server == *server)
     }
 
-    /// Begins or ends the drain of an engine; a repeated begin keeps the time of the first.
+    /// Starts or ends the drain of an engine. Starting it again keeps the original start time.
     pub(crate) fn server_draining(&mut self, now: TimePoint, server: &ServerName, draining: bool) {
         let Some(at) = self.engine(server) else { return };
         let engine = &mut self.engines[at];
@@ -83,13 +84,13 @@
         if engine.is_past(now, report.incarnation, lag) {
             return;
         }
-        let same_life = engine.incarnation == Some(report.incarnation);
-        if same_life && report.sequence <= engine.sequence {
+        let same_incarnation = engine.incarnation == Some(report.incarnation);
+        if same_incarnation && report.sequence <= engine.sequence {
             return;
         }
         engine.failed_reports = 0;
         engine.down = false;
-        if !same_life {
+        if !same_incarnation {
             self.restarted(now, at, report.incarnation, actions);
         }
         let settle = self.settings.broken_settle_ms * MICROS_PER_MILLI;
@@ -100,7 +101,7 @@
         for slot in &report.slots {
             self.slot_reported(now, at, slot, actions);
         }
-        self.find_lost(now, at, report, actions);
+        self.drop_missing_slots(now, at, report, actions);
         self.send_fence(now, at, actions);
     }
 
@@ -114,12 +115,12 @@
         let first = self.engines[at].incarnation.is_none();
         if !first {
             let mut ran: Vec<RequestFingerprint> = Vec::new();
-            let here = |choice: &SlotChoice| choice.server as usize == at;
-            ran.extend(self.grants.iter().filter(|g| here(&g.choice)).map(|g| g.fingerprint));
+            let on_engine = |choice: &SlotChoice| choice.server as usize == at;
+            ran.extend(self.grants.iter().filter(|g| on_engine(&g.choice)).map(|g| g.fingerprint));
             ran.extend(self.foreign.iter().filter(|g| g.server == at).map(|g| g.fingerprint));
             let grants = ran.len() as u32;
             self.crash(now, at, &ran, actions);
-            self.grants.retain(|grant| !here(&grant.choice));
+            self.grants.retain(|grant| !on_engine(&grant.choice));
             self.foreign.retain(|grant| grant.server != at);
             let server = self.engines[at].info.server.clone();
             let note = OwnerNote::Restarted { server, incarnation, grants };
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Records a crash of the engine under `ran` and the runs that broke of late. If a known
-    /// suspect was among them, it alone is blamed.
+    /// Records a crash of the engine while the requests `ran` were running; runs that broke
+    /// recently are suspects too. If known suspects are among them, only those are blamed.
     pub(crate) fn crash(
         &mut self,
         _now: TimePoint,
@@ -176,7 +177,7 @@
         });
     }
 
-    /// Counts a report that did not come; after some in a row the engine is down.
+    /// Counts a missing report; after `failed_reports` in a row the engine is marked down.
     pub(crate) fn report_failed(
         &mut self,
         now: TimePoint,
@@ -213,8 +214,8 @@
         }
     }
 
-    /// Takes a slot into the books that this owner did not know to be loaded: one of an earlier
-    /// epoch, or a load of its own that ended late.
+    /// Adds a reported slot that this owner did not know to be loaded: one of an earlier epoch, or
+    /// one of its own loads that finished late. A slot of a later epoch deposes this owner.
     fn adopt(
         &mut self,
         now: TimePoint,
@@ -251,8 +252,8 @@
         self.slot_ready(now, choice);
     }
 
-    /// Finds slots that an earlier report of this life showed and this one does not.
-    fn find_lost(
+    /// Drops slots that an earlier report of this incarnation contained and this one does not.
+    fn drop_missing_slots(
         &mut self,
         now: TimePoint,
         at: usize,
@@ -261,8 +262,8 @@
     ) {
         for slot in 0..self.engines[at].slots.len() {
             let state = &self.engines[at].slots[slot];
-            let shown = report.slots.iter().any(|shown| shown.slot == state.name);
-            if shown || !state.seen {
+            let reported = report.slots.iter().any(|reported| reported.slot == state.name);
+            if reported || !state.seen {
                 continue;
             }
             let choice = SlotChoice { server: at as u16, slot: slot as u16 };
@@ -276,7 +277,8 @@
         }
     }
 
-    /// Takes a slot out that the engine lost without an order of this owner.
+    /// Removes a slot that the engine lost without an order of this owner, and notes the grants
+    /// that used it.
     pub(crate) fn lose_slot(
         &mut self,
         now: TimePoint,
@@ -293,7 +295,8 @@
         self.remove_slot(now, choice);
     }
 
-    /// Takes a slot out of the books.
+    /// Removes a slot and its adapter's copy. Reports that still contain it are ignored for the
+    /// report lag.
     pub(crate) fn remove_slot(&mut self, now: TimePoint, choice: SlotChoice) {
         let until = now.plus(self.settings.report_lag_ms * MICROS_PER_MILLI);
         let engine = &mut self.engines[choice.server as usize];
@@ -302,7 +305,8 @@
         self.adapters.get_mut(adapter).copies.retain(|copy| *copy != choice);
     }
 
-    /// Keeps requests off a slot that a paused owner of an earlier epoch may still evict.
+    /// Keeps requests away from a slot that a paused owner of an earlier epoch may still evict, for
+    /// the zombie window.
     pub(crate) fn old_intent(
         &mut self,
         now: TimePoint,
@@ -314,8 +318,8 @@
         self.engines[at].doom(evict, until);
     }
 
-    /// Takes over which VMs are listed. Each of them may hold grants of earlier epochs, so inherited
-    /// slots are not evicted before it has told them or was gone for the zombie window.
+    /// Applies the list of VMs. Each may hold grants of earlier epochs, so inherited slots are not
+    /// evicted before each VM has reported its grants or has been away for the zombie window.
     pub(crate) fn vm_live(
         &mut self,
         now: TimePoint,
@@ -327,17 +331,17 @@
         vms.dedup();
         self.majority = majority;
         self.vms_known = true;
-        // A VM that has left the list may still run: it is dropped once it was gone long enough.
+        // A VM that has left the list may still run: it is dropped after the zombie window.
         let window = self.settings.zombie_window_ms * MICROS_PER_MILLI;
         for need in &mut self.vms {
             if vms.binary_search(&need.vm).is_err() {
-                need.gone_since.get_or_insert(now);
+                need.absent_since.get_or_insert(now);
             }
         }
-        self.vms.retain(|need| need.gone_since.is_none_or(|since| now.since(since) < window));
+        self.vms.retain(|need| need.absent_since.is_none_or(|since| now.since(since) < window));
         for vm in vms {
             if let Err(at) = self.vms.binary_search_by(|need| need.vm.cmp(&vm)) {
-                self.vms.insert(at, VmNeed { vm, answered: false, gone_since: None });
+                self.vms.insert(at, VmNeed { vm, answered: false, absent_since: None });
             }
         }
         self.ask_held(now, actions);
@@ -348,23 +352,25 @@
             return;
         }
         let window = self.settings.zombie_window_ms * MICROS_PER_MILLI;
-        let open = |need: &&VmNeed| {
-            !need.answered && need.gone_since.is_none_or(|since| now.since(since) < window)
+        let unanswered = |need: &&VmNeed| {
+            !need.answered && need.absent_since.is_none_or(|since| now.since(since) < window)
         };
-        let vms: Vec<VmName> = self.vms.iter().filter(open).map(|need| need.vm.clone()).collect();
+        let vms: Vec<VmName> =
+            self.vms.iter().filter(unanswered).map(|need| need.vm.clone()).collect();
         if vms.is_empty() {
             self.inherited_free = true;
             actions.push(OwnerAction::Note(OwnerNote::InheritedFree));
             return;
         }
-        let pause = self.settings.ask_held_ms * MICROS_PER_MILLI;
-        if self.asked_at == TimePoint::default() || now.since(self.asked_at) >= pause {
+        let interval = self.settings.ask_held_ms * MICROS_PER_MILLI;
+        if self.asked_at == TimePoint::default() || now.since(self.asked_at) >= interval {
             self.asked_at = now;
             actions.push(OwnerAction::AskHeld { vms });
         }
     }
 
-    /// Takes over the grants of earlier epochs that a VM holds; they pin their slots like own ones.
+    /// Adds the grants of earlier epochs that a VM reported; they pin their slots like grants of
+    /// this epoch.
     pub(crate) fn held(
         &mut self,
         now: TimePoint,
@@ -377,14 +383,14 @@
         }
         if let Ok(at) = self.vms.binary_search_by(|need| need.vm.cmp(&vm.vm)) {
             self.vms[at].answered = true;
-            self.vms[at].gone_since = None;
+            self.vms[at].absent_since = None;
         }
         self.ask_held(now, actions);
     }
 
     fn add_foreign(&mut self, holder: &VmIdentity, held: HeldGrant) {
         let known = self.foreign.iter().any(|grant| grant.grant == held.grant);
-        if known || held.grant.epoch >= self.epoch || self.foreign.len() >= FOREIGN_GRANTS {
+        if known || held.grant.epoch >= self.epoch || self.foreign.len() >= MAX_FOREIGN_GRANTS {
             return;
         }
         let Some(server) = self.engine(&held.server) else { return };
@@ -403,7 +409,7 @@
         });
     }
 
-    /// Ends a grant of an earlier epoch.
+    /// Ends a grant of an earlier epoch. Unknown grants are ignored.
     pub(crate) fn release_foreign(&mut self, call: &ReleaseCall) {
         let found = self.foreign.iter().position(|grant| grant.grant == call.grant);
         if let Some(at) = found {
@@ -422,8 +428,8 @@
         }
     }
 
-    /// Notes that a VM is gone. Its grants keep their slots pinned, because the VM may only be
-    /// paused and use them when it wakes; but they no longer take room in the batch.
+    /// Records that a VM is dead. Its grants keep their slots pinned, because the VM may only be
+    /// paused and use them when it resumes, but they no longer count against the batch.
     pub(crate) fn vm_gone(&mut self, now: TimePoint, vm: &VmIdentity) {
         for grant in self.grants.iter_mut().filter(|grant| grant.holder == *vm) {
             if grant.orphaned.is_none() {
@@ -440,24 +446,24 @@
             }
         }
         if let Ok(at) = self.vms.binary_search_by(|need| need.vm.cmp(&vm.vm)) {
-            self.vms[at].gone_since.get_or_insert(now);
+            self.vms[at].absent_since.get_or_insert(now);
         }
     }
 
-    /// Drops grants whose VM has been gone for longer than the zombie window.
+    /// Drops the grants of VMs that have been dead for longer than the zombie window.
     fn drop_orphans(&mut self, now: TimePoint) {
         let window = self.settings.zombie_window_ms * MICROS_PER_MILLI;
-        let over =
+        let expired =
             |orphaned: Option<TimePoint>| orphaned.is_some_and(|since| now.since(since) >= window);
-        while let Some(at) = self.grants.iter().position(|grant| over(grant.orphaned)) {
+        while let Some(at) = self.grants.iter().position(|grant| expired(grant.orphaned)) {
             self.take_grant(at);
         }
-        while let Some(at) = self.foreign.iter().position(|grant| over(grant.orphaned)) {
+        while let Some(at) = self.foreign.iter().position(|grant| expired(grant.orphaned)) {
             self.drop_foreign(at);
         }
     }
 
-    /// Does what falls due with time alone.
+    /// Performs the work that depends on time alone.
     pub(crate) fn tick(
         &mut self,
         now: TimePoint,
--- a/decision/src/limit.rs
+++ b/decision/src/limit.rs
@@ -1,11 +1,13 @@
-//! Limits of customers over the whole fleet.
+//! Customer limits over the whole fleet.
 //!
-//! No VM is asked before a request is let in. Each tells of what it was asked and admitted for each customer, as
-//! totals since its process began, and keeps an estimate of the fleet's one bucket: it fills at the customer's
-//! rate and loses what all VMs admit. While the bucket holds something every VM admits what comes. Once it is
-//! empty each admits its share of the rate, by its part of what the fleet is asked; far below empty none admits
-//! anything. So nothing is refused below a limit, whichever VM it comes to, and what is admitted above one is
-//! bounded by the age of what VMs know of each other. docs/LIMITS.md has the bound.
+//! No VM sends a request to another before it admits a request. Each VM reports, per customer, its
+//! demand and admissions as totals since its process started, and keeps an estimate of a fleet-wide
+//! token bucket that fills at the customer's rate and is drained by the admissions of all VMs.
+//! While the bucket is not empty, every VM admits requests. Once it is empty, each VM admits its
+//! share of the rate, in proportion to its part of the fleet's demand; far below empty none admits
+//! anything. So no request below the limit is refused, whichever VM it arrives at, and the amount
+//! admitted above the limit is bounded by the age of the VMs' knowledge of each other.
+//! docs/LIMITS.md has the bound.
 
 use crate::customer::{CustomerLimit, LimitMeasure};
 use crate::digest::CustomerUsage;
@@ -13,90 +15,100 @@
 use crate::manifest::ServingManifest;
 use crate::member::{MAX_SPREAD_CUSTOMERS, MemberTable};
 use crate::routing::ModelNeed;
-use crate::usage::{CustomerUse, FadingRate, MICROS_PER_SECOND, ToldUses, UseLedger, UseTotal};
+use crate::usage::{
+    CustomerTotal, DecayingRate, MICROS_PER_SECOND, ToldUses, UsageLedger, UsageTotal,
+};
 use crate::value;
 
-/// The part of its share that a VM admits once the bucket is empty. The rest repays what was admitted above the
-/// limit before VMs knew of each other's requests.
-const SHARE_PART: f64 = 0.95;
-/// For how long a VM saves up its share, in seconds.
-const SHARE_SAVED_S: f64 = 0.1;
-/// What a limit allows in a window is admitted evenly over it, but for this part of the allowed excess, or of the
-/// burst, which may come at once: with the whole burst kept for one moment, a customer that always asks
-/// somewhat more than its rate, and less than its limit in each window, would be refused all the time.
-const SAVED_PART: f64 = 0.35;
-/// The part of the burst that is admitted evenly.
-const EVEN_PART: f64 = 0.75;
-/// The part of the allowed excess by which the bucket may be overdrawn before nothing is admitted. Most of the
-/// excess covers what VMs admit before they hear of each other.
-const EXCESS_OWED: f64 = 0.03;
-/// By how many seconds of its rate a bucket is taken to be overdrawn at a VM that starts: counts are lost when all
-/// start anew.
-const START_OWED_S: f64 = 0.4;
-/// A VM spends at most this many times its part of the bucket between two tellings, so that a flood that comes
-/// to all VMs at once cannot empty it many times over.
-const SPEND_TIMES: f64 = 2.0;
-/// The same for a VM that the customer did not use a moment ago, against an equal part.
-const FIRST_SPEND_TIMES: f64 = 2.0;
-/// The part of an equal share that a VM admits which does not know what the others do.
-const UNSURE_PART: f64 = 0.6;
-/// The part of an equal share that a VM admits which the customer did not use before, once the bucket is empty.
-const FIRST_SHARE: f64 = 0.2;
-/// VMs that tell less often than this tell of much at once.
-const SELDOM_US: u64 = 500_000;
-/// For how long it is relied on what others told. After it the customer may be asked for anywhere.
-const HEARD_US: u64 = 3_000_000;
-/// After so long the rates that others are asked have settled at a VM that started.
-const SETTLED_US: u64 = 1_500_000;
-/// Less than this is not asked for at all: the rest of a rate that fades.
-const LEAST_ASKED: f64 = 0.01;
-/// The time between two tellings where VMs tell each other in digests.
-const DIGEST_US: u64 = 1_000_000;
-/// For so many tellings without word of the others their use is taken to be what it was. Cut off while demand
-/// jumps, a VM would else go on spending a bucket that is long empty.
-const TRUSTED_TELLINGS: u64 = 2;
-/// A group of VMs that sees at least this part of all that are known admits the whole rate; the others are
-/// gone, or are so few that the allowed excess covers them until they stop.
-const WHOLE_PART: f64 = 0.4;
-/// A smaller group, or a VM that is alone, admits this much of its equal part.
-const MINORITY_PART: f64 = 0.2;
-/// The longest time until a caller is told to come back, in milliseconds.
-const MOST_RETRY_MS: f64 = 60_000.0;
-
-/// A request over its customer's limit.
+/// Fraction of its share that a VM admits once the bucket is empty. The rest repays what was
+/// admitted above the limit before VMs received each other's reports.
+const SHARE_FRACTION: f64 = 0.95;
+/// Maximum unused share that a VM accumulates, in seconds of its share.
+const MAX_SAVED_SHARE_S: f64 = 0.1;
+/// Fraction of the allowed excess, or of the burst, that may be admitted at once; the rest of what
+/// a limit allows in a window is admitted evenly over it. If the whole burst were reserved for one
+/// moment, a customer that constantly requests somewhat more than its rate, but less than its limit
+/// in each window, would always be refused.
+const BURST_FRACTION: f64 = 0.35;
+/// Fraction of the burst that is admitted evenly over the window.
+const EVEN_FRACTION: f64 = 0.75;
+/// Fraction of the allowed excess by which the bucket may be overdrawn before nothing is admitted.
+/// Most of the excess covers what VMs admit before they receive each other's reports.
+const MAX_OVERDRAFT_FRACTION: f64 = 0.03;
+/// Initial overdraft of a bucket at a VM that starts, in seconds of its rate: counts are lost when
+/// all VMs restart.
+const INITIAL_OVERDRAFT_S: f64 = 0.4;
+/// Multiple of its part of the bucket that a VM may spend between two reports, so that a burst that
+/// arrives at all VMs at once cannot empty the bucket many times over.
+const SPEND_FACTOR: f64 = 2.0;
+/// Multiple of an equal part of the bucket that any VM may spend between two reports, also without
+/// recent demand from the customer.
+const EQUAL_SPEND_FACTOR: f64 = 2.0;
+/// Fraction of an equal share that a VM admits while it does not know the demand at the others.
+const UNCONFIRMED_FRACTION: f64 = 0.6;
+/// Fraction of an equal share that a VM without previous demand from the customer admits once the
+/// bucket is empty.
+const INITIAL_SHARE_FRACTION: f64 = 0.2;
+/// Interval between reports from which on the reported usage is deducted gradually instead of at
+/// once, in microseconds.
+const GRADUAL_DEBIT_US: u64 = 500_000;
+/// Gap between reports, in microseconds, after which the known demand at other VMs is considered
+/// outdated and has to settle again: it may have moved to any VM.
+const MAX_REPORT_GAP_US: u64 = 3_000_000;
+/// Time after the first report for the demand rates of other VMs to settle at a VM that started, in
+/// microseconds.
+const SETTLE_TIME_US: u64 = 1_500_000;
+/// Demand per second below which a customer counts as idle, since a decaying rate never reaches
+/// zero.
+const MIN_DEMAND_PER_S: f64 = 0.01;
+/// Interval between reports where VMs report in digests, in microseconds.
+const DIGEST_INTERVAL_US: u64 = 1_000_000;
+/// Validity of the last report, in report intervals. A VM that is cut off while demand jumps would
+/// otherwise continue to spend a bucket that is already empty.
+const REPORT_TTL_INTERVALS: u64 = 2;
+/// Fraction of the known VMs from which on a group of mutually reachable VMs admits the whole rate.
+/// The others are dead, or so few that the allowed excess covers them until they stop admitting.
+const FULL_RATE_FRACTION: f64 = 0.4;
+/// Fraction of its equal part that a smaller group, or a single VM, admits.
+const MINORITY_FRACTION: f64 = 0.2;
+/// Maximum retry delay that a caller is given, in milliseconds.
+const MAX_RETRY_MS: f64 = 60_000.0;
+
+/// Refusal of a request that exceeds its customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitRefusal {
-    /// When the customer may send again, in milliseconds.
+    /// Milliseconds until the customer may retry.
     pub retry_after_ms: u64,
-    /// What its bucket held, over all VMs, as far as this one knows.
+    /// Level of the customer's fleet-wide bucket as estimated by this VM, in the limit's unit;
+    /// negative if overdrawn.
     pub level: f64,
-    /// What is asked for it in a second, over all VMs.
+    /// Fleet-wide demand of the customer per second, refused requests included.
     pub asked_per_s: f64,
-    /// This VM's part of that.
+    /// Fraction of the rate that this VM takes as its share.
     pub own_part: f64,
-    /// The part of the rate that this VM and those in touch with it admit.
+    /// Fraction of the rate that this VM and those reachable from it admit.
     pub fleet_part: f64,
 }
 
 value! {
-    /// By how much the operators let limits be exceeded, in any window, over all VMs.
+    /// Amount by which operators allow limits to be exceeded in any window, over all VMs.
     #[derive(Copy)]
     pub struct LimitExcess {
-        /// The window in seconds.
+        /// Window in seconds.
         pub window_s: f64,
-        /// The part of what a limit allows in a window.
+        /// Allowed excess, as a fraction of what the limit allows in a window.
         pub part: f64,
-        /// What is allowed on top, in the limit's unit.
+        /// Additional allowed excess, in the limit's unit.
         pub slack: f64,
     }
 
-    /// Where a customer stands over all VMs.
+    /// Fleet-wide bucket state of a customer.
     pub struct FleetStanding {
         /// The customer.
         pub customer: CustomerName,
-        /// What its bucket holds; below nothing where more was admitted.
+        /// Level of the bucket, in the limit's unit; negative if overdrawn.
         pub level: f64,
-        /// What is asked for it in a second.
+        /// Demand per second, refused requests included.
         pub asked_per_s: f64,
     }
 }
@@ -108,25 +120,27 @@
 }
 
 impl LimitExcess {
-    /// How much more than its limit a customer may be admitted in a window.
+    /// Returns how much more than its limit a customer may be admitted in a window, in the limit's
+    /// unit.
     fn of(&self, limit: &CustomerLimit) -> f64 {
         self.part * (limit.per_second * self.window_s + limit.burst) + self.slack
     }
 }
 
-/// What a VM knows of the others' uses.
+/// What this VM knows about usage at the others, as used to admit one request.
 #[derive(Clone, Copy, Debug)]
 struct FleetView {
-    /// The part of the rates that this VM and those in touch with it admit.
-    part: f64,
-    /// All VMs that are known.
+    /// Fraction of the rates that this VM and those reachable from it admit.
+    fraction: f64,
+    /// Number of known VMs, this one included.
     known: usize,
-    /// The time between two tellings.
-    telling_us: u64,
-    /// Whether the estimate of the fleet's bucket counts what others admit.
-    level: bool,
-    /// Whether what others are asked is known for long enough to be compared with what this VM is.
-    parts: bool,
+    /// Interval between two reports, in microseconds.
+    report_interval_us: u64,
+    /// Whether the bucket estimate includes recent admissions of the other VMs.
+    level_valid: bool,
+    /// Whether the demand at other VMs has been known for long enough to be compared with the own
+    /// demand.
+    demand_valid: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -135,76 +149,78 @@
     limit: CustomerLimit,
     excess: f64,
     window_s: f64,
-    /// The estimate of the fleet's bucket.
+    /// Estimated level of the fleet-wide bucket.
     level: f64,
-    /// What others used that is still to be taken out of it, and how fast.
-    owed: f64,
-    owed_per_s: f64,
-    /// What this VM may admit of its share once that is empty.
+    /// Usage of other VMs not yet deducted from the level, and the rate per second at which it is
+    /// deducted.
+    pending_debit: f64,
+    pending_debit_per_s: f64,
+    /// What this VM may admit from its share once the bucket is empty.
     share: f64,
-    filled: TimePoint,
-    own: UseTotal,
-    /// The part of `own` that the others were told of.
-    told: UseTotal,
-    /// What it was when this VM began to add up the uses of others.
-    before_sums: UseTotal,
-    own_asked: FadingRate,
-    fleet_asked: FadingRate,
-    /// What this VM was asked in a second one telling ago, which what it knows of the fleet contains, and its
-    /// part of the fleet by that. With what it is asked now, all VMs would take a larger part whenever demand
-    /// jumps.
-    asked_before: f64,
-    own_part: f64,
-    /// Admitted since the begin of this span between two tellings, and how much may be in it.
+    advanced_at: TimePoint,
+    own: UsageTotal,
+    /// The portion of `own` that was reported to the other VMs.
+    reported: UsageTotal,
+    /// Value of `own` when this VM began to aggregate the usage of others.
+    sums_base: UsageTotal,
+    own_demand: DecayingRate,
+    fleet_demand: DecayingRate,
+    /// Demand per second at this VM at the start of the previous report interval, which the known
+    /// fleet demand includes, and this VM's fraction of the fleet's demand based on it. With the
+    /// current demand instead, all VMs would take a larger fraction whenever demand jumps.
+    previous_demand: f64,
+    own_fraction: f64,
+    /// Amount admitted since `interval_start`, and the maximum until the interval ends.
     spent: f64,
-    spendable: f64,
-    span: Option<TimePoint>,
+    spend_limit: f64,
+    interval_start: Option<TimePoint>,
 }
 
-/// Admits requests of limited customers at this VM.
+/// Admission control for customers with a limit at this VM.
 #[derive(Clone, Debug)]
 pub struct CustomerLimiter {
     /// Sorted by customer.
     buckets: Vec<CustomerBucket>,
     excess: LimitExcess,
-    telling_us: u64,
-    /// The part of the rates that this VM and those in touch with it admit.
-    part: f64,
-    /// All VMs that are known.
+    report_interval_us: u64,
+    /// Fraction of the rates that this VM and those reachable from it admit.
+    fraction: f64,
+    /// Number of known VMs, this one included.
     known: usize,
-    /// When others last told of their use. Until then a VM that started knows of an untouched bucket, as do all
-    /// others when all start at once.
-    heard: Option<TimePoint>,
-    /// Since when they have told of it without a long pause.
-    heard_since: TimePoint,
-    /// Since when this VM counts, and since when it adds up the uses of others.
+    /// When another VM's usage was last received. `None` at a VM that started: its buckets are
+    /// estimated without the others' usage.
+    last_report_at: Option<TimePoint>,
+    /// Since when reports have been received without a gap of [`MAX_REPORT_GAP_US`].
+    reports_since: TimePoint,
+    /// When this VM began to count, and when it began to aggregate the usage of others.
     started: Option<TimePoint>,
     sums_since: TimePoint,
-    /// What VMs say of their own use.
-    members: UseLedger,
-    /// What those that add up say of the use of other domains.
-    domains: UseLedger,
+    /// Usage that VMs report of themselves.
+    members: UsageLedger,
+    /// Usage that aggregators report of other domains.
+    domains: UsageLedger,
 }
 
 impl Default for CustomerLimiter {
     fn default() -> Self {
-        Self::new(LimitExcess::default(), DIGEST_US)
+        Self::new(LimitExcess::default(), DIGEST_INTERVAL_US)
     }
 }
 
 impl CustomerLimiter {
-    /// Without customers yet, in a fleet whose VMs tell of their uses each `telling_us` microseconds.
+    /// Creates a limiter without customers, for a fleet whose VMs report usage every
+    /// `report_interval_us` microseconds.
     #[must_use]
-    pub fn new(excess: LimitExcess, telling_us: u64) -> Self {
-        let (members, domains) = (UseLedger::default(), UseLedger::default());
+    pub fn new(excess: LimitExcess, report_interval_us: u64) -> Self {
+        let (members, domains) = (UsageLedger::default(), UsageLedger::default());
         Self {
             buckets: Vec::new(),
             excess,
-            telling_us,
-            part: 1.0,
+            report_interval_us,
+            fraction: 1.0,
             known: 1,
-            heard: None,
-            heard_since: TimePoint(0),
+            last_report_at: None,
+            reports_since: TimePoint(0),
             started: None,
             sums_since: TimePoint(0),
             members,
@@ -212,7 +228,7 @@
         }
     }
 
-    /// Takes new bounds.
+    /// Replaces the allowed excess of all customers.
     pub fn set_excess(&mut self, excess: LimitExcess) {
         self.excess = excess;
         for bucket in &mut self.buckets {
@@ -221,8 +237,8 @@
         }
     }
 
-    /// Takes the limits of the configuration in force, in any order. A customer whose limit did not change keeps
-    /// what it has used; a new one begins with an overdrawn bucket.
+    /// Applies the limits of the configuration in force, in any order. Known customers keep their
+    /// buckets; a new one starts with an overdrawn bucket.
     pub fn configure(&mut self, now: TimePoint, limits: Vec<(CustomerName, CustomerLimit)>) {
         self.started.get_or_insert(now);
         let old = std::mem::take(&mut self.buckets);
@@ -231,137 +247,150 @@
             let mut bucket = match kept {
                 Ok(at) => old[at].clone(),
                 Err(_) => {
-                    let owed = START_OWED_S * limit.per_second;
-                    CustomerBucket::new(now, customer, limit, -owed)
+                    let overdraft = INITIAL_OVERDRAFT_S * limit.per_second;
+                    CustomerBucket::new(now, customer, limit, -overdraft)
                 }
             };
-            bucket.advance(now, self.part);
+            bucket.advance(now, self.fraction);
             bucket.limit = limit;
             bucket.excess = self.excess.of(&limit);
             bucket.window_s = self.excess.window_s;
-            bucket.level = bucket.level.min(bucket.most(self.part));
+            bucket.level = bucket.level.min(bucket.capacity(self.fraction));
             self.buckets.push(bucket);
         }
         self.buckets.sort_by(|a, b| a.customer.cmp(&b.customer));
     }
 
-    /// What a request of `customer` counts as; none for one without limit.
+    /// Returns the cost of a request of `customer` in the limit's unit; `None` for a customer
+    /// without limit.
     #[must_use]
     pub fn cost(&self, customer: &str, need: Option<&ModelNeed>) -> Option<f64> {
-        let at = self.place(customer)?;
+        let at = self.index_of(customer)?;
         Some(self.buckets[at].limit.measure.cost(need))
     }
 
-    /// Admits a request of `customer`, or says when to come back.
+    /// Admits a request of `customer`. A customer without limit is always admitted.
     ///
     /// # Errors
     ///
-    /// The customer is over its limit. The request is not to be tried elsewhere: the limit holds for the
-    /// fleet.
+    /// Returns a refusal with a retry delay if the customer is over its limit. The request must not
+    /// be retried at another VM, since the limit holds for the fleet.
     pub fn admit(&mut self, now: TimePoint, customer: &str, cost: f64) -> Result<(), LimitRefusal> {
-        let Some(at) = self.place(customer) else { return Ok(()) };
-        let within = |us: u64| self.heard.is_some_and(|heard| now.since(heard) < us);
+        let Some(at) = self.index_of(customer) else { return Ok(()) };
+        let received_within = |us: u64| self.last_report_at.is_some_and(|at| now.since(at) < us);
         let view = FleetView {
-            part: self.part,
+            fraction: self.fraction,
             known: self.known,
-            telling_us: self.telling_us,
-            level: within(TRUSTED_TELLINGS * self.telling_us) || self.known == 1,
-            parts: within(TRUSTED_TELLINGS * self.telling_us)
-                && now.since(self.heard_since) > SETTLED_US,
+            report_interval_us: self.report_interval_us,
+            level_valid: received_within(REPORT_TTL_INTERVALS * self.report_interval_us)
+                || self.known == 1,
+            demand_valid: received_within(REPORT_TTL_INTERVALS * self.report_interval_us)
+                && now.since(self.reports_since) > SETTLE_TIME_US,
         };
         self.buckets[at].admit(now, cost, view)
     }
 
-    /// Counts a further run of a request that was admitted before.
+    /// Charges a further run of a request that was already admitted, even if the customer is over
+    /// its limit.
     pub fn charge(&mut self, now: TimePoint, customer: &str, cost: f64) {
-        let Some(at) = self.place(customer) else { return };
-        let part = self.part;
+        let Some(at) = self.index_of(customer) else { return };
+        let fraction = self.fraction;
         let bucket = &mut self.buckets[at];
-        bucket.advance(now, part);
+        bucket.advance(now, fraction);
         bucket.spend(cost);
     }
 
-    /// Gives back what was taken for a request that certainly did not run.
+    /// Refunds a request that certainly did not run.
     pub fn give_back(&mut self, now: TimePoint, customer: &str, cost: f64) {
         self.charge(now, customer, -cost);
     }
 
-    /// Takes how many VMs this one is in touch with, itself among them, and how many are known.
+    /// Sets the number of reachable VMs and of known VMs, both including this one. If too few of
+    /// the known VMs are reachable, the rates are reduced.
     pub fn in_touch(&mut self, now: TimePoint, seen: usize, known: usize) {
-        let part = seen as f64 / known.max(seen).max(1) as f64;
-        let part = if part >= WHOLE_PART { 1.0 } else { part * MINORITY_PART };
-        let before = std::mem::replace(&mut self.part, part);
+        let fraction = seen as f64 / known.max(seen).max(1) as f64;
+        let fraction =
+            if fraction >= FULL_RATE_FRACTION { 1.0 } else { fraction * MINORITY_FRACTION };
+        let before = std::mem::replace(&mut self.fraction, fraction);
         self.known = known.max(1);
-        if before != part {
+        if before != fraction {
             for bucket in &mut self.buckets {
                 bucket.advance(now, before);
-                bucket.level = bucket.level.min(bucket.most(part));
+                bucket.level = bucket.level.min(bucket.capacity(fraction));
             }
         }
     }
 
-    /// Takes what another VM says of its use.
-    pub fn member_use(&mut self, now: TimePoint, vm: &VmName, told: &ToldUses) {
-        let (grown, over_us) = self.members.take(now, vm, told, self.age_ms(now));
-        self.others_use(now, grown, over_us);
+    /// Applies the usage report of another VM.
+    pub fn member_use(&mut self, now: TimePoint, vm: &VmName, report: &ToldUses) {
+        let (increments, interval_us) = self.members.take(now, vm, report, self.age_ms(now));
+        self.apply_increments(now, increments, interval_us);
     }
 
-    /// Takes what one that adds up says of the use of the VMs of another domain.
-    pub fn domain_use(&mut self, now: TimePoint, vm: &VmName, told: &ToldUses) {
-        let (grown, over_us) = self.domains.take(now, vm, told, self.age_ms(now));
-        self.others_use(now, grown, over_us);
+    /// Applies the usage report of the aggregator of another domain.
+    pub fn domain_use(&mut self, now: TimePoint, vm: &VmName, report: &ToldUses) {
+        let (increments, interval_us) = self.domains.take(now, vm, report, self.age_ms(now));
+        self.apply_increments(now, increments, interval_us);
     }
 
-    /// Takes what others used in the `over_us` before. Of VMs that tell seldom it is spread over as long: taken at
-    /// once, a second's use would leave nothing in a bucket that holds less.
-    fn others_use(&mut self, now: TimePoint, grown: Vec<CustomerUse>, over_us: u64) {
-        let part = self.part;
-        self.hear(now);
-        for used in grown {
+    /// Applies usage increments of the last `interval_us`. Increments over a long interval are
+    /// deducted over an equally long time: a second of usage deducted at once would empty a bucket
+    /// that holds less.
+    fn apply_increments(
+        &mut self,
+        now: TimePoint,
+        increments: Vec<CustomerTotal>,
+        interval_us: u64,
+    ) {
+        let fraction = self.fraction;
+        self.note_report(now);
+        for used in increments {
             let found = self.buckets.binary_search_by(|bucket| bucket.customer.cmp(&used.customer));
             let Ok(at) = found else { continue };
             let bucket = &mut self.buckets[at];
-            bucket.advance(now, part);
-            bucket.fleet_asked.add(now, used.total.asked);
-            if over_us < SELDOM_US {
+            bucket.advance(now, fraction);
+            bucket.fleet_demand.add(now, used.total.asked);
+            if interval_us < GRADUAL_DEBIT_US {
                 bucket.level -= used.total.admitted;
             } else {
-                bucket.owed += used.total.admitted;
-                bucket.owed_per_s = bucket.owed * MICROS_PER_SECOND / over_us as f64;
+                bucket.pending_debit += used.total.admitted;
+                bucket.pending_debit_per_s =
+                    bucket.pending_debit * MICROS_PER_SECOND / interval_us as f64;
             }
         }
     }
 
-    fn hear(&mut self, now: TimePoint) {
-        if self.heard.is_none_or(|heard| now.since(heard) >= HEARD_US) {
-            self.heard_since = now;
+    fn note_report(&mut self, now: TimePoint) {
+        if self.last_report_at.is_none_or(|at| now.since(at) >= MAX_REPORT_GAP_US) {
+            self.reports_since = now;
         }
-        self.heard = Some(now);
+        self.last_report_at = Some(now);
     }
 
-    /// Takes where customers stand over all VMs, from one that adds up their uses and knows this VM's as it last
-    /// told them. Those that are not named were not asked for.
+    /// Applies the bucket states from the aggregator, which include this VM's usage up to its last
+    /// report. Customers without a state have no demand in the fleet.
     pub fn stand(&mut self, now: TimePoint, standings: &[FleetStanding]) {
-        let part = self.part;
-        self.hear(now);
+        let fraction = self.fraction;
+        self.note_report(now);
         for bucket in &mut self.buckets {
-            bucket.advance(now, part);
+            bucket.advance(now, fraction);
             let named = standings.iter().find(|standing| standing.customer == bucket.customer);
             let Some(standing) = named else { continue };
-            let untold = bucket.own.admitted - bucket.told.admitted;
-            bucket.level = standing.level.min(bucket.most(part)) - untold;
-            bucket.fleet_asked.set(now, standing.asked_per_s);
+            let unreported = bucket.own.admitted - bucket.reported.admitted;
+            bucket.level = standing.level.min(bucket.capacity(fraction)) - unreported;
+            bucket.fleet_demand.set(now, standing.asked_per_s);
         }
     }
 
-    /// Where customers stand that are asked for, for the VMs that this one adds up for.
+    /// Returns the bucket states for the VMs that this one aggregates for, leaving out customers
+    /// without demand whose bucket is full.
     pub fn standings(&mut self, now: TimePoint) -> Vec<FleetStanding> {
-        let part = self.part;
+        let fraction = self.fraction;
         let mut standings = Vec::new();
         for bucket in &mut self.buckets {
-            bucket.advance(now, part);
-            let asked_per_s = bucket.fleet_asked.get(now);
-            if asked_per_s < LEAST_ASKED && bucket.level >= bucket.most(part) {
+            bucket.advance(now, fraction);
+            let asked_per_s = bucket.fleet_demand.get(now);
+            if asked_per_s < MIN_DEMAND_PER_S && bucket.level >= bucket.capacity(fraction) {
                 continue;
             }
             let (customer, level) = (bucket.customer.clone(), bucket.level);
@@ -370,28 +399,29 @@
         standings
     }
 
-    /// This VM's uses, to tell them to others. `life` tells its process from earlier ones.
+    /// Returns this VM's usage report and marks the usage as reported. `life` identifies this
+    /// incarnation of the process.
     pub fn tell(&mut self, now: TimePoint, life: u64) -> ToldUses {
         for bucket in &mut self.buckets {
-            bucket.told = bucket.own;
+            bucket.reported = bucket.own;
         }
-        ToldUses { life, age_ms: self.age_ms(now), uses: self.uses(|bucket| bucket.own) }
+        ToldUses { life, age_ms: self.age_ms(now), uses: self.totals(|bucket| bucket.own) }
     }
 
-    /// This VM begins to add up what it and others use.
+    /// Starts to aggregate the usage of this VM and of those that report to it, from zero.
     pub fn begin_sums(&mut self, now: TimePoint) {
         self.sums_since = now;
         self.members.clear_sums();
         for bucket in &mut self.buckets {
-            bucket.before_sums = bucket.own;
+            bucket.sums_base = bucket.own;
         }
     }
 
-    /// What this VM and those that told it of theirs used, since this VM began to add up.
+    /// Returns the usage of this VM and of those that report to it, since [`Self::begin_sums`].
     #[must_use]
     pub fn sums(&self, now: TimePoint) -> ToldUses {
-        let uses = self.uses(|bucket| {
-            let mut sum = bucket.own.since(bucket.before_sums);
+        let uses = self.totals(|bucket| {
+            let mut sum = bucket.own.since(bucket.sums_base);
             sum.add(self.members.sum(&bucket.customer));
             sum
         });
@@ -403,22 +433,22 @@
         self.started.map_or(0, |started| now.since(started) / MICROS_PER_MILLI)
     }
 
-    fn uses(&self, total: impl Fn(&CustomerBucket) -> UseTotal) -> Vec<CustomerUse> {
-        let used = self
-            .buckets
-            .iter()
-            .map(|bucket| CustomerUse { customer: bucket.customer.clone(), total: total(bucket) });
+    fn totals(&self, total: impl Fn(&CustomerBucket) -> UsageTotal) -> Vec<CustomerTotal> {
+        let used = self.buckets.iter().map(|bucket| CustomerTotal {
+            customer: bucket.customer.clone(),
+            total: total(bucket),
+        });
         used.filter(|used| used.total.asked > 0.0).collect()
     }
 
-    fn place(&self, customer: &str) -> Option<usize> {
+    fn index_of(&self, customer: &str) -> Option<usize> {
         self.buckets.binary_search_by(|bucket| bucket.customer.as_str().cmp(customer)).ok()
     }
 }
 
-/// The product's own interface, whose VMs tell each other of their uses in their digests.
+/// Methods for VMs that exchange usage in membership digests.
 impl CustomerLimiter {
-    /// Takes the limits of a manifest.
+    /// Applies the limits of a manifest.
     pub fn configure_manifest(&mut self, now: TimePoint, manifest: &ServingManifest) {
         let limited = manifest.tenants.iter().filter_map(|entry| {
             let limit = CustomerLimit {
@@ -431,7 +461,8 @@
         self.configure(now, limited.collect());
     }
 
-    /// This VM's own use, for its digest: of the customers with the most, sorted by customer.
+    /// Returns this VM's usage for its digest: of the [`MAX_SPREAD_CUSTOMERS`] customers with the
+    /// most demand, sorted by customer.
     pub fn usage(&mut self, now: TimePoint) -> Vec<CustomerUsage> {
         let mut used = self.tell(now, 0).uses;
         used.sort_by(|a, b| b.total.asked.total_cmp(&a.total.asked));
@@ -447,75 +478,76 @@
     }
 
     fn asked_per_ks(&mut self, now: TimePoint, customer: &CustomerName) -> u64 {
-        let Some(at) = self.place(customer.as_str()) else { return 0 };
-        (self.buckets[at].own_asked.get(now) * 1_000.0) as u64
+        let Some(at) = self.index_of(customer.as_str()) else { return 0 };
+        (self.buckets[at].own_demand.get(now) * 1_000.0) as u64
     }
 
-    /// Takes what the others spread of their use.
+    /// Applies the usage in the digests of the live VMs, and the number of VMs.
     pub fn hear_members(&mut self, now: TimePoint, members: &MemberTable) {
         let rows: Vec<_> =
             members.live().filter(|row| row.name() != members.own().name()).collect();
         self.in_touch(now, rows.len() + 1, members.others().len() + 1);
         for row in rows {
-            let uses = row.facts().usage.iter().map(|usage| CustomerUse {
+            let uses = row.facts().usage.iter().map(|usage| CustomerTotal {
                 customer: usage.tenant.clone(),
-                total: UseTotal { asked: usage.asked as f64, admitted: usage.admitted as f64 },
+                total: UsageTotal { asked: usage.asked as f64, admitted: usage.admitted as f64 },
             });
-            let uses: Vec<CustomerUse> = uses.collect();
+            let uses: Vec<CustomerTotal> = uses.collect();
             let VmIncarnation(life) = row.identity().incarnation;
-            let told = ToldUses { life, age_ms: u64::MAX, uses };
-            self.member_use(now, &VmName::from(row.name()), &told);
+            let report = ToldUses { life, age_ms: u64::MAX, uses };
+            self.member_use(now, &VmName::from(row.name()), &report);
         }
     }
 }
 
 impl CustomerBucket {
     fn new(now: TimePoint, customer: CustomerName, limit: CustomerLimit, level: f64) -> Self {
-        let rate = FadingRate::new(now);
+        let rate = DecayingRate::new(now);
         Self {
             customer,
             limit,
             excess: 0.0,
             window_s: f64::INFINITY,
             level,
-            owed: 0.0,
-            owed_per_s: 0.0,
+            pending_debit: 0.0,
+            pending_debit_per_s: 0.0,
             share: 0.0,
-            filled: now,
-            own: UseTotal::default(),
-            told: UseTotal::default(),
-            before_sums: UseTotal::default(),
-            own_asked: rate,
-            fleet_asked: rate,
-            asked_before: 0.0,
-            own_part: 0.0,
+            advanced_at: now,
+            own: UsageTotal::default(),
+            reported: UsageTotal::default(),
+            sums_base: UsageTotal::default(),
+            own_demand: rate,
+            fleet_demand: rate,
+            previous_demand: 0.0,
+            own_fraction: 0.0,
             spent: 0.0,
-            spendable: 0.0,
-            span: None,
+            spend_limit: 0.0,
+            interval_start: None,
         }
     }
 
-    /// What the bucket holds at most.
-    fn most(&self, part: f64) -> f64 {
-        part * (SAVED_PART * self.excess).max(SAVED_PART * self.limit.burst)
+    /// Returns the maximum level of the bucket.
+    fn capacity(&self, fraction: f64) -> f64 {
+        fraction * (BURST_FRACTION * self.excess).max(BURST_FRACTION * self.limit.burst)
     }
 
-    /// What flows into it in a second.
-    fn rate(&self, part: f64) -> f64 {
-        let saved = self.most(1.0) - SAVED_PART * self.excess;
-        let even = EVEN_PART * self.limit.burst - saved;
-        part * (self.limit.per_second + even.max(0.0) / self.window_s)
+    /// Returns the fill rate per second: the limit's rate plus the part of the burst that is
+    /// admitted evenly.
+    fn rate(&self, fraction: f64) -> f64 {
+        let saved = self.capacity(1.0) - BURST_FRACTION * self.excess;
+        let even = EVEN_FRACTION * self.limit.burst - saved;
+        fraction * (self.limit.per_second + even.max(0.0) / self.window_s)
     }
 
-    fn advance(&mut self, now: TimePoint, part: f64) {
-        let age_s = now.since(self.filled) as f64 / MICROS_PER_SECOND;
-        self.filled = now;
-        let rate = self.rate(part);
-        let taken = (self.owed_per_s * age_s).min(self.owed);
-        self.owed -= taken;
-        self.level = (self.level + rate * age_s - taken).min(self.most(part));
-        let share_rate = rate * SHARE_PART * self.own_part;
-        self.share = (self.share + share_rate * age_s).min(share_rate * SHARE_SAVED_S);
+    fn advance(&mut self, now: TimePoint, fraction: f64) {
+        let age_s = now.since(self.advanced_at) as f64 / MICROS_PER_SECOND;
+        self.advanced_at = now;
+        let rate = self.rate(fraction);
+        let debited = (self.pending_debit_per_s * age_s).min(self.pending_debit);
+        self.pending_debit -= debited;
+        self.level = (self.level + rate * age_s - debited).min(self.capacity(fraction));
+        let share_rate = rate * SHARE_FRACTION * self.own_fraction;
+        self.share = (self.share + share_rate * age_s).min(share_rate * MAX_SAVED_SHARE_S);
     }
 
     fn spend(&mut self, cost: f64) {
@@ -525,62 +557,67 @@
     }
 
     fn admit(&mut self, now: TimePoint, cost: f64, view: FleetView) -> Result<(), LimitRefusal> {
-        let part = view.part;
-        self.own_asked.add(now, cost);
-        self.fleet_asked.add(now, cost);
+        let fraction = view.fraction;
+        self.own_demand.add(now, cost);
+        self.fleet_demand.add(now, cost);
         self.own.asked += cost;
-        self.advance(now, part);
-        self.turn_span(now, view);
-        if view.level && self.level > 0.0 && self.spent <= self.spendable {
+        self.advance(now, fraction);
+        self.start_interval(now, view);
+        if view.level_valid && self.level > 0.0 && self.spent <= self.spend_limit {
             self.spend(cost);
             return Ok(());
         }
-        let owed = -self.level - EXCESS_OWED * self.excess * part;
-        if owed < 0.0 && self.share > 0.0 {
+        let overdraft = -self.level - MAX_OVERDRAFT_FRACTION * self.excess * fraction;
+        if overdraft < 0.0 && self.share > 0.0 {
             self.share -= cost;
             self.spend(cost);
             return Ok(());
         }
-        let wait_s = self.until_share(cost, owed, part).min(self.until_level(now, part));
-        let retry_after_ms = (wait_s * 1_000.0).clamp(1.0, MOST_RETRY_MS) as u64;
+        let wait_s =
+            self.until_share(cost, overdraft, fraction).min(self.until_level(now, fraction));
+        let retry_after_ms = (wait_s * 1_000.0).clamp(1.0, MAX_RETRY_MS) as u64;
         Err(LimitRefusal {
             retry_after_ms,
             level: self.level,
-            asked_per_s: self.fleet_asked.get(now),
-            own_part: self.own_part,
-            fleet_part: part,
+            asked_per_s: self.fleet_demand.get(now),
+            own_part: self.own_fraction,
+            fleet_part: fraction,
         })
     }
 
-    /// How long until this VM's share bears a request, in seconds.
-    fn until_share(&self, cost: f64, owed: f64, part: f64) -> f64 {
-        let rate = self.rate(part).max(f64::MIN_POSITIVE);
-        let share_rate = rate * SHARE_PART * self.own_part;
-        (owed / rate).max((cost - self.share) / share_rate.max(f64::MIN_POSITIVE))
+    /// Returns the seconds until this VM's share covers a request.
+    fn until_share(&self, cost: f64, overdraft: f64, fraction: f64) -> f64 {
+        let rate = self.rate(fraction).max(f64::MIN_POSITIVE);
+        let share_rate = rate * SHARE_FRACTION * self.own_fraction;
+        (overdraft / rate).max((cost - self.share) / share_rate.max(f64::MIN_POSITIVE))
     }
 
-    /// How long until the bucket holds something, if less is asked than flows in. A VM that started has a small
-    /// share, and by that alone its callers would be told to stay away for long after the bucket has recovered.
-    fn until_level(&mut self, now: TimePoint, part: f64) -> f64 {
-        let spare = self.rate(part) - self.fleet_asked.get(now);
+    /// Returns the seconds until the bucket is above zero if the demand stays below the fill rate,
+    /// infinity otherwise. A VM that started has a small share; without this estimate its callers
+    /// would be given delays far beyond the recovery of the bucket.
+    fn until_level(&mut self, now: TimePoint, fraction: f64) -> f64 {
+        let spare = self.rate(fraction) - self.fleet_demand.get(now);
         if spare > 0.0 { (-self.level).max(0.0) / spare } else { f64::INFINITY }
     }
 
-    fn turn_span(&mut self, now: TimePoint, view: FleetView) {
-        if self.span.is_some_and(|span| now.since(span) < view.telling_us) {
+    fn start_interval(&mut self, now: TimePoint, view: FleetView) {
+        if self
+            .interval_start
+            .is_some_and(|interval_start| now.since(interval_start) < view.report_interval_us)
+        {
             return;
         }
-        self.span = Some(now);
+        self.interval_start = Some(now);
         self.spent = 0.0;
         let equal = 1.0 / view.known as f64;
-        let before = std::mem::replace(&mut self.asked_before, self.own_asked.get(now));
-        let fleet = self.fleet_asked.get(now).max(before);
-        self.own_part = match view.parts {
-            false => UNSURE_PART * equal,
-            true if before > 0.0 => before / fleet,
-            true => FIRST_SHARE * equal,
+        let previous = std::mem::replace(&mut self.previous_demand, self.own_demand.get(now));
+        let fleet = self.fleet_demand.get(now).max(previous);
+        self.own_fraction = match view.demand_valid {
+            false => UNCONFIRMED_FRACTION * equal,
+            true if previous > 0.0 => previous / fleet,
+            true => INITIAL_SHARE_FRACTION * equal,
         };
-        let part = (SPEND_TIMES * self.own_part).max(FIRST_SPEND_TIMES * equal).min(1.0);
-        self.spendable = self.level.max(0.0) * part;
+        let fraction = (SPEND_FACTOR * self.own_fraction).max(EQUAL_SPEND_FACTOR * equal).min(1.0);
+        self.spend_limit = self.level.max(0.0) * fraction;
     }
 }
--- a/decision/src/usage.rs
+++ b/decision/src/usage.rs
@@ -1,50 +1,54 @@
-//! What customers used at this VM and others.
+//! Usage of customer limits at this VM and the others.
 //!
-//! Uses are told as totals since some beginning, so that one that is lost or comes twice does no harm.
+//! Usage is reported as totals since a start point, so that a lost or duplicated report has no
+//! effect.
 
 use crate::id::{CustomerName, TimePoint, VmName};
 use crate::value;
 
-/// Microseconds in a second.
+/// Microseconds per second.
 pub(crate) const MICROS_PER_SECOND: f64 = 1_000_000.0;
-/// The time over which rates are estimated: long enough to see a few requests of a small customer at a VM.
-const RATE_TIME_S: f64 = 1.0;
-/// How long totals of a silent VM are kept: one that was cut off goes on from them.
-const LEDGER_US: u64 = 60_000_000;
-/// VMs that start together begin to count within this time of each other.
-const SAME_AGE_MS: u64 = 1_000;
+/// Time constant of the rate estimate; long enough to see a few requests of a small customer at one
+/// VM.
+const RATE_TIME_CONSTANT_S: f64 = 1.0;
+/// Time for which the totals of an unreachable VM are kept, in microseconds. A VM that becomes
+/// reachable again continues from them.
+const LEDGER_RETENTION_US: u64 = 60_000_000;
+/// Maximum difference between the start points of VMs that start together.
+const START_TOLERANCE_MS: u64 = 1_000;
 
 value! {
-    /// What was asked and admitted since some beginning, in the limit's unit.
+    /// Total demand and admissions since a start point, in the unit of the limit.
     #[derive(Copy, Default)]
-    pub struct UseTotal {
-        /// Asked, refused requests among it.
+    pub struct UsageTotal {
+        /// Demand, refused requests included.
         pub asked: f64,
         /// Admitted and not given back.
         pub admitted: f64,
     }
 
-    /// The same for a customer.
-    pub struct CustomerUse {
+    /// Total of one customer.
+    pub struct CustomerTotal {
         /// The customer.
         pub customer: CustomerName,
-        /// The total.
-        pub total: UseTotal,
+        /// Its total.
+        pub total: UsageTotal,
     }
 
-    /// Uses as they are told: totals since some beginning.
+    /// Usage report of a VM or a domain: totals since a start point.
     #[derive(Default)]
     pub struct ToldUses {
-        /// Tells this beginning from others of the same VM.
+        /// Identifies the start point among those of the same VM.
         pub life: u64,
-        /// How long ago it was, in milliseconds.
+        /// Milliseconds since the start point.
         pub age_ms: u64,
-        /// The totals.
-        pub uses: Vec<CustomerUse>,
+        /// Totals of customers with demand since the start point; a customer without any may be
+        /// missing.
+        pub uses: Vec<CustomerTotal>,
     }
 }
 
-impl UseTotal {
+impl UsageTotal {
     pub(crate) fn since(self, earlier: Self) -> Self {
         Self { asked: self.asked - earlier.asked, admitted: self.admitted - earlier.admitted }
     }
@@ -55,28 +59,28 @@
     }
 }
 
-/// A rate whose past fades within [`RATE_TIME_S`].
+/// Exponentially decaying rate with the time constant [`RATE_TIME_CONSTANT_S`].
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FadingRate {
+pub(crate) struct DecayingRate {
     per_s: f64,
     at: TimePoint,
 }
 
-impl FadingRate {
-    /// A rate of nothing.
+impl DecayingRate {
+    /// Creates a rate of zero.
     pub(crate) fn new(now: TimePoint) -> Self {
         Self { per_s: 0.0, at: now }
     }
 
-    fn fade(&mut self, now: TimePoint) {
+    fn decay(&mut self, now: TimePoint) {
         let age_s = now.since(self.at) as f64 / MICROS_PER_SECOND;
-        self.per_s *= (-age_s / RATE_TIME_S).exp();
+        self.per_s *= (-age_s / RATE_TIME_CONSTANT_S).exp();
         self.at = now;
     }
 
     pub(crate) fn add(&mut self, now: TimePoint, amount: f64) {
-        self.fade(now);
-        self.per_s = (self.per_s + amount / RATE_TIME_S).max(0.0);
+        self.decay(now);
+        self.per_s = (self.per_s + amount / RATE_TIME_CONSTANT_S).max(0.0);
     }
 
     pub(crate) fn set(&mut self, now: TimePoint, per_s: f64) {
@@ -84,78 +88,80 @@
     }
 
     pub(crate) fn get(&mut self, now: TimePoint) -> f64 {
-        self.fade(now);
+        self.decay(now);
         self.per_s
     }
 }
 
-/// What others said of their uses.
+/// Usage that other VMs reported, as increments between reports.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UseLedger {
+pub(crate) struct UsageLedger {
     /// Sorted by VM.
     rows: Vec<LedgerRow>,
-    /// Sums of all increments, sorted by customer.
-    sums: Vec<CustomerUse>,
+    /// Sums of all increments since the last [`Self::clear_sums`], sorted by customer.
+    sums: Vec<CustomerTotal>,
 }
 
 #[derive(Clone, Debug)]
 struct LedgerRow {
     vm: VmName,
-    told: ToldUses,
-    heard: TimePoint,
+    report: ToldUses,
+    received_at: TimePoint,
 }
 
-impl UseLedger {
-    /// Adds up from here on.
+impl UsageLedger {
+    /// Resets the sums to zero.
     pub(crate) fn clear_sums(&mut self) {
         self.sums.clear();
     }
 
-    /// What was used since the VM last told, and over which time in microseconds. Totals that were not heard of
-    /// before count as a whole if they began when this VM counted already; others reach too far back.
+    /// Records a report and returns the usage since the previous report of the VM, and the time
+    /// between the two in microseconds. Without a previous report from the same start point, the
+    /// totals count in full if their start point is not earlier than this VM's own; otherwise the
+    /// report only becomes the base for the next one.
     pub(crate) fn take(
         &mut self,
         now: TimePoint,
         vm: &VmName,
-        told: &ToldUses,
+        report: &ToldUses,
         own_age_ms: u64,
-    ) -> (Vec<CustomerUse>, u64) {
+    ) -> (Vec<CustomerTotal>, u64) {
         let found = self.rows.binary_search_by(|row| row.vm.cmp(vm));
-        let row = LedgerRow { vm: vm.clone(), told: told.clone(), heard: now };
-        let before = match found {
+        let row = LedgerRow { vm: vm.clone(), report: report.clone(), received_at: now };
+        let previous = match found {
             Ok(at) => Some(std::mem::replace(&mut self.rows[at], row)),
             Err(at) => {
                 self.rows.insert(at, row);
                 None
             }
         };
-        self.rows.retain(|row| now.since(row.heard) < LEDGER_US);
-        let before = before.filter(|before| before.told.life == told.life);
-        if before.is_none() && told.age_ms > own_age_ms.saturating_add(SAME_AGE_MS) {
+        self.rows.retain(|row| now.since(row.received_at) < LEDGER_RETENTION_US);
+        let previous = previous.filter(|previous| previous.report.life == report.life);
+        if previous.is_none() && report.age_ms > own_age_ms.saturating_add(START_TOLERANCE_MS) {
             return (Vec::new(), 0);
         }
-        let over_us = before.as_ref().map_or(0, |before| now.since(before.heard));
-        let known = before.map(|before| before.told.uses).unwrap_or_default();
-        let grown: Vec<CustomerUse> = told
+        let interval_us = previous.as_ref().map_or(0, |previous| now.since(previous.received_at));
+        let known = previous.map(|previous| previous.report.uses).unwrap_or_default();
+        let increments: Vec<CustomerTotal> = report
             .uses
             .iter()
             .map(|used| {
                 let earlier = known.iter().find(|known| known.customer == used.customer);
                 let earlier = earlier.map(|known| known.total).unwrap_or_default();
-                CustomerUse { customer: used.customer.clone(), total: used.total.since(earlier) }
+                CustomerTotal { customer: used.customer.clone(), total: used.total.since(earlier) }
             })
             .collect();
-        for used in &grown {
+        for used in &increments {
             match self.sums.binary_search_by(|sum| sum.customer.cmp(&used.customer)) {
                 Ok(at) => self.sums[at].total.add(used.total),
                 Err(at) => self.sums.insert(at, used.clone()),
             }
         }
-        (grown, over_us)
+        (increments, interval_us)
     }
 
-    pub(crate) fn sum(&self, customer: &CustomerName) -> UseTotal {
+    pub(crate) fn sum(&self, customer: &CustomerName) -> UsageTotal {
         let found = self.sums.binary_search_by(|sum| sum.customer.cmp(customer));
-        found.map_or_else(|_| UseTotal::default(), |at| self.sums[at].total)
+        found.map_or_else(|_| UsageTotal::default(), |at| self.sums[at].total)
     }
 }
