--- a/decision/src/admission.rs
+++ b/decision/src/admission.rs
@@ -1,8 +1,8 @@
-//! Whether a request with this key may run.
+//! Check of a request's key.
 //!
-//! A key opens something only at a VM that knows its configuration to have been the newest a short while ago
-//! ([`crate::freshness`]). That a key is wrong is final for its caller, so no verdict here says so: a key that
-//! is not known may be one of a configuration that this VM has not heard of yet.
+//! A key is accepted only at a VM whose configuration was recently confirmed to be the newest
+//! ([`crate::freshness`]). Callers treat a rejected key as final, so no verdict here says that a
+//! key is wrong: an unknown key may belong to a configuration that this VM has not received yet.
 
 use crate::credential::CredentialHash;
 use crate::customer::CustomerPlan;
@@ -10,46 +10,48 @@
 use crate::id::TimePoint;
 use crate::routing::{RouteTable, ServingRoute};
 
-/// What is known of a request's key.
+/// Result of checking a request's key against the configuration in force.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyVerdict<'a> {
-    /// The request may run, for this customer if it needed or named one.
+    /// The request may run, on account of this customer; `None` on a public route without a
+    /// confirmed key, or if no customers are configured.
     Admitted(Option<&'a CustomerPlan>),
-    /// No customer of the configuration in force holds the key.
+    /// No customer of the configuration in force has the key.
     Unknown,
-    /// A customer holds it, unless the operators took it away since this VM last heard of them.
+    /// A customer has the key, but the configuration is unconfirmed: the key may have been revoked.
     Unconfirmed,
 }
 
-/// How many wrong keys are remembered.
-const MOST_WRONG: usize = 1_024;
+/// Maximum number of wrong keys that are remembered.
+const MAX_WRONG_KEYS: usize = 1_024;
 
-/// Keys that were taken away or never held. Callers go on to use them for a while, and each time it would have to
-/// be found out that they are not of a newer configuration.
+/// Cache of keys known to be revoked or never valid. Callers often continue to use such keys, and
+/// without the cache each use would require a query whether a newer configuration has the key.
 #[derive(Clone, Debug, Default)]
 pub struct WrongKeys {
-    /// The latest last.
+    /// Oldest first.
     keys: Vec<CredentialHash>,
 }
 
 impl WrongKeys {
-    /// Whether a key was found to be wrong.
+    /// Returns whether a key is known to be wrong.
     #[must_use]
     pub fn contains(&self, key: &CredentialHash) -> bool {
         self.keys.contains(key)
     }
 
-    /// A key was found to be wrong.
+    /// Records a wrong key. The oldest one is dropped if there are more than [`MAX_WRONG_KEYS`].
     pub fn insert(&mut self, key: CredentialHash) {
         if self.contains(&key) {
             return;
         }
         self.keys.push(key);
-        let excess = self.keys.len().saturating_sub(MOST_WRONG);
+        let excess = self.keys.len().saturating_sub(MAX_WRONG_KEYS);
         self.keys.drain(..excess);
     }
 
-    /// Another configuration is in force. It took keys away, and may have added wrong ones.
+    /// Updates the cache after a change of configuration: keys of the old one that the new one
+    /// lacks are added, and keys that the new one has are removed.
     pub fn replaced(&mut self, before: &RouteTable, now: &RouteTable) {
         for key in before.customers().plans().iter().flat_map(|plan| &plan.keys) {
             self.insert(*key);
@@ -58,7 +60,7 @@
     }
 }
 
-/// Judges the key of a request on a route.
+/// Checks the key of a request on a route.
 #[must_use]
 pub fn judge_key<'a>(
     table: &'a RouteTable,
--- a/decision/src/budget.rs
+++ b/decision/src/budget.rs
@@ -1,22 +1,23 @@
-//! How often requests may be sent again.
+//! Budget for sending requests again.
 //!
-//! When servers fail, every entry VM would send its requests again and multiply the load on those
-//! that are left. All VMs together may add a share of the requests of a window and a fixed slack.
-//! Each VM counts what it sends itself and takes its part of the slack, so no message is needed;
-//! the part shrinks as VMs appear and a reserve covers VMs that are not known yet.
+//! When servers fail, every entry VM would resend its requests and multiply the load on the
+//! remaining servers. All VMs together may add a fraction of the requests of a window plus a fixed
+//! slack. Each VM counts only what it sends itself and uses its part of the slack, so no messages
+//! are needed; the part shrinks as more VMs are known, and a reserve covers VMs that are not known
+//! yet.
 
 use crate::id::{ServiceName, TimePoint};
 use crate::value;
 
 value! {
-    /// The bounds on repeats.
+    /// Bounds on repeats, over all VMs.
     #[derive(Copy)]
     pub struct RepeatBounds {
-        /// Repeats for each request.
+        /// Repeats allowed per request.
         pub ratio: f64,
-        /// Repeats that are allowed on top, over all VMs.
+        /// Repeats allowed per window in addition, over all VMs.
         pub slack: f64,
-        /// The window in microseconds.
+        /// Length of the sliding window in microseconds.
         pub window_us: u64,
     }
 }
@@ -27,27 +28,27 @@
     }
 }
 
-/// The part of its allowance that a VM uses. The rest covers windows that slide between two VMs'
-/// counts and VMs that joined a moment ago.
-const USED_PART: f64 = 0.8;
-/// The pieces that a window is counted in; the oldest piece is dropped as a whole.
-const PIECES: u64 = 10;
+/// Fraction of its allowance that a VM uses. The rest covers the offset between the windows of
+/// different VMs, and VMs that joined recently.
+const USED_FRACTION: f64 = 0.8;
+/// Number of buckets that a window is divided into; the oldest bucket expires as a whole.
+const WINDOW_BUCKETS: u64 = 10;
 
-/// Counts of one service in one piece of a window.
+/// Counts of one service in one bucket of the window.
 #[derive(Clone, Copy, Debug, Default)]
-struct PieceCount {
-    piece: u64,
-    first: u32,
-    again: u32,
+struct BucketCount {
+    bucket: u64,
+    requests: u32,
+    repeats: u32,
 }
 
 #[derive(Debug)]
 struct ServiceCounts {
     service: ServiceName,
-    pieces: Vec<PieceCount>,
+    buckets: Vec<BucketCount>,
 }
 
-/// What one VM sent to each service in the last window.
+/// Counts what one VM sent to each service in the last window and limits its repeats.
 #[derive(Debug, Default)]
 pub struct RepeatBudget {
     bounds: RepeatBounds,
@@ -56,58 +57,59 @@
 }
 
 impl RepeatBudget {
-    /// An unused budget.
+    /// Creates a budget without any counts.
     #[must_use]
     pub fn new(bounds: RepeatBounds) -> Self {
         Self { bounds, services: Vec::new() }
     }
 
-    /// Other bounds from now on; counts are kept.
+    /// Replaces the bounds; counts are kept.
     pub fn set_bounds(&mut self, bounds: RepeatBounds) {
         self.bounds = bounds;
     }
 
     /// Counts a request that is sent to `service` for the first time.
     pub fn first(&mut self, service: &ServiceName, now: TimePoint) {
-        self.piece(service, now).first += 1;
+        self.bucket(service, now).requests += 1;
     }
 
-    /// Whether one more repeat may be sent by this VM of `vms`; counts it if so.
+    /// Returns whether this VM, one of `vms`, may send one more repeat to `service`, and counts it
+    /// if so.
     pub fn again(&mut self, service: &ServiceName, vms: usize, now: TimePoint) -> bool {
         let bounds = self.bounds;
-        self.piece(service, now);
+        self.bucket(service, now);
         let at = self.services.binary_search_by(|counts| counts.service.cmp(service));
         let Ok(at) = at else { return false };
-        let pieces = &mut self.services[at].pieces;
-        let first: u32 = pieces.iter().map(|piece| piece.first).sum();
-        let again: u32 = pieces.iter().map(|piece| piece.again).sum();
+        let buckets = &mut self.services[at].buckets;
+        let requests: u32 = buckets.iter().map(|bucket| bucket.requests).sum();
+        let repeats: u32 = buckets.iter().map(|bucket| bucket.repeats).sum();
         let slack = bounds.slack / vms.max(1) as f64;
-        let allowed = USED_PART * (bounds.ratio * f64::from(first) + slack);
-        if f64::from(again) + 1.0 > allowed {
+        let allowed = USED_FRACTION * (bounds.ratio * f64::from(requests) + slack);
+        if f64::from(repeats) + 1.0 > allowed {
             return false;
         }
-        if let Some(piece) = pieces.last_mut() {
-            piece.again += 1;
+        if let Some(bucket) = buckets.last_mut() {
+            bucket.repeats += 1;
         }
         true
     }
 
-    fn piece(&mut self, service: &ServiceName, now: TimePoint) -> &mut PieceCount {
-        let piece = now.0 / (self.bounds.window_us / PIECES).max(1);
+    fn bucket(&mut self, service: &ServiceName, now: TimePoint) -> &mut BucketCount {
+        let bucket = now.0 / (self.bounds.window_us / WINDOW_BUCKETS).max(1);
         let at = match self.services.binary_search_by(|counts| counts.service.cmp(service)) {
             Ok(at) => at,
             Err(at) => {
-                let counts = ServiceCounts { service: service.clone(), pieces: Vec::new() };
+                let counts = ServiceCounts { service: service.clone(), buckets: Vec::new() };
                 self.services.insert(at, counts);
                 at
             }
         };
-        let pieces = &mut self.services[at].pieces;
-        pieces.retain(|count| count.piece + PIECES > piece);
-        if pieces.last().is_none_or(|count| count.piece != piece) {
-            pieces.push(PieceCount { piece, ..PieceCount::default() });
+        let buckets = &mut self.services[at].buckets;
+        buckets.retain(|count| count.bucket + WINDOW_BUCKETS > bucket);
+        if buckets.last().is_none_or(|count| count.bucket != bucket) {
+            buckets.push(BucketCount { bucket, ..BucketCount::default() });
         }
-        let last = pieces.len() - 1;
-        &mut pieces[last]
+        let last = buckets.len() - 1;
+        &mut buckets[last]
     }
 }
--- a/decision/src/credential.rs
+++ b/decision/src/credential.rs
@@ -1,4 +1,4 @@
-//! Credentials of customers and operators, known by their hashes alone.
+//! Credentials of customers and operators, stored only as hashes.
 
 use std::fmt;
 
@@ -7,30 +7,31 @@
 use snafu::Snafu;
 use subtle::ConstantTimeEq;
 
-/// Bytes of a hash by which a table is sorted.
+/// Length of the hash prefix that a table is sorted by, in bytes.
 const INDEX_BYTES: usize = 8;
 
-/// A hash of a credential is no SHA-256 in hexadecimal.
+/// Error for a credential hash that is not a SHA-256 digest in hexadecimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("a credential's hash must have 64 hexadecimal digits"))]
 pub struct BadHash;
 
-/// The SHA-256 of a credential. Credentials must be random: a hash of a guessable word can be tried.
+/// SHA-256 digest of a credential. Credentials must be random, since a guessable one can be found
+/// from its digest by trial.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CredentialHash([u8; 32]);
 
 impl CredentialHash {
-    /// Hashes a credential.
+    /// Returns the hash of a credential.
     #[must_use]
     pub fn of(credential: &str) -> Self {
         Self(Sha256::digest(credential.as_bytes()).into())
     }
 
-    /// Reads a hash from 64 hexadecimal digits, as manifests carry it.
+    /// Parses 64 hexadecimal digits, the form used in manifests.
     ///
     /// # Errors
     ///
-    /// The text is something else.
+    /// Returns [`BadHash`] for any other text.
     pub fn parse(text: &str) -> Result<Self, BadHash> {
         let digits = text.as_bytes();
         if digits.len() != 64 {
@@ -43,13 +44,13 @@
         Ok(Self(hash))
     }
 
-    /// The hash as 64 hexadecimal digits.
+    /// Returns the hash as 64 lower-case hexadecimal digits.
     #[must_use]
     pub fn to_hex(&self) -> String {
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Compares in a time that does not depend on the hashes.
+    /// Compares two hashes in constant time.
     #[must_use]
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
@@ -71,11 +72,11 @@
     value.ok_or(BadHash)
 }
 
-/// Whose each credential is. Customers and operators have a table each, so that the credential of one
-/// role never opens a call of the other.
+/// Owners of credentials, by hash. Customers and operators have separate tables, so that a
+/// credential of one role never authorises a call of the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CredentialTable<T> {
-    /// Sorted by the first bytes of the hash.
+    /// Sorted by the first [`INDEX_BYTES`] bytes of the hash.
     entries: Vec<(CredentialHash, T)>,
 }
 
@@ -86,30 +87,30 @@
 }
 
 impl<T> CredentialTable<T> {
-    /// Makes a table.
+    /// Creates a table of entries in any order. If a hash occurs twice, the later entry wins.
     #[must_use]
     pub fn new(mut entries: Vec<(CredentialHash, T)>) -> Self {
         entries.sort_by(|(left, _), (right, _)| left.index().cmp(right.index()));
         Self { entries }
     }
 
-    /// Finds whose a credential is.
+    /// Returns the owner of a credential.
     ///
-    /// The search by the hash's first bytes takes a time that depends on them, which tells nothing
-    /// of use: nobody can choose a credential by its hash. The match itself is in constant time.
+    /// The search by hash prefix is not constant-time, but leaks nothing useful: nobody can choose
+    /// a credential by its hash. The final comparison is in constant time.
     #[must_use]
     pub fn find(&self, credential: &str) -> Option<&T> {
         self.find_hash(&CredentialHash::of(credential))
     }
 
-    /// The same for the hash of a credential.
+    /// Returns the owner of the credential with this hash.
     #[must_use]
     pub fn find_hash(&self, hash: &CredentialHash) -> Option<&T> {
         let from = self.entries.partition_point(|(other, _)| other.index() < hash.index());
-        let same =
+        let candidates =
             self.entries[from..].iter().take_while(|(other, _)| other.index() == hash.index());
         let mut found = None;
-        for (other, owner) in same {
+        for (other, owner) in candidates {
             if other.matches(hash) {
                 found = Some(owner);
             }
@@ -117,10 +118,12 @@
         found
     }
 
-    /// Whether a credential is in both tables, which would give one secret two roles.
+    /// Returns whether a credential is in both tables, which would give one secret two roles.
     #[must_use]
     pub fn overlaps<U>(&self, other: &CredentialTable<U>) -> bool {
-        let theirs = &other.entries;
-        self.entries.iter().any(|(hash, _)| theirs.iter().any(|(their, _)| their.matches(hash)))
+        let other_entries = &other.entries;
+        self.entries
+            .iter()
+            .any(|(hash, _)| other_entries.iter().any(|(other_hash, _)| other_hash.matches(hash)))
     }
 }
--- a/decision/src/customer.rs
+++ b/decision/src/customer.rs
@@ -1,6 +1,6 @@
-//! Customers of a configuration: whose a key is, which rank its requests have, how much it may ask.
+//! Customers of a configuration: their keys, the priority of their requests, and their limits.
 //!
-//! Keys are known by their hashes alone. docs/KEYS.md tells what holds when one is taken away.
+//! Only hashes of keys are stored. docs/KEYS.md describes the revocation of keys.
 
 use crate::credential::{CredentialHash, CredentialTable};
 use crate::id::CustomerName;
@@ -8,44 +8,46 @@
 use crate::value;
 
 value! {
-    /// A customer as the configuration lists it.
+    /// Customer as listed in the configuration.
     pub struct CustomerPlan {
-        /// Its name, which servers are told.
+        /// Name of the customer, which is sent to servers.
         pub name: CustomerName,
-        /// Hashes of the keys that its callers may use.
+        /// Hashes of the keys that the customer's callers may use.
         pub keys: Vec<CredentialHash>,
-        /// Its rank; 0 goes first. None where its requests have the rank of their route alone.
+        /// Priority of the customer's requests, 0 being the highest; `None` if only the priority of
+        /// the route applies.
         pub priority: Option<u8>,
-        /// How much it may ask over all VMs; none means no limit.
+        /// Limit over all VMs; `None` means unlimited.
         pub limit: Option<CustomerLimit>,
     }
 
-    /// How much a customer may ask over all VMs: a bucket of `burst` that fills at `per_second`.
+    /// Limit of a customer over all VMs: a token bucket of size `burst` that fills at `per_second`.
     #[derive(Copy)]
     pub struct CustomerLimit {
-        /// What it may ask in a second, in the unit of `measure`.
+        /// Fill rate per second, in the unit of `measure`.
         pub per_second: f64,
-        /// What it may ask at once above that.
+        /// Size of the bucket, in the unit of `measure`.
         pub burst: f64,
-        /// What is counted.
+        /// Unit of the limit.
         pub measure: LimitMeasure,
     }
 
-    /// What a limit counts.
+    /// Unit in which a limit counts requests.
     #[derive(Copy)]
     pub enum LimitMeasure {
-        /// Each request as one.
+        /// One per request.
         Requests,
-        /// Tokens: those of the prompt and the most that are generated.
+        /// Tokens: those of the prompt plus the maximum to generate.
         Tokens {
-            /// What a request that states no tokens counts as.
+            /// Cost of a request that states no tokens.
             plain: f64,
         },
     }
 }
 
 impl LimitMeasure {
-    /// What a request counts as.
+    /// Returns the cost of a request in this unit. Without `need`, or with zero tokens, the `plain`
+    /// cost applies.
     #[must_use]
     pub fn cost(self, need: Option<&ModelNeed>) -> f64 {
         let Self::Tokens { plain } = self else { return 1.0 };
@@ -56,22 +58,23 @@
     }
 }
 
-/// The customers of one configuration.
+/// Customers of one configuration, indexed by key.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct CustomerTable {
     /// Sorted by name.
     plans: Vec<CustomerPlan>,
-    /// Places in `plans`.
+    /// Indices into `plans`.
     keys: CredentialTable<u32>,
 }
 
 impl CustomerTable {
-    /// A table of `plans` in any order. A key that two of them list is the first one's.
+    /// Creates a table of `plans` in any order. A key that two customers list belongs to the first
+    /// by name.
     #[must_use]
     pub fn new(mut plans: Vec<CustomerPlan>) -> Self {
         plans.sort_by(|a, b| a.name.cmp(&b.name));
         let keys = plans.iter().zip(0..).flat_map(|(plan, at)| {
-            // Found last wins in the table, so the first by name stands last.
+            // The last match wins in the table, so the first customer by name goes last.
             plan.keys.iter().map(move |key| (*key, at))
         });
         let mut keys: Vec<(CredentialHash, u32)> = keys.collect();
@@ -79,19 +82,19 @@
         Self { keys: CredentialTable::new(keys), plans }
     }
 
-    /// Whether requests need a key at all.
+    /// Returns whether there are no customers, in which case requests need no key.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.plans.is_empty()
     }
 
-    /// The customer that holds a key.
+    /// Returns the customer that a key belongs to, or `None` for an unknown key.
     #[must_use]
     pub fn holder(&self, key: &CredentialHash) -> Option<&CustomerPlan> {
         self.plans.get(*self.keys.find_hash(key)? as usize)
     }
 
-    /// All customers, sorted by name.
+    /// Returns all customers, sorted by name.
     #[must_use]
     pub fn plans(&self) -> &[CustomerPlan] {
         &self.plans
--- a/decision/src/question.rs
+++ b/decision/src/question.rs
@@ -1,36 +1,36 @@
-//! How long questions for records may stay without an answer.
+//! Timing of long polls for new records.
 //!
-//! The store holds such a question until there is a record, or for as long as it was asked to. It may also
-//! lose one: the connection lives, all other calls are answered, and the question never is. Nothing but its
-//! own time limit shows that, and until then what the operators accepted is not in force. So the limit
-//! follows from the time within which they want it in force, with room left to ask again, and not from how
-//! seldom records come.
+//! The store holds a long poll until there is a record, or for as long as requested. It may also
+//! lose one: the connection stays up and all other calls are answered, but the poll never is. Only
+//! a timeout detects that, and until then accepted changes are not in force. The timeout therefore
+//! follows from the time within which operators want changes in force, with time left to poll
+//! again, and not from how rarely records arrive.
 
 use std::time::Duration;
 
 use crate::value;
 
-/// For which part of the promise the store is asked to hold a question. Longer saves calls: each VM that
-/// asks makes one in this time.
-const HOLD_PART: f64 = 0.35;
-/// After which part of the promise a question is taken to be lost. The rest is for asking again, and in
-/// large fleets for telling the others.
-const LOST_PART: f64 = 0.6;
-/// After which part of the promise a VM that knew all records is no longer relied on for them.
-const STALE_PART: f64 = 0.75;
+/// Fraction of the promise for which the store is requested to hold a poll. A longer hold saves
+/// calls: each polling VM makes one per hold.
+const HOLD_FRACTION: f64 = 0.35;
+/// Fraction of the promise after which a poll is considered lost. The rest is for polling again
+/// and, in large fleets, for notifying the other VMs.
+const LOST_FRACTION: f64 = 0.6;
+/// Fraction of the promise after which a VM that had all records is no longer considered current.
+const STALE_FRACTION: f64 = 0.75;
 
 value! {
-    /// A question that the store is to hold until there is a record.
+    /// Long poll, which the store holds until there is a record.
     #[derive(Copy, Eq)]
     pub struct HeldQuestion {
-        /// For how long it is to hold it.
+        /// Time for which the store is requested to hold the poll.
         pub hold: Duration,
-        /// After how long without an answer it is lost.
+        /// Timeout after which the poll is considered lost.
         pub within: Duration,
     }
 }
 
-/// Paces the questions of one reader of records.
+/// Schedules the polls of one reader of records.
 #[derive(Clone, Copy, Debug)]
 pub struct QuestionPacer {
     promise: Duration,
@@ -38,36 +38,37 @@
 }
 
 impl QuestionPacer {
-    /// For records that must be in force within `promise`.
+    /// Creates a schedule for records that must be in force within `promise`.
     #[must_use]
     pub fn new(promise: Duration) -> Self {
         Self { promise, failed: false }
     }
 
-    /// How to ask next; none for a question that is to be answered at once. After a failure it is: whether
-    /// the store is back shows sooner by one that it need not hold.
+    /// Returns the next long poll, or `None` if the next poll is to be answered at once. The latter
+    /// applies after a failure, since an immediate answer shows sooner whether the store is
+    /// available again.
     #[must_use]
     pub fn next(&self) -> Option<HeldQuestion> {
         (!self.failed).then(|| HeldQuestion {
-            hold: self.promise.mul_f64(HOLD_PART),
-            within: self.promise.mul_f64(LOST_PART),
+            hold: self.promise.mul_f64(HOLD_FRACTION),
+            within: self.promise.mul_f64(LOST_FRACTION),
         })
     }
 
-    /// The last question was answered.
+    /// Records that the last poll was answered.
     pub fn answered(&mut self) {
         self.failed = false;
     }
 
-    /// The last question was refused, or not answered in time.
+    /// Records that the last poll was refused or timed out.
     pub fn failed(&mut self) {
         self.failed = true;
     }
 }
 
-/// Whether a VM that knew all records `age` ago can be relied on for those that must be in force within
-/// `promise`.
+/// Returns whether a VM that had all records `age` ago is current enough for records that must be
+/// in force within `promise`.
 #[must_use]
 pub fn is_current(age: Duration, promise: Duration) -> bool {
-    age < promise.mul_f64(STALE_PART)
+    age < promise.mul_f64(STALE_FRACTION)
 }
--- a/decision/src/retry.rs
+++ b/decision/src/retry.rs
@@ -1,18 +1,19 @@
-//! The budget of retries, and deadlines of calls.
+//! Retry budget, and deadlines of calls.
 
 use crate::id::{MICROS_PER_MILLI, TimePoint};
 
 /// Settings of the retry budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Retries for each thousand first tries. At 100 a fleet that fails every request carries a
-    /// tenth more load than one that fails none.
+    /// Retries per thousand first attempts. At 100, a fleet in which every request fails carries 10
+    /// % more load than one in which none fails.
     pub per_mille: u64,
-    /// Retries that may come at once, after a quiet time.
+    /// Maximum number of retries saved up while few are needed.
     pub burst: u64,
-    /// Tries of one request, the first among them.
+    /// Maximum attempts per request, the first included.
     pub tries: u32,
-    /// Milliseconds before a retry is worth it: with less left the request ends instead.
+    /// Minimum milliseconds left until the deadline for a retry; with less the request ends
+    /// instead.
     pub least_left_ms: u64,
 }
 
@@ -22,70 +23,72 @@
     }
 }
 
-/// Keeps retries to a share of first tries.
+/// Limits retries to a fraction of first attempts.
 ///
-/// When everything fails, retries without a budget multiply the load by the number of tries just
-/// when there is least capacity, and the failure feeds itself.
+/// Without a budget, retries multiply the load by the number of attempts when everything fails,
+/// which is when capacity is lowest, and so prolong the overload.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
-    thousandths: u64,
+    available_thousandths: u64,
 }
 
 impl RetryBudget {
-    /// A budget that begins full.
+    /// Creates a full budget.
     #[must_use]
     pub fn new(settings: RetrySettings) -> Self {
-        let thousandths = settings.burst * 1_000;
-        Self { settings, thousandths }
+        let available_thousandths = settings.burst * 1_000;
+        Self { settings, available_thousandths }
     }
 
-    /// The settings.
+    /// Returns the settings that the budget was created with.
     #[must_use]
     pub fn settings(&self) -> &RetrySettings {
         &self.settings
     }
 
-    /// Notes a first try, which earns a part of a retry.
+    /// Records a first attempt, which earns `per_mille` available_thousandths of a retry.
     pub fn first_try(&mut self) {
         let most = self.settings.burst * 1_000;
-        self.thousandths = (self.thousandths + self.settings.per_mille).min(most);
+        self.available_thousandths =
+            (self.available_thousandths + self.settings.per_mille).min(most);
     }
 
-    /// Takes a retry out of the budget, if there is one.
+    /// Takes one retry from the budget. Returns `false` if there is none left.
     pub fn take(&mut self) -> bool {
-        let enough = self.thousandths >= 1_000;
+        let enough = self.available_thousandths >= 1_000;
         if enough {
-            self.thousandths -= 1_000;
+            self.available_thousandths -= 1_000;
         }
         enough
     }
 }
 
-/// By when a request must be answered, on this VM's own clock.
+/// Deadline of a request on this VM's own monotonic clock.
 ///
-/// Between processes only the time that is left is sent, so clocks that differ do not matter; the
-/// time on the way is charged to the request.
+/// Between processes only the remaining time is sent, so clock skew has no effect; the transit time
+/// is charged to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallDeadline {
     at: Option<TimePoint>,
 }
 
 impl CallDeadline {
-    /// A deadline `left_ms` from now; none means no deadline.
+    /// Creates a deadline `left_ms` milliseconds from `now`; `None` means no deadline.
     #[must_use]
     pub fn after(now: TimePoint, left_ms: Option<u64>) -> Self {
         let micros = left_ms.map(|left| left.saturating_mul(MICROS_PER_MILLI));
         Self { at: micros.map(|micros| now.plus(micros)) }
     }
 
-    /// Milliseconds left, to be sent on; none means no deadline.
+    /// Returns the milliseconds left, in the form to send on; 0 once passed, `None` without a
+    /// deadline.
     #[must_use]
     pub fn left_ms(self, now: TimePoint) -> Option<u64> {
         self.at.map(|at| at.since(now) / MICROS_PER_MILLI)
     }
 
-    /// Whether it has passed.
+    /// Returns whether the deadline has passed; always `false` without a deadline.
     #[must_use]
     pub fn passed(self, now: TimePoint) -> bool {
         self.at.is_some_and(|at| now >= at)
