--- a/decision/benches/fleet_cost.rs
+++ b/decision/benches/fleet_cost.rs
@@ -1,7 +1,8 @@
-//! What a VM of a large fleet pays for a choice, and for what it is told of the others.
+//! Cost of choosing a server and of processing updates at a VM of a large fleet.
 //!
-//! Sizes: the engines of 61, 195 and 360 VMs, with ten adapters in the places of each; popularity falls with the
-//! rank, so that most engines lack the adapter that is asked for. docs/FLEETS.md has the figures.
+//! Sizes are the engine counts of fleets of 61, 195 and 360 VMs, with ten adapters in the slots of
+//! each engine. Benchmarks cover an adapter that one engine holds and one that none holds.
+//! docs/FLEETS.md has the figures.
 
 use std::hint::black_box;
 
@@ -20,7 +21,7 @@
 use fixture::engine_entry;
 
 const SIZES: [usize; 3] = [60, 124, 860];
-const PLACES: usize = 10;
+const SLOTS: usize = 10;
 const NOW: TimePoint = TimePoint(1_000_000_000);
 
 fn key(number: usize) -> AdapterKey {
@@ -33,7 +34,7 @@
 
 fn list(table: &mut BackendTable, server: usize, first: usize, revision: u64) {
     let holding = |number| AdapterHolding { key: key(number), version: 1, ..Default::default() };
-    let holdings = (first..first + PLACES).map(holding).collect();
+    let holdings = (first..first + SLOTS).map(holding).collect();
     let owner = ServerOwner { vm: "vm-1".into(), born: 1, fence: 1, at: NOW, free: 2 };
     table.list(&name(server), owner, revision, holdings);
 }
@@ -42,7 +43,7 @@
     let mut table = BackendTable::default();
     for server in 0..servers {
         table.entry(BackendEntry { born: 1, ..engine_entry(&name(server)) }, NOW);
-        list(&mut table, server, server * PLACES, 1);
+        list(&mut table, server, server * SLOTS, 1);
         let figure = LoadFigure { running: (server % 12) as u32, unread: 700 };
         table.fleet_load(&name(server), figure, NOW);
     }
@@ -54,7 +55,7 @@
     for servers in SIZES {
         let table = fleet(servers);
         let (service, model, domain) = ("engines".into(), "base".into(), "d1".into());
-        for (what, wanted) in [("held", key(5)), ("cold", key(9_999_999))] {
+        for (case, wanted) in [("held", key(5)), ("cold", key(9_999_999))] {
             let need = ServerNeed {
                 service: &service,
                 model: Some(&model),
@@ -65,7 +66,7 @@
                 prompt: 646,
                 gap: None,
             };
-            group.bench_function(BenchmarkId::new(what, servers), |bench| {
+            group.bench_function(BenchmarkId::new(case, servers), |bench| {
                 bench.iter(|| black_box(table.choose(&need, 12_345, NOW)));
             });
         }
@@ -73,8 +74,8 @@
     group.finish();
 }
 
-/// An aggregator's message with one changed list in ten, and what a VM makes of it.
-fn news(bench: &mut Criterion) {
+/// Writing an aggregator's update with one changed list in ten, and applying its counts at a VM.
+fn updates(bench: &mut Criterion) {
     let mut group = bench.benchmark_group("news");
     for servers in SIZES {
         let mut table = fleet(servers);
@@ -86,7 +87,7 @@
             bench.iter(|| {
                 revision += 1;
                 for server in (0..servers).step_by(10) {
-                    list(&mut table, server, server * PLACES + revision as usize % 2, revision);
+                    list(&mut table, server, server * SLOTS + revision as usize % 2, revision);
                 }
                 let domain = table.member_loads(later);
                 (writer.fleet_loads(&domain, later), writer.changes(&table, usize::MAX, later))
@@ -106,5 +107,5 @@
     group.finish();
 }
 
-criterion_group!(benches, choices, news);
+criterion_group!(benches, choices, updates);
 criterion_main!(benches);
--- a/decision/src/admission.rs
+++ b/decision/src/admission.rs
@@ -40,7 +40,7 @@
         self.keys.contains(key)
     }
 
-    /// Records a wrong key. The oldest one is dropped if there are more than [`MAX_WRONG_KEYS`].
+    /// Records a wrong key. The oldest one is dropped if the cache is full.
     pub fn insert(&mut self, key: CredentialHash) {
         if self.contains(&key) {
             return;
--- a/decision/src/derive.rs
+++ b/decision/src/derive.rs
@@ -1,14 +1,14 @@
-//! The sets of derives that the project's plain types share.
+//! Macros that declare the plain types of the project with their shared derives.
 
-/// Declares types that are values: they can be compared, copied by `clone`, printed and sent.
+/// Declares value types: comparable, cloneable, printable and serialisable.
 ///
-/// Everything that crosses a process border or stands in a log record is such a value, so the
-/// derives and the tolerance for unknown fields are kept in one place. Enums are tagged by serde's
-/// default, which lets two releases read each other's variants by name.
+/// Types that are sent between processes or stored in log records are declared here, so that their
+/// derives and their tolerance for unknown fields are defined in one place. Enums use serde's
+/// default external tagging, which lets two releases read each other's variants by name.
 ///
 /// ```
 /// coltsfoothook_decision::value! {
-///     /// A point on a plan.
+///     /// A point in the plane.
 ///     pub struct PlanPoint { pub x: u32, pub y: u32 }
 /// }
 /// assert_eq!(PlanPoint { x: 1, y: 2 }, PlanPoint { x: 1, y: 2 });
@@ -23,7 +23,7 @@
     )*};
 }
 
-/// Declares types that are small keys: copied freely, ordered, hashed and sent.
+/// Declares numeric identifiers: copyable, ordered, hashable and serialised as the bare number.
 #[macro_export]
 macro_rules! key {
     ($($(#[$meta:meta])* $vis:vis struct $name:ident($inner:ty);)*) => {$(
@@ -43,7 +43,7 @@
     )*};
 }
 
-/// Declares names: owned text that is only stored, and borrowed as `&str` in signatures.
+/// Declares string identifiers: serialised as plain strings, and passed as `&str` in signatures.
 #[macro_export]
 macro_rules! name {
     ($($(#[$meta:meta])* $vis:vis struct $name:ident;)*) => {$(
@@ -56,7 +56,7 @@
         $vis struct $name(pub String);
 
         impl $name {
-            /// Borrows the text, for look-ups in sorted vectors.
+            /// Returns the text, for example for look-ups in sorted vectors.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/decision/src/invariant.rs
+++ b/decision/src/invariant.rs
@@ -1,40 +1,41 @@
-//! The rules that must always hold, asserted inside the program and counted.
+//! Invariants of the system, checked at run time and counted.
 //!
-//! A violated rule never stops the process: an entry VM that falls over would cut the streams of
-//! callers that were served well. It is counted, its first details are kept for the log, and tests
-//! and randomised runs fail on any count. docs/FAILURES.md tells which safeguard keeps each rule.
+//! A violation never stops the process: a crash of an entry VM would cut the streams of unaffected
+//! callers. Violations are counted, details of the first ones are kept for the log, and tests and
+//! randomised runs fail on any violation. docs/FAILURES.md lists the safeguard behind each
+//! invariant.
 
-/// A rule that must always hold.
+/// Invariant that must hold at any time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum InvariantName {
     /// Each request runs on the adapter and version that it names.
     RightAdapter,
     /// An adapter that a running request uses is never evicted.
     NoEvictionInUse,
-    /// Each caller gets the whole answer to its own request.
+    /// Each caller gets the complete response to its own request.
     WholeAnswer,
-    /// When the system says "not run", the request did not run.
+    /// A request reported as "not run" did not run.
     NotRunDidNotRun,
     /// A request that is not repeatable runs at most once.
     AtMostOnce,
-    /// A leaving backend server gets no new work after a few seconds.
+    /// A leaving backend server gets no new requests after a few seconds.
     LeavingServerIdle,
-    /// A graceful shutdown cuts no request.
+    /// A graceful shutdown interrupts no request.
     ShutdownCutsNothing,
     /// An accepted configuration never reverts.
     ConfigNeverReverts,
-    /// A finished job has one result, and an accepted one is not lost.
+    /// A finished job has one result, and an accepted job is not lost.
     JobOnce,
-    /// Every request that waits at an owner is answered, and the queues stay within their bounds.
+    /// Every request queued at an owner is answered, and the queues stay within their bounds.
     QueueBounded,
     /// Two suspect requests never run on one server at the same time.
     SuspectsApart,
-    /// Orders are sent by the owner in force alone, and one at a time to each slot.
+    /// Orders are sent only by the current owner, and one at a time per slot.
     OneWriter,
 }
 
 impl InvariantName {
-    /// All rules, in the order of the variants.
+    /// All invariants, in the order of the variants.
     pub const ALL: [Self; 12] = [
         Self::RightAdapter,
         Self::NoEvictionInUse,
@@ -50,7 +51,7 @@
         Self::OneWriter,
     ];
 
-    /// The rule's name in metrics and logs.
+    /// Returns the name of the invariant in metrics and logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -70,24 +71,24 @@
     }
 }
 
-/// How many details of violations a log keeps; later ones are only counted.
+/// Maximum number of violations whose details a log keeps; later ones are only counted.
 const KEPT_DETAILS: usize = 16;
 
-/// How often a rule was checked and violated.
+/// Number of checks and violations of an invariant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InvariantCount {
-    /// Checks made.
+    /// Checks made, violations included.
     pub checked: u64,
-    /// Checks that found the rule broken.
+    /// Checks that found a violation.
     pub violated: u64,
 }
 
-/// A violation, kept for the log.
+/// Details of one violation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvariantViolation {
-    /// The rule.
+    /// The violated invariant.
     pub name: InvariantName,
-    /// What was found.
+    /// Description of what was found.
     pub detail: String,
 }
 
@@ -108,7 +109,8 @@
 }
 
 impl InvariantLog {
-    /// Counts a check of `name`; `detail` is built only if the rule does not hold. Returns `holds`.
+    /// Counts a check of `name` and returns `holds`. `detail` is called only for a violation whose
+    /// details are kept.
     pub fn check(
         &mut self,
         name: InvariantName,
@@ -127,25 +129,25 @@
         false
     }
 
-    /// The counts of `name`.
+    /// Returns the counts of `name`.
     #[must_use]
     pub fn count(&self, name: InvariantName) -> InvariantCount {
         self.counts[name as usize]
     }
 
-    /// Violations of all rules together.
+    /// Returns the number of violations of all invariants.
     #[must_use]
     pub fn violated(&self) -> u64 {
         self.counts.iter().map(|count| count.violated).sum()
     }
 
-    /// The first violations, with what was found.
+    /// Returns the details of the first violations, oldest first.
     #[must_use]
     pub fn details(&self) -> &[InvariantViolation] {
         &self.details
     }
 
-    /// Adds the counts and details of `other`.
+    /// Adds the counts of `other`, and its details as far as there is room.
     pub fn merge(&mut self, other: &Self) {
         for (count, more) in self.counts.iter_mut().zip(&other.counts) {
             count.checked += more.checked;
--- a/decision/src/lib.rs
+++ b/decision/src/lib.rs
@@ -1,8 +1,9 @@
-//! Every decision of coltsfoothook, as pure state machines.
+//! The decision logic of coltsfoothook, as pure state machines.
 //!
-//! Nothing here reads a clock, does I/O, knows a runtime or takes a lock: an event, the time and a
-//! seeded generator go in, actions come out. The same code runs under HTTP in the entry process, in
-//! the long randomised tests and in the benchmarks. docs/DESIGN.md tells how the parts fit.
+//! State machines here read no clock, do no I/O, use no async runtime and take no locks: they take
+//! an event, the time and a seeded random generator, and return actions. The same code runs in the
+//! entry process, the randomised soak tests and the benchmarks. docs/DESIGN.md describes how the
+//! parts fit together.
 //!
 //! ```
 //! use coltsfoothook_decision::id::{OwnerEpoch, TimePoint};
--- a/decision/src/message.rs
+++ b/decision/src/message.rs
@@ -1,8 +1,9 @@
 //! Messages between entry VMs other than probes and grants.
 //!
 //! Probes are in [`crate::member`], grants in [`crate::grant`]. Every message is a plain value, so
-//! the same types cross tarpc, the randomised soak and the tests. Unknown fields are ignored and
-//! new ones have defaults, because two releases talk to each other while VMs are replaced.
+//! that tarpc, the randomised soak test and the unit tests use the same types. Unknown fields are
+//! ignored and new fields have defaults, because two releases communicate during a rolling
+//! replacement of the VMs.
 
 use crate::grant::HeldGrant;
 use crate::id::{
@@ -15,27 +16,28 @@
 use crate::value;
 
 value! {
-    /// A new owner asks which grants of its group a VM holds, before it evicts inherited slots.
+    /// Request of a new owner for the grants of its group that a VM holds, before it evicts
+    /// inherited slots.
     pub struct HeldCall {
         /// The group.
         pub group: GroupName,
-        /// The new owner's epoch; the asked VM accepts no grant of an older one from now on.
+        /// Epoch of the new owner; the receiver accepts no grant of an older epoch from now on.
         pub epoch: OwnerEpoch,
         /// The new owner.
         pub asker: VmIdentity,
     }
 
-    /// The grants that a VM holds in a group.
+    /// Grants that a VM holds in a group.
     pub struct HeldReply {
-        /// Who answers.
+        /// VM that replies.
         pub vm: VmIdentity,
-        /// Its grants, those without an owner among them.
+        /// Grants of epochs before [`HeldCall::epoch`].
         pub grants: Vec<HeldGrant>,
     }
 
-    /// The asker no longer wants the grant that it waits for: its caller went away.
+    /// Cancels a pending request for a grant, because its caller disconnected.
     pub struct WithdrawCall {
-        /// Who asked for the grant.
+        /// VM that requested the grant.
         pub asker: VmIdentity,
         /// The group.
         pub group: GroupName,
@@ -43,35 +45,36 @@
         pub id: RequestId,
     }
 
-    /// Asks the VM that alone may run an idempotency key to give it up if it has not begun.
+    /// Requests the one VM that may run an idempotency key to give it up if it has not started.
     pub struct RevokeCall {
-        /// The tenant that the key belongs to.
+        /// Customer that the key belongs to.
         pub tenant: CustomerName,
         /// The key.
         pub key: IdempotencyKey,
-        /// What is asked, so that the key with another body is known.
+        /// Fingerprint of the request, to detect the key being used with another body.
         pub fingerprint: RequestFingerprint,
     }
 
-    /// What became of a key at the VM that alone may run it.
+    /// Outcome of a revocation at the one VM that may run the key.
     #[derive(Copy, Eq)]
     pub enum RevokeReply {
-        /// It did not run there and never will; only this answer allows "not run".
+        /// The request did not run there and never will; the only reply that permits the answer
+        /// "not run".
         Revoked,
-        /// It runs now.
+        /// The request is running.
         Running,
-        /// It ran; its answer went to the caller who sent it there.
+        /// The request ran; its response went to the caller that sent it there.
         Done,
-        /// The VM cannot tell.
+        /// The VM does not know.
         Unknown(RevokeDoubt),
     }
 
-    /// Why a VM cannot tell what became of a key.
+    /// Reason why a VM does not know the outcome of a key.
     #[derive(Copy, Eq)]
     pub enum RevokeDoubt {
-        /// The key belongs to an earlier life of the VM, which kept nothing.
+        /// The key belongs to an earlier incarnation of the VM, whose state is lost.
         EarlierLife,
-        /// It was sent to a backend server and no whole answer came.
+        /// The request was sent to a backend server and no complete response was received.
         NoAnswer,
         /// The key was used with another body.
         OtherBody,
@@ -79,116 +82,116 @@
         NotMine,
     }
 
-    /// A VM that cannot read the log asks a peer for what it missed.
+    /// Request of a VM that cannot read the log for the records that it missed.
     pub struct CatchUpCall {
-        /// The configuration version that it has.
+        /// Configuration version that the requester has.
         pub config: ConfigVersion,
-        /// The offset before which it has folded the control stream.
+        /// Offset in the control stream up to which (exclusive) the requester has folded records.
         pub control_through: u64,
     }
 
-    /// What the asking VM missed; a part that is not newer is left out.
+    /// State that the requester missed. `None` for a part where the replying VM has nothing newer.
     pub struct CatchUpReply {
-        /// A snapshot record of the configuration.
+        /// Snapshot record of the configuration.
         pub config: Option<ConfigRecord>,
-        /// The state of the control stream.
+        /// State of the control stream.
         pub control: Option<ControlSnapshot>,
     }
 
-    /// What a VM knows and does, for operators.
+    /// Status of a VM, for operators.
     pub struct StatusReply {
         /// The VM.
         pub vm: VmIdentity,
-        /// Its own state: alive, or leaving during a shutdown.
+        /// State of the VM itself: alive, or leaving during a shutdown.
         pub state: MemberState,
-        /// The configuration version in force at it.
+        /// Configuration version in force at the VM.
         pub config: ConfigVersion,
-        /// How far it has read each stream of the log.
+        /// Read position in each stream of the log.
         pub streams: Vec<StreamStatus>,
-        /// The owners it believes in, sorted by group.
+        /// Owners in the VM's view, sorted by group.
         pub owners: Vec<GroupOwnership>,
-        /// The groups that it owns itself, sorted.
+        /// Groups that the VM owns, sorted.
         pub groups: Vec<GroupStatus>,
-        /// The VMs it takes to be alive, sorted.
+        /// VMs that are alive in the VM's view, sorted.
         pub live: Vec<VmName>,
-        /// How often each invariant was found broken; a sound system shows zeros.
+        /// Violations per invariant; zero unless there is a defect.
         pub invariants: Vec<InvariantCount>,
     }
 
-    /// How far a VM has read a stream.
+    /// Read position of a VM in a stream.
     pub struct StreamStatus {
-        /// The stream's name.
+        /// Name of the stream.
         pub stream: String,
-        /// The offset of the next record that it will fold.
+        /// Offset of the next record to fold.
         pub next: u64,
-        /// The offset after the stream's last record, as the log last said.
+        /// Offset after the last record of the stream, as last reported by the log.
         pub end: u64,
         /// Milliseconds since the log last answered a read of the stream.
         pub silent_ms: u64,
     }
 
-    /// A group at its owner.
+    /// Status of a group at its owner.
     pub struct GroupStatus {
         /// The group.
         pub group: GroupName,
-        /// The owner's epoch.
+        /// Epoch of the owner.
         pub epoch: OwnerEpoch,
-        /// Waiting requests of each class.
+        /// Waiting requests per class.
         pub queues: Vec<QueueStatus>,
-        /// The group's engines, sorted.
+        /// Engines of the group, sorted.
         pub servers: Vec<ServerStatus>,
     }
 
-    /// A class's queue in a group.
+    /// Queue of one class in a group.
     #[derive(Copy, Eq)]
     pub struct QueueStatus {
         /// The class.
         pub class: RequestClass,
-        /// How many requests wait.
+        /// Number of waiting requests.
         pub waiting: u32,
     }
 
-    /// An engine as its group's owner sees it.
+    /// Status of an engine at its group's owner.
     pub struct ServerStatus {
         /// The engine.
         pub server: ServerName,
-        /// Whether it answers.
+        /// Whether the engine answers.
         pub up: bool,
-        /// Whether it drains.
+        /// Whether the engine is draining.
         pub draining: bool,
-        /// Requests that run on it.
+        /// Number of requests running on the engine.
         pub running: u32,
-        /// Its loaded slots.
+        /// Slots with a loaded adapter.
         pub slots: Vec<SlotStatus>,
     }
 
-    /// A loaded slot.
+    /// Status of a loaded slot.
     pub struct SlotStatus {
-        /// The adapter version in it.
+        /// Adapter version in the slot.
         pub adapter: AdapterVersion,
-        /// Grants that pin it.
+        /// Number of grants that pin the slot.
         pub in_use: u32,
     }
 
-    /// How often an invariant was found broken.
+    /// Number of violations of an invariant.
     pub struct InvariantCount {
-        /// The invariant's name, as in the metrics.
+        /// Name of the invariant, as in the metrics.
         pub invariant: String,
-        /// How often.
+        /// Number of violations since the process started.
         pub broken: u64,
     }
 
-    /// Asks a VM for the steps of a request that it handled.
+    /// Request for the steps of a request that the receiver handled.
     pub struct ExplainCall {
         /// The request.
         pub id: RequestId,
     }
 
-    /// The steps of a request, oldest first; empty if the VM does not remember it.
+    /// Steps of a request, oldest first; empty if the VM no longer has them.
     pub struct ExplainReply {
-        /// The VM that handled it.
+        /// VM that replies.
         pub vm: VmIdentity,
-        /// The steps.
+        /// The steps, oldest first.
         pub steps: Vec<ExplainStep>,
     }
 
@@ -196,40 +199,40 @@
     pub struct ExplainStep {
         /// Milliseconds since the request arrived.
         pub at_ms: u64,
-        /// What happened.
+        /// Kind of the step.
         pub kind: StepKind,
-        /// The particulars, as text for a human: names, counts and reasons.
+        /// Details for operators as free text: names, counts and reasons.
         pub detail: String,
     }
 
-    /// The kinds of steps.
+    /// Kind of a step in the processing of a request.
     #[derive(Copy, Eq)]
     pub enum StepKind {
-        /// It arrived and was checked.
+        /// The request arrived and was validated.
         Arrived,
         /// Its idempotency key was claimed in the log.
         Claimed,
-        /// A grant was asked for.
+        /// A grant was requested.
         Reserved,
-        /// It waited in the owner's queue.
+        /// The request waited in the owner's queue.
         Queued,
-        /// A grant came.
+        /// A grant was received.
         Granted,
-        /// It was sent to a backend server.
+        /// The request was sent to a backend server.
         Sent,
-        /// The first token or byte of the answer came.
+        /// The first token or byte of the response was received.
         FirstByte,
         /// An attempt failed and another may follow.
         Retried,
-        /// It was refused.
+        /// The request was refused.
         Refused,
-        /// It ended.
+        /// The request ended.
         Ended,
     }
 }
 
 impl StepKind {
-    /// The step's name in `explain` and in logs.
+    /// Returns the name of the step in `explain` and in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/decision/tests/suite/credentials.rs
+++ b/decision/tests/suite/credentials.rs
@@ -1,4 +1,4 @@
-//! Credentials are found by their hashes, and hashes are never printed.
+//! Credentials are looked up by hash, and hashes are never printed.
 
 use coltsfoothook_decision::credential::{CredentialHash, CredentialTable};
 
@@ -13,11 +13,13 @@
     assert_eq!(table.find(""), None);
 }
 
-/// An operator's secret that is also a tenant's would open operator calls to that tenant.
+/// A secret shared by an operator and a customer would let that customer make operator calls.
 #[test]
 fn roles_apart() {
-    let table = |words: &[&str]| {
-        CredentialTable::new(words.iter().map(|word| (CredentialHash::of(word), ())).collect())
+    let table = |credentials: &[&str]| {
+        CredentialTable::new(
+            credentials.iter().map(|credential| (CredentialHash::of(credential), ())).collect(),
+        )
     };
     let operators = table(&["o1", "o2"]);
     assert!(operators.find("t1").is_none());
--- a/decision/tests/suite/domain_news.rs
+++ b/decision/tests/suite/domain_news.rs
@@ -1,7 +1,8 @@
-//! What an aggregator tells the VMs of its failure domain, and what they make of it.
+//! Updates from an aggregator to the VMs of its failure domain.
 //!
-//! In a large fleet a VM knows of the others' requests and of what servers hold by these messages alone. Some
-//! are lost, some come twice; what a VM believes must come back to what the aggregator knows.
+//! In a large fleet these updates are a VM's only source for the requests of other VMs and the
+//! adapters at servers. Despite lost and duplicated messages a VM's view must converge to the
+//! aggregator's.
 
 use coltsfoothook_decision::backend::{BackendTable, ServerOwner};
 use coltsfoothook_decision::counts::LoadFigure;
@@ -34,8 +35,8 @@
     AdapterKey { model: "base".into(), adapter: name.into() }
 }
 
-/// The owner of a server tells of its adapters.
-fn told_by_owner(
+/// Reports the adapters of a server as its owner does.
+fn report_by_owner(
     table: &mut BackendTable,
     server: &str,
     revision: u64,
@@ -57,49 +58,49 @@
     held.iter().map(|holding| holding.key.adapter.as_str().to_owned()).collect()
 }
 
-fn take(table: &mut BackendTable, changes: &[ListChange], now: u64) {
+fn apply(table: &mut BackendTable, changes: &[ListChange], now: u64) {
     for change in changes {
         table.change(change.clone(), TimePoint(now));
     }
 }
 
-/// The first message has the whole list, the next ones what changed alone. A VM that missed one takes no
-/// change on top of it: it would believe in a list that no server ever had.
+/// The first update has the complete list, later ones only changes. A VM that missed a change must
+/// not apply the next one, which would give a list that the server never had.
 #[test]
 fn missed_change() {
-    let (mut hub, mut good, mut lossy) = (table(1), table(1), table(1));
+    let (mut aggregator, mut good, mut lossy) = (table(1), table(1), table(1));
     let mut writer = NewsWriter::default();
-    told_by_owner(&mut hub, "s000", 1, &[("a1", 0), ("a2", 0)], START);
-    let first = writer.changes(&hub, usize::MAX, TimePoint(START));
+    report_by_owner(&mut aggregator, "s000", 1, &[("a1", 0), ("a2", 0)], START);
+    let first = writer.changes(&aggregator, usize::MAX, TimePoint(START));
     assert_eq!(first[0].base, None);
-    take(&mut good, &first, START);
-    take(&mut lossy, &first, START);
+    apply(&mut good, &first, START);
+    apply(&mut lossy, &first, START);
     let later = START + 200 * MILLI;
-    told_by_owner(&mut hub, "s000", 2, &[("a2", 0)], later);
-    take(&mut good, &writer.changes(&hub, usize::MAX, TimePoint(later)), later);
-    told_by_owner(&mut hub, "s000", 3, &[("a2", 0), ("a3", later + 300 * MILLI)], later);
-    let third = writer.changes(&hub, usize::MAX, TimePoint(later));
+    report_by_owner(&mut aggregator, "s000", 2, &[("a2", 0)], later);
+    apply(&mut good, &writer.changes(&aggregator, usize::MAX, TimePoint(later)), later);
+    report_by_owner(&mut aggregator, "s000", 3, &[("a2", 0), ("a3", later + 300 * MILLI)], later);
+    let third = writer.changes(&aggregator, usize::MAX, TimePoint(later));
     assert_eq!((third[0].adapters.len(), third[0].dropped.len()), (1, 0));
-    take(&mut good, &third, later);
-    take(&mut lossy, &third, later);
+    apply(&mut good, &third, later);
+    apply(&mut lossy, &third, later);
     assert_eq!(holds(&good, "s000"), ["a2", "a3"]);
     assert_eq!(holds(&lossy, "s000"), ["a1", "a2"]);
-    // An owner repeats its lists; the whole one comes again within some seconds.
+    // The owner repeats its lists; the aggregator sends a complete one within some seconds.
     let mut now = later;
     while now < later + 7 * SECOND {
         now += 150 * MILLI;
-        told_by_owner(&mut hub, "s000", 3, &[("a2", 0), ("a3", later + 300 * MILLI)], now);
-        take(&mut lossy, &writer.changes(&hub, usize::MAX, TimePoint(now)), now);
+        report_by_owner(&mut aggregator, "s000", 3, &[("a2", 0), ("a3", later + 300 * MILLI)], now);
+        apply(&mut lossy, &writer.changes(&aggregator, usize::MAX, TimePoint(now)), now);
     }
     assert_eq!(holds(&lossy, "s000"), ["a2", "a3"]);
 }
 
-/// Random changes and losses of one message in ten: a VM's view is that of the aggregator again as soon as
-/// the whole lists were told once more, and its owners never look silent meanwhile.
+/// Random changes, with one update in ten lost: the view must match the aggregator's after the next
+/// complete lists, and every server must have a live owner meanwhile.
 #[test]
 fn random_losses() {
     let mut random = Pcg64::seed_from_u64(11);
-    let (mut hub, mut view) = (table(20), table(20));
+    let (mut aggregator, mut view) = (table(20), table(20));
     let mut writer = NewsWriter::default();
     let mut lists: Vec<(u64, Vec<(String, u64)>)> = vec![(1, Vec::new()); 20];
     let mut now = START;
@@ -114,90 +115,98 @@
                 held.dedup_by(|a, b| a.0 == b.0);
             }
             let borrowed: Vec<(&str, u64)> = held.iter().map(|(n, at)| (n.as_str(), *at)).collect();
-            told_by_owner(&mut hub, &format!("s{number:03}"), *revision, &borrowed, now);
+            report_by_owner(&mut aggregator, &format!("s{number:03}"), *revision, &borrowed, now);
         }
-        let changes = writer.changes(&hub, usize::MAX, TimePoint(now));
+        let changes = writer.changes(&aggregator, usize::MAX, TimePoint(now));
         if !random.next_u64().is_multiple_of(10) {
-            take(&mut view, &changes, now);
+            apply(&mut view, &changes, now);
         }
         for server in view.servers().iter().filter(|_| step > 30) {
             let owner = view.owner(server.name(), TimePoint(now));
-            assert!(owner.is_some(), "{} looks as if nobody ordered it", server.name());
+            assert!(owner.is_some(), "{} has no live owner", server.name());
         }
     }
-    for server in hub.servers() {
-        assert_eq!(holds(&view, server.name()), holds(&hub, server.name()));
+    for server in aggregator.servers() {
+        assert_eq!(holds(&view, server.name()), holds(&aggregator, server.name()));
     }
 }
 
-/// Two domains of a fleet: what a VM knows of a server is its own requests as they are now and the others' as
-/// the aggregators told them, its own not counted twice.
+/// Two failure domains: a VM's load figure for a server combines its own current requests with the
+/// others' as reported by the aggregators, without counting its own twice.
 #[test]
-fn own_once() {
+fn own_requests_counted_once() {
     let now = TimePoint(START);
-    let (mut hub, mut view) = (table(1), table(1));
+    let (mut aggregator, mut view) = (table(1), table(1));
     view.sent("s000", 900, now);
     view.told_loads();
-    hub.peer_load(&"vm-1".into(), "s000", view.own_load("s000"), now);
-    hub.peer_load(&"vm-2".into(), "s000", LoadFigure { running: 4, unread: 100 }, now);
+    aggregator.peer_load(&"vm-1".into(), "s000", view.own_load("s000"), now);
+    aggregator.peer_load(&"vm-2".into(), "s000", LoadFigure { running: 4, unread: 100 }, now);
     let mut writer = NewsWriter::default();
     let other: Vec<(ServerName, LoadFigure)> =
         vec![("s000".into(), LoadFigure { running: 10, unread: 2_000 })];
     writer.take_sums(&"vm-9".into(), other, now);
-    let fleet = writer.fleet_loads(&hub.member_loads(now), now);
+    let fleet = writer.fleet_loads(&aggregator.member_loads(now), now);
     assert_eq!(fleet[0].1, LoadFigure { running: 15, unread: 3_000 });
     view.fleet_load("s000", fleet[0].1, now);
     assert_eq!(view.get("s000").unwrap().load(now), LoadFigure { running: 15, unread: 3_000 });
     view.sent("s000", 500, now);
     assert_eq!(view.get("s000").unwrap().load(now), LoadFigure { running: 16, unread: 3_500 });
-    // Another aggregator that fell silent is counted no more, nor is a whole fleet of which nothing is heard.
+    // Expired sums of another aggregator, and an expired sum over the fleet, are not counted.
     let late = TimePoint(START + 2 * SECOND);
-    assert_eq!(writer.fleet_loads(&hub.member_loads(late), late)[0].1, LoadFigure::default());
+    assert_eq!(
+        writer.fleet_loads(&aggregator.member_loads(late), late)[0].1,
+        LoadFigure::default()
+    );
     assert_eq!(view.get("s000").unwrap().load(late).running, 2);
 }
 
-/// The fleet starts, and the lists of 860 servers are told at once. In one datagram they would not be sent at all,
-/// and taken for told.
+/// At a start the lists of all 860 servers are sent. In a single message they would exceed a
+/// datagram and be lost, but be recorded as sent.
 #[test]
-fn many_lists() {
+fn lists_fit_into_datagrams() {
     let now = TimePoint(START);
-    let mut hub = table(860);
+    let mut aggregator = table(860);
     let names: Vec<String> = (0..10).map(|number| format!("a{number}")).collect();
     let held: Vec<(&str, u64)> = names.iter().map(|name| (name.as_str(), 0)).collect();
     for server in 0..860 {
-        told_by_owner(&mut hub, &format!("s{server:03}"), 1, &held, START);
+        report_by_owner(&mut aggregator, &format!("s{server:03}"), 1, &held, START);
     }
-    let parts = parts(NewsWriter::default().changes(&hub, usize::MAX, now));
+    let parts = parts(NewsWriter::default().changes(&aggregator, usize::MAX, now));
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 860);
     for part in &parts {
-        assert!(serde_json::to_vec(part).unwrap().len() < 60_000, "longer than any datagram");
+        assert!(
+            serde_json::to_vec(part).unwrap().len() < 60_000,
+            "message too long for a datagram"
+        );
     }
 }
 
-/// A fleet that starts, whose aggregators tell of all lists at once, fill their links and look as if they were gone.
+/// At a start an aggregator must not saturate its link with all lists at once, which would make it
+/// appear dead.
 #[test]
 fn bounded_lists() {
-    const MOST: usize = 100;
-    let mut hub = table(500);
+    const MAX_ENTRIES: usize = 100;
+    let mut aggregator = table(500);
     let names: Vec<String> = (0..10).map(|number| format!("a{number}")).collect();
     let held: Vec<(&str, u64)> = names.iter().map(|name| (name.as_str(), 0)).collect();
     for server in 0..500 {
-        told_by_owner(&mut hub, &format!("s{server:03}"), 1, &held, START);
+        report_by_owner(&mut aggregator, &format!("s{server:03}"), 1, &held, START);
     }
-    let (mut writer, mut told) = (NewsWriter::default(), Vec::new());
-    for telling in 0..60 {
-        let now = START + telling * 150;
-        let changes = writer.changes(&hub, MOST, TimePoint(now));
+    let (mut writer, mut listed_servers) = (NewsWriter::default(), Vec::new());
+    for round in 0..60 {
+        let now = START + round * 150;
+        let changes = writer.changes(&aggregator, MAX_ENTRIES, TimePoint(now));
         let listed: usize = changes.iter().map(|change| 1 + change.adapters.len()).sum();
-        assert!(listed < MOST + 20, "{listed} adapters in one telling");
-        told.extend(changes.into_iter().map(|change| change.server));
+        assert!(listed < MAX_ENTRIES + 20, "{listed} entries in one update");
+        listed_servers.extend(changes.into_iter().map(|change| change.server));
     }
-    told.sort();
-    told.dedup();
-    assert_eq!(told.len(), 500, "some lists are never told");
+    listed_servers.sort();
+    listed_servers.dedup();
+    assert_eq!(listed_servers.len(), 500, "some lists were never sent");
 }
 
-/// Thousands of idle plain servers that are told of each time; or one whose requests ended and that is not.
+/// Counts of idle servers must not be sent in every update, but the end of a server's requests must
+/// be.
 #[test]
 fn busy_servers() {
     let figure = |running| LoadFigure { running, unread: 0 };
@@ -212,10 +221,10 @@
     let mut writer = NewsWriter::default();
     assert!(writer.news_loads(fleet(&[]), usize::MAX).is_empty());
     assert_eq!(writer.news_loads(fleet(&[(7, 1), (9, 2)]), usize::MAX).len(), 2);
-    // It is told several times that the requests ended, since a message may be lost, and then no more.
-    let tellings: Vec<usize> =
+    // The drop to zero is sent several times, since a message may be lost, and then no more.
+    let counts: Vec<usize> =
         (0..5).map(|_| writer.news_loads(fleet(&[(9, 2)]), usize::MAX).len()).collect();
-    assert_eq!(tellings, [2, 2, 2, 1, 1]);
+    assert_eq!(counts, [2, 2, 2, 1, 1]);
     let first = writer.news_loads(fleet(&[(9, 2), (11, 5), (12, 1)]), 2);
     assert_eq!(first[0].1, figure(5));
     assert_eq!(first.len(), 2);
--- a/decision/tests/suite/main.rs
+++ b/decision/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, one file a feature.
+//! Tests of the decision logic, one file per feature.
 
 mod claim_once;
 mod config_race;
--- a/decision/tests/suite/member_probes.rs
+++ b/decision/tests/suite/member_probes.rs
@@ -1,6 +1,6 @@
-// VMs die, stand still, restart and are parted from each other while the platform's list lags. A
-// dead VM is out of every view within 3 s, one that only stood still or restarted comes back, and
-// two sides of a partition never both see a majority.
+// Membership while VMs die, are suspended, restart and are partitioned, and the platform's list
+// lags. A dead VM must leave every view within 3 s, a suspended or restarted one must come back,
+// and at most one side of a partition may see a majority.
 
 use std::net::SocketAddr;
 
@@ -17,25 +17,25 @@
     Reply(ProbeReply),
 }
 
-struct Flying {
+struct InFlight {
     at: TimePoint,
     from: usize,
     to: usize,
     message: Message,
 }
 
-struct Seat {
+struct SimulatedVm {
     table: Option<MemberTable>,
-    paused: bool,
-    side: bool,
+    suspended: bool,
+    partitioned: bool,
 }
 
-/// A few VMs with a millisecond or two between them, ticked every 20 ms.
+/// Simulated fleet with a network delay of one or two milliseconds, ticked every 20 ms.
 struct Fleet {
     now: TimePoint,
     rng: Pcg64,
-    seats: Vec<Seat>,
-    flying: Vec<Flying>,
+    vms: Vec<SimulatedVm>,
+    in_flight: Vec<InFlight>,
     calls: Vec<(u64, usize, usize)>,
     digests: usize,
     changes: Vec<(usize, MemberChange)>,
@@ -50,20 +50,23 @@
     format!("vm-{at:03}")
 }
 
-fn start(at: usize, life: u64) -> MemberTable {
-    let vm = VmIdentity { vm: name(at).into(), incarnation: VmIncarnation(life) };
+fn start(at: usize, incarnation: u64) -> MemberTable {
+    let vm = VmIdentity { vm: name(at).into(), incarnation: VmIncarnation(incarnation) };
     MemberTable::new(MemberSettings::default(), vm, place(at))
 }
 
 impl Fleet {
     fn new(count: usize, seed: u64) -> Self {
-        let seats =
-            (0..count).map(|at| Seat { table: Some(start(at, 900)), paused: false, side: false });
+        let vms = (0..count).map(|at| SimulatedVm {
+            table: Some(start(at, 900)),
+            suspended: false,
+            partitioned: false,
+        });
         let mut fleet = Self {
             now: TimePoint(0),
             rng: Pcg64::seed_from_u64(seed),
-            seats: seats.collect(),
-            flying: Vec::new(),
+            vms: vms.collect(),
+            in_flight: Vec::new(),
             calls: Vec::new(),
             digests: 0,
             changes: Vec::new(),
@@ -76,7 +79,7 @@
     }
 
     fn list(&mut self, at: usize) {
-        let entries = (0..self.seats.len()).map(|other| ListedVm {
+        let entries = (0..self.vms.len()).map(|other| ListedVm {
             name: name(other).into(),
             place: place(other),
             state: ListedState::Live,
@@ -86,7 +89,7 @@
     }
 
     fn handle(&mut self, at: usize, event: MemberEvent) {
-        let Some(table) = &mut self.seats[at].table else { return };
+        let Some(table) = &mut self.vms[at].table else { return };
         let mut actions = Vec::new();
         table.handle(self.now, event, &mut self.rng, &mut actions);
         for action in actions {
@@ -106,17 +109,17 @@
     }
 
     fn send(&mut self, from: usize, to: &str, message: Message) {
-        let Some(to) = (0..self.seats.len()).find(|at| name(*at) == to) else { return };
+        let Some(to) = (0..self.vms.len()).find(|at| name(*at) == to) else { return };
         let at = self.now.plus(self.rng.random_range(500..2_000));
-        self.flying.push(Flying { at, from, to, message });
+        self.in_flight.push(InFlight { at, from, to, message });
     }
 
     fn run(&mut self, ms: u64) {
         let end = self.now.plus(ms * MICROS_PER_MILLI);
         while self.now < end {
             self.now = self.now.plus(20 * MICROS_PER_MILLI);
-            for at in 0..self.seats.len() {
-                if !self.seats[at].paused {
+            for at in 0..self.vms.len() {
+                if !self.vms[at].suspended {
                     self.handle(at, MemberEvent::Tick);
                 }
             }
@@ -126,17 +129,19 @@
     }
 
     fn deliver(&mut self) {
-        for flying in std::mem::take(&mut self.flying) {
-            let (from, to) = (flying.from, flying.to);
-            if self.seats[to].paused {
-                self.flying.push(flying);
+        for packet in std::mem::take(&mut self.in_flight) {
+            let (from, to) = (packet.from, packet.to);
+            if self.vms[to].suspended {
+                self.in_flight.push(packet);
                 continue;
             }
-            let _ = flying.at;
-            if self.seats[from].side != self.seats[to].side || self.seats[to].table.is_none() {
+            let _ = packet.at;
+            if self.vms[from].partitioned != self.vms[to].partitioned
+                || self.vms[to].table.is_none()
+            {
                 continue;
             }
-            match flying.message {
+            match packet.message {
                 Message::Probe(message) => {
                     let call = self.calls.len() as u64;
                     self.calls.push((call, to, from));
@@ -148,7 +153,7 @@
     }
 
     fn table(&self, at: usize) -> &MemberTable {
-        self.seats[at].table.as_ref().expect("it runs")
+        self.vms[at].table.as_ref().expect("VM is running")
     }
 
     fn seen_live(&self, by: usize) -> usize {
@@ -156,14 +161,14 @@
     }
 
     fn running(&self) -> Vec<usize> {
-        (0..self.seats.len()).filter(|at| self.seats[*at].table.is_some()).collect()
+        (0..self.vms.len()).filter(|at| self.vms[*at].table.is_some()).collect()
     }
 }
 
 #[test]
-fn all_meet() {
+fn all_vms_discover_each_other() {
     for count in [2, 6, 60] {
-        // Nobody knows anybody at first: the more VMs, the longer they need.
+        // No VM knows another at first; discovery takes longer in larger fleets.
         let mut fleet = Fleet::new(count, 1);
         fleet.run(200 * count as u64);
         for at in 0..count {
@@ -173,16 +178,16 @@
 }
 
 #[test]
-fn dead_vm_gone_in_three_seconds() {
+fn dead_vm_removed_within_three_seconds() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(9, seed);
-        fleet.seats[4].table = None;
+        fleet.vms[4].table = None;
         fleet.run(3_000);
         for at in fleet.running() {
             let state = fleet.table(at).state_of("vm-004");
             assert!(
                 !fleet.table(at).live().any(|row| row.name() == "vm-004"),
-                "seed {seed}: {at} still has it as {state:?}"
+                "seed {seed}: VM {at} still lists it as {state:?}"
             );
         }
         fleet.run(1_500);
@@ -195,56 +200,59 @@
 #[test]
 fn paused_vm_blames_nobody() {
     let mut fleet = Fleet::new(5, 3);
-    fleet.seats[2].paused = true;
+    fleet.vms[2].suspended = true;
     fleet.run(60_000);
     assert_eq!(fleet.table(0).state_of("vm-002"), Some(MemberState::Dead));
-    fleet.seats[2].paused = false;
+    fleet.vms[2].suspended = false;
     fleet.run(100);
-    assert_eq!(fleet.seen_live(2), 5, "it does not take its own pause for the others' death");
+    assert_eq!(fleet.seen_live(2), 5, "the resumed VM must not declare the others dead");
     fleet.run(5_000);
     for at in 0..5 {
-        assert_eq!(fleet.seen_live(at), 5, "{at} takes it back");
+        assert_eq!(fleet.seen_live(at), 5, "VM {at} sees the resumed VM as alive");
     }
 }
 
 #[test]
 fn probes_before_a_pause_prove_nothing() {
-    // The pause begins while a probe is under way; the VM wakes, and its clock says that the answer
-    // is long overdue, though it lies in the VM's own buffers.
+    // The VM is suspended while a probe is in flight. When it resumes, the reply is overdue by its
+    // clock but may still be in its buffers.
     let mut fleet = Fleet::new(2, 8);
-    let mut table = fleet.seats[0].table.take().expect("it runs");
+    let mut table = fleet.vms[0].table.take().expect("VM is running");
     let mut tick = |after_ms: u64| {
         let mut actions = Vec::new();
         fleet.now = fleet.now.plus(after_ms * MICROS_PER_MILLI);
         table.handle(fleet.now, MemberEvent::Tick, &mut fleet.rng, &mut actions);
         actions
     };
-    let probed = (0..40)
+    let sent_probe = (0..40)
         .any(|_| tick(20).iter().any(|action| matches!(action, MemberAction::SendProbe { .. })));
-    assert!(probed);
-    let woken = tick(60_000);
-    let blames = |action: &MemberAction| matches!(action, MemberAction::Changed(_));
-    assert!(!woken.iter().any(blames), "{woken:?}");
+    assert!(sent_probe);
+    let resumed = tick(60_000);
+    let is_change = |action: &MemberAction| matches!(action, MemberAction::Changed(_));
+    assert!(!resumed.iter().any(is_change), "{resumed:?}");
     assert_eq!(table.live().count(), 2);
 }
 
 #[test]
 fn restarted_vm_replaces_itself() {
-    // The later life has the lower number, as after a clock that jumped back.
+    // The later incarnation has the lower number, as after a clock that jumped back.
     let mut fleet = Fleet::new(5, 4);
-    fleet.seats[1].table = Some(start(1, 3));
+    fleet.vms[1].table = Some(start(1, 3));
     fleet.list(1);
     fleet.run(4_000);
     let old = VmIdentity { vm: "vm-001".into(), incarnation: VmIncarnation(900) };
-    let ended = MemberState::Dead;
+    let dead = MemberState::Dead;
     for at in [0, 2, 3, 4] {
-        let told = |(by, change): &(usize, MemberChange)| {
-            *by == at && change.vm == old && change.state == ended
+        let notified = |(by, change): &(usize, MemberChange)| {
+            *by == at && change.vm == old && change.state == dead
         };
-        assert!(fleet.changes.iter().any(told), "{at} is not told of the earlier life's end");
+        assert!(
+            fleet.changes.iter().any(notified),
+            "VM {at} got no notification that the earlier incarnation ended"
+        );
     }
     for at in 0..5 {
-        assert!(!fleet.table(at).runs(&old), "{at} believes in the earlier life");
+        assert!(!fleet.table(at).runs(&old), "VM {at} considers the earlier incarnation running");
         assert_eq!(fleet.seen_live(at), 5);
     }
 }
@@ -253,16 +261,16 @@
 fn one_side_has_the_majority() {
     let mut fleet = Fleet::new(5, 5);
     for at in [0, 1] {
-        fleet.seats[at].side = true;
+        fleet.vms[at].partitioned = true;
     }
     fleet.run(5_000);
     let majorities: Vec<bool> = (0..5).map(|at| fleet.table(at).majority("r")).collect();
     assert_eq!(majorities, [false, false, true, true, true]);
     fleet.run(120_000);
-    fleet.seats.iter_mut().for_each(|seat| seat.side = false);
+    fleet.vms.iter_mut().for_each(|vm| vm.partitioned = false);
     fleet.run(20_000);
     for at in 0..5 {
-        assert_eq!(fleet.seen_live(at), 5, "{at} finds the others after a long time apart");
+        assert_eq!(fleet.seen_live(at), 5, "VM {at} sees all others after the partition healed");
     }
 }
 
@@ -290,6 +298,6 @@
     assert!(fleet.digests <= MemberSettings::default().digests, "{} digests", fleet.digests);
     for at in 0..20 {
         let known = fleet.table(at).others().iter().filter(|row| row.facts().weight == 7).count();
-        assert_eq!(known, 19, "{at} knows the facts of {known}");
+        assert_eq!(known, 19, "VM {at} knows the facts of {known} others");
     }
 }
--- a/decision/tests/suite/record_questions.rs
+++ b/decision/tests/suite/record_questions.rs
@@ -1,42 +1,42 @@
-//! How long a question that the store holds may go unanswered.
+//! Timeouts of long polls to the store.
 
 use std::time::Duration;
 
 use coltsfoothook_decision::question::{HeldQuestion, QuestionPacer};
 use proptest::prelude::*;
 
-/// The part of a promise that an answer may be late by, whether it ends a hold or follows a lost question:
-/// half a second of the two seconds that small sites allow.
-const LATE_PART: f64 = 0.25;
+/// Fraction of a promise by which an answer may be late, whether at the end of a hold or after a
+/// lost poll: half a second of the two seconds that small sites allow.
+const LATE_FRACTION: f64 = 0.25;
 
 fn held(pacer: &QuestionPacer) -> HeldQuestion {
-    pacer.next().expect("the store is asked to hold it")
+    pacer.next().expect("a long poll")
 }
 
 proptest! {
-    /// Operators publish a configuration right after the store lost a question. The question is given up and
-    /// asked again, and the answer to that is late: the configuration is in force in time all the same.
+    /// A configuration is published right after the store lost a poll. The poll times out, is
+    /// repeated, and its answer is late: the configuration must still be in force in time.
     #[test]
     fn lost_once(promise_ms in 100u64..3_600_000) {
         let promise = Duration::from_millis(promise_ms);
         let mut pacer = QuestionPacer::new(promise);
-        let given_up = held(&pacer).within;
+        let timeout = held(&pacer).within;
         pacer.failed();
-        prop_assert!(pacer.next().is_none(), "the next one is to be answered at once");
-        prop_assert!(given_up + promise.mul_f64(LATE_PART) < promise);
+        prop_assert!(pacer.next().is_none(), "the next poll must be answered at once");
+        prop_assert!(timeout + promise.mul_f64(LATE_FRACTION) < promise);
     }
 
-    /// A store that is slow answers at the end of the hold and a while later. Such a question is not taken to be
-    /// lost: asked again each time, it would burden the store further.
+    /// A slow store answers late after the end of the hold. Such a poll must not be considered
+    /// lost, since repeating it would burden the store further.
     #[test]
     fn slow_answers(promise_ms in 100u64..3_600_000) {
         let promise = Duration::from_millis(promise_ms);
-        let question = held(&QuestionPacer::new(promise));
-        prop_assert!(question.hold + promise.mul_f64(LATE_PART) <= question.within + Duration::from_micros(1));
+        let poll = held(&QuestionPacer::new(promise));
+        prop_assert!(poll.hold + promise.mul_f64(LATE_FRACTION) <= poll.within + Duration::from_micros(1));
     }
 }
 
-/// Whether the store is back shows by a question that is answered at once; from then on it holds them again.
+/// After a failure the next poll is answered at once, and after a success polls are held again.
 #[test]
 fn after_an_outage() {
     let mut pacer = QuestionPacer::new(Duration::from_secs(2));
--- a/decision/tests/suite/removed_keys.rs
+++ b/decision/tests/suite/removed_keys.rs
@@ -1,4 +1,4 @@
-//! Keys that were taken away, at VMs that are cut off, frozen, told late or started anew.
+//! Revoked keys at VMs that are cut off, frozen, notified late or restarted.
 
 use std::time::Duration;
 
@@ -63,22 +63,23 @@
     }
 }
 
-/// A VM that has not heard of the store for long lets a key in, or says for good that it is wrong.
+/// A VM without a recent confirmation must neither accept a key nor reject it for good.
 #[test]
 fn verdicts() {
     let table = table(1, &["k1", "k2"]);
-    let young = Some(9 * SECOND);
-    assert_eq!(verdict(&table, "/kept/1", Some("k2"), young), "c");
-    assert_eq!(verdict(&table, "/kept/1", Some("k3"), young), "unknown");
-    assert_eq!(verdict(&table, "/kept/1", None, young), "unknown");
+    let recent = Some(9 * SECOND);
+    assert_eq!(verdict(&table, "/kept/1", Some("k2"), recent), "c");
+    assert_eq!(verdict(&table, "/kept/1", Some("k3"), recent), "unknown");
+    assert_eq!(verdict(&table, "/kept/1", None, recent), "unknown");
     assert_eq!(verdict(&table, "/kept/1", Some("k1"), Some(5 * SECOND)), "unconfirmed");
     assert_eq!(verdict(&table, "/kept/1", Some("k1"), None), "unconfirmed");
-    assert_eq!(verdict(&table, "/open/1", Some("k1"), young), "c");
+    assert_eq!(verdict(&table, "/open/1", Some("k1"), recent), "c");
     assert_eq!(verdict(&table, "/open/1", Some("k1"), None), "anybody");
     assert_eq!(verdict(&table, "/open/1", None, None), "anybody");
 }
 
-/// A customer's rank goes before that of its requests' routes, and theirs before each other.
+/// A customer's priority takes precedence over that of the route, which orders requests of equal
+/// priority.
 #[test]
 fn ranks() {
     let table = table(1, &["k1"]);
@@ -90,10 +91,10 @@
     assert_eq!(rank("/open/1", plan), 3);
 }
 
-/// A key that callers go on to use after it was taken away, and that costs a question to the store each time; or
-/// one that was added again and is still taken for wrong.
+/// A key that is used after its revocation must not cause a query to the store each time, and one
+/// that was added again must be accepted.
 #[test]
-fn wrong_again() {
+fn wrong_keys_are_cached() {
     let mut wrong = WrongKeys::default();
     let (first, second) = (table(1, &["k1", "k2"]), table(2, &["k2"]));
     wrong.replaced(&first, &second);
@@ -107,43 +108,44 @@
     assert!(wrong.contains(&key("4999")) && !wrong.contains(&key("0")));
 }
 
-/// A confirmation that was long on its way counts from its arrival.
+/// A confirmation counts from when the query was sent, not from its arrival.
 #[test]
 fn old_answer() {
     let mut confirmation = ConfigConfirmation::new(PROMISE);
-    let (asked, now) = (TimePoint(SECOND), TimePoint(7 * SECOND));
-    confirmation.told(asked, Duration::from_millis(300), now);
+    let (sent_at, now) = (TimePoint(SECOND), TimePoint(7 * SECOND));
+    confirmation.told(sent_at, Duration::from_millis(300), now);
     assert!(!confirmation.is_valid(now));
     assert_eq!(confirmation.need(now), ConfirmationNeed::Urgent);
-    // A mark of the future is not this VM's.
+    // A send time in the future is not this VM's and is ignored.
     confirmation.told(TimePoint(9 * SECOND), Duration::ZERO, now);
     assert!(!confirmation.is_valid(now));
     confirmation.confirmed(TimePoint(6 * SECOND));
     assert!(confirmation.is_valid(now));
 }
 
-/// An answer that is on its way to a VM: what was asked when, the version and its age.
+/// Answer in flight to a VM: when it was queried, and the version and age of the confirmation.
 struct Answer {
     to: usize,
-    life: u64,
-    asked: u64,
+    incarnation: u64,
+    sent_at: u64,
     version: usize,
     age: Duration,
     due: u64,
 }
 
 struct KeyVm {
-    life: u64,
+    incarnation: u64,
     version: usize,
     confirmation: ConfigConfirmation,
     frozen_until: u64,
 }
 
-/// Runs VMs for some seconds; the last version takes the key away. Fails if one of them lets it in too late.
+/// Runs VMs for 20 s; the last version revokes the key. Fails if a VM accepts it after the promised
+/// time.
 fn run(seed: u64) -> Result<(), String> {
     let mut random = Pcg64::seed_from_u64(seed);
-    let fresh = |life| KeyVm {
-        life,
+    let fresh = |incarnation| KeyVm {
+        incarnation,
         version: 0,
         confirmation: ConfigConfirmation::new(PROMISE),
         frozen_until: 0,
@@ -161,34 +163,42 @@
             }
             match random.random_range(0..60) {
                 0 => vms[at].frozen_until = now + random.random_range(0..8) * SECOND,
-                1 => vms[at] = fresh(vms[at].life + 1),
-                // The store is asked; its answer may lie somewhere for seconds.
+                1 => vms[at] = fresh(vms[at].incarnation + 1),
+                // Queries the store; its answer may be delayed for seconds.
                 2..8 if at != cut => {
                     let due = now + random.random_range(1..3_000_000);
-                    let (life, age) = (vms[at].life, Duration::ZERO);
-                    let answer = Answer { to: at, life, asked: now, version: newest, age, due };
+                    let (incarnation, age) = (vms[at].incarnation, Duration::ZERO);
+                    let answer =
+                        Answer { to: at, incarnation, sent_at: now, version: newest, age, due };
                     answers.push(answer);
                 }
-                // Another VM is asked, and answers once it is awake.
+                // Queries another VM, which answers once it is no longer frozen.
                 8..20 => {
                     let other = random.random_range(0..VMS);
                     let from = &vms[other];
                     let answered = now.max(from.frozen_until);
                     if let Some(age) = from.confirmation.age(TimePoint(answered)) {
                         let due = answered + random.random_range(1..2_000_000);
-                        let (life, version) = (vms[at].life, from.version);
-                        answers.push(Answer { to: at, life, asked: now, version, age, due });
+                        let (incarnation, version) = (vms[at].incarnation, from.version);
+                        answers.push(Answer {
+                            to: at,
+                            incarnation,
+                            sent_at: now,
+                            version,
+                            age,
+                            due,
+                        });
                     }
                 }
                 _ => {}
             }
-            let (mine, rest) = answers
+            let (due_answers, rest) = answers
                 .drain(..)
                 .partition::<Vec<_>, _>(|answer| answer.to == at && answer.due <= now);
             answers = rest;
-            for answer in mine {
+            for answer in due_answers {
                 let vm = &mut vms[at];
-                if answer.life != vm.life {
+                if answer.incarnation != vm.incarnation {
                     continue;
                 }
                 let direct = answer.age.is_zero();
@@ -196,13 +206,13 @@
                     vm.version = answer.version;
                 }
                 if answer.version == vm.version {
-                    vm.confirmation.told(TimePoint(answer.asked), answer.age, TimePoint(now));
+                    vm.confirmation.told(TimePoint(answer.sent_at), answer.age, TimePoint(now));
                 }
             }
-            let lets_in = vms[at].version < 2 && vms[at].confirmation.is_valid(TimePoint(now));
+            let accepts = vms[at].version < 2 && vms[at].confirmation.is_valid(TimePoint(now));
             let bound = versions[2] + PROMISE.within.as_micros() as u64;
-            if lets_in && now > bound {
-                return Err(format!("VM {at} lets the key in {} us too late", now - bound));
+            if accepts && now > bound {
+                return Err(format!("VM {at} accepts the key {} us too late", now - bound));
             }
         }
     }
@@ -212,8 +222,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// A key that was taken away opens something after the promised time, in some order of questions, answers
-    /// that lie for seconds, freezes and restarts.
+    /// A revoked key is never accepted after the promised time, for any order of queries, delayed
+    /// answers, freezes and restarts.
     #[test]
     fn never_late(seed in any::<u64>()) {
         let ended = run(seed);
--- a/decision/tests/suite/repeat_budget.rs
+++ b/decision/tests/suite/repeat_budget.rs
@@ -1,4 +1,4 @@
-//! How often requests may be sent again.
+//! Budget for sending requests again.
 
 use coltsfoothook_decision::budget::{RepeatBounds, RepeatBudget};
 use coltsfoothook_decision::id::{ServiceName, TimePoint};
@@ -10,8 +10,8 @@
     (0..1_000).take_while(|_| budget.again(&service, vms, now)).count()
 }
 
-/// Servers fail and each of six VMs would send all its requests again. All together stay within the
-/// share of requests and the slack that operators allow, whatever the moment.
+/// When servers fail, six VMs that would each resend all their requests must together stay within
+/// the ratio and slack, whatever the time.
 #[test]
 fn all_vms_together() {
     let bounds = RepeatBounds { ratio: 0.2, slack: 60.0, window_us: 10 * SECOND };
@@ -27,7 +27,7 @@
     assert!(repeats <= 120 + 60, "{repeats} repeats were allowed");
 }
 
-/// Repeats come back as the window slides on, and not before.
+/// Repeats are available again once the window has moved on, and not before.
 #[test]
 fn window_slides() {
     let bounds = RepeatBounds { ratio: 0.0, slack: 10.0, window_us: 10 * SECOND };
@@ -38,7 +38,7 @@
     assert_eq!(count_allowed(&mut budget, 1, TimePoint(31 * SECOND)), first);
 }
 
-/// Services do not share a budget.
+/// Each service has its own budget.
 #[test]
 fn services_apart() {
     let mut budget = RepeatBudget::new(RepeatBounds { slack: 10.0, ..RepeatBounds::default() });
--- a/decision/tests/suite/tenant_limits.rs
+++ b/decision/tests/suite/tenant_limits.rs
@@ -1,5 +1,6 @@
-// A tenant floods the fleet through several VMs. Each VM knows only what reaches itself and what the
-// others spread, and together they admit the tenant's rate, whether its callers use one VM or all.
+// A customer floods the fleet through several VMs. Each VM knows only the requests that it receives
+// and the usage that the others spread. Together they must admit the customer's rate, whether its
+// callers use one VM or all.
 
 use std::net::SocketAddr;
 
@@ -36,15 +37,15 @@
     ServingManifest { tenants: vec![tenant], ..Default::default() }
 }
 
-/// Runs for `seconds` with `load` requests a second at each VM; returns those admitted a second,
-/// after the shares have settled.
+/// Runs for `seconds` with `load` requests per second at each VM. Returns the requests admitted per
+/// second, after the shares have settled.
 fn admitted(load: [u64; VMS], seconds: u64) -> f64 {
     let mut limiters = vec![CustomerLimiter::default(); VMS];
     limiters.iter_mut().for_each(|limiter| limiter.configure_manifest(TimePoint(0), &manifest()));
     let mut tables: Vec<MemberTable> =
         (0..VMS).map(|at| MemberTable::new(MemberSettings::default(), vm(at), place())).collect();
     let mut rng = Pcg64::seed_from_u64(1);
-    let settled = seconds / 2;
+    let settled_from = seconds / 2;
     let mut count = 0_u64;
     for second in 0..seconds {
         let start = TimePoint(second * 1_000_000);
@@ -67,34 +68,37 @@
             limiters[at].hear_members(start, &tables[at]);
             for n in 0..load[at] {
                 let now = start.plus(n * 1_000_000 / load[at]);
-                let taken = limiters[at].admit(now, "flood", 1.0).is_ok();
-                count += u64::from(taken && second >= settled);
+                let is_admitted = limiters[at].admit(now, "flood", 1.0).is_ok();
+                count += u64::from(is_admitted && second >= settled_from);
             }
         }
     }
-    count as f64 / (seconds - settled) as f64
+    count as f64 / (seconds - settled_from) as f64
 }
 
 #[test]
 fn rate_holds_for_the_fleet() {
     for load in [[100, 100, 100, 100], [400, 0, 0, 0], [300, 50, 50, 0]] {
         let rate = admitted(load, 40);
-        assert!((0.75 * RATE..=1.1 * RATE).contains(&rate), "{load:?} admits {rate} a second");
+        assert!(
+            (0.75 * RATE..=1.1 * RATE).contains(&rate),
+            "{load:?}: {rate} requests admitted per second"
+        );
     }
 }
 
 #[test]
 fn moderate_tenant_is_served() {
     let rate = admitted([9, 9, 9, 9], 40);
-    assert!(rate >= 34.0, "36 of 40 allowed a second are sent, {rate} are admitted");
+    assert!(rate >= 34.0, "{rate} requests admitted per second of 36 sent, with a limit of 40");
 }
 
 #[test]
-fn refusal_tells_when_to_come_back() {
+fn refusal_has_retry_delay() {
     let mut limiter = CustomerLimiter::default();
     limiter.configure_manifest(TimePoint(0), &manifest());
     let refused = (0..100).find_map(|_| limiter.admit(TimePoint(0), "flood", 1.0).err());
-    let wait = refused.expect("a burst of 8 ends").retry_after_ms;
+    let wait = refused.expect("a burst of 8 is exhausted").retry_after_ms;
     assert!((1..=1_000).contains(&wait), "{wait} ms");
     assert!(limiter.admit(TimePoint(0), "unlimited", 1.0).is_ok());
 }
