--- a/decision/src/counts.rs
+++ b/decision/src/counts.rs
@@ -116,10 +116,10 @@
 
     /// Estimates the prompt tokens that the server still has to process: other VMs' counts are
     /// reduced by what it has processed since they were reported.
-    pub(crate) fn unread(&self, pace: ReadingPace, now: TimePoint) -> u64 {
+    pub(crate) fn unread(&self, rate: ReadingPace, now: TimePoint) -> u64 {
         let remaining = |unread: u64, at: TimePoint| {
             let age_us = now.since(at).saturating_sub(UNREDUCED_US);
-            unread.saturating_sub(pace.tokens_in(age_us))
+            unread.saturating_sub(rate.tokens_in(age_us))
         };
         if let Some((others, at)) = self.others(now) {
             return self.own.unread + remaining(others.unread, at);
--- a/decision/src/digest.rs
+++ b/decision/src/digest.rs
@@ -28,9 +28,9 @@
         pub caller: SocketAddr,
         /// Address that other VMs connect to.
         pub peer: SocketAddr,
-        /// Its failure domain.
+        /// Failure domain of the VM.
         pub domain: DomainName,
-        /// Its region.
+        /// Region of the VM.
         pub region: RegionName,
     }
 
--- a/decision/src/domain_news.rs
+++ b/decision/src/domain_news.rs
@@ -182,7 +182,7 @@
     sums: Vec<ReceivedSums>,
     /// Servers whose requests were sent, with how many more times they are sent; sorted by server.
     reported: Vec<(ServerName, u8)>,
-    /// Index of the server whose list is checked first in the first_checked round.
+    /// Index of the server whose list is checked first in the next round.
     first_checked: usize,
 }
 
@@ -218,13 +218,13 @@
     }
 
     /// Selects the request counts to send now: those of servers that have requests or had some
-    /// recently. If there are more than `most`, those with the most unread tokens are sent: most
+    /// recently. If there are more than `max`, those with the most unread tokens are sent: most
     /// servers of a large fleet are idle plain services, whose counts would fill the aggregator's
     /// link.
     pub fn news_loads(
         &mut self,
         mut fleet: Vec<(ServerName, LoadFigure)>,
-        most: usize,
+        max: usize,
     ) -> Vec<(ServerName, LoadFigure)> {
         let previous = std::mem::take(&mut self.reported);
         fleet.retain(|(server, figure)| {
@@ -240,31 +240,26 @@
             left > 0 || at.is_ok()
         });
         self.reported.sort_unstable();
-        if fleet.len() > most {
+        if fleet.len() > max {
             fleet.sort_by_key(|(_, figure)| std::cmp::Reverse((figure.unread, figure.running)));
-            fleet.truncate(most);
+            fleet.truncate(max);
         }
         fleet
     }
 
-    /// Returns the list changes to send now, about `most` entries; the last list may exceed it. The
-    /// rest follows in the first_checked round: after a start all lists are new, and sending them at once to
+    /// Returns the list changes to send now, about `max` entries; the last list may exceed it. The
+    /// rest follows in the next round: after a start all lists are new, and sending them at once to
     /// all VMs of a domain would saturate the aggregator's link for seconds, during which it would
     /// appear dead.
-    pub fn changes(
-        &mut self,
-        table: &BackendTable,
-        most: usize,
-        now: TimePoint,
-    ) -> Vec<ListChange> {
+    pub fn changes(&mut self, table: &BackendTable, max: usize, now: TimePoint) -> Vec<ListChange> {
         self.sent.retain(|sent| table.get(sent.server.as_str()).is_some());
         let servers = table.servers();
-        let from = self.first_checked.min(servers.len());
-        let (second, first) = servers.split_at(from);
+        let start = self.first_checked.min(servers.len());
+        let (second, first) = servers.split_at(start);
         let mut changes = Vec::new();
         let (mut listed, mut checked) = (0, 0);
         for state in first.iter().chain(second).filter(|state| !state.leaving) {
-            if listed >= most {
+            if listed >= max {
                 break;
             }
             checked += 1;
@@ -272,7 +267,7 @@
             listed += 1 + change.adapters.len() + change.dropped.len();
             changes.push(change);
         }
-        self.first_checked = if servers.is_empty() { 0 } else { (from + checked) % servers.len() };
+        self.first_checked = if servers.is_empty() { 0 } else { (start + checked) % servers.len() };
         changes
     }
 
--- a/decision/src/fleet.rs
+++ b/decision/src/fleet.rs
@@ -114,12 +114,13 @@
     ) {
         let first = self.engines[at].incarnation.is_none();
         if !first {
-            let mut ran: Vec<RequestFingerprint> = Vec::new();
+            let mut affected: Vec<RequestFingerprint> = Vec::new();
             let on_engine = |choice: &SlotChoice| choice.server as usize == at;
-            ran.extend(self.grants.iter().filter(|g| on_engine(&g.choice)).map(|g| g.fingerprint));
-            ran.extend(self.foreign.iter().filter(|g| g.server == at).map(|g| g.fingerprint));
-            let grants = ran.len() as u32;
-            self.crash(now, at, &ran, actions);
+            affected
+                .extend(self.grants.iter().filter(|g| on_engine(&g.choice)).map(|g| g.fingerprint));
+            affected.extend(self.foreign.iter().filter(|g| g.server == at).map(|g| g.fingerprint));
+            let grants = affected.len() as u32;
+            self.crash(now, at, &affected, actions);
             self.grants.retain(|grant| !on_engine(&grant.choice));
             self.foreign.retain(|grant| grant.server != at);
             let server = self.engines[at].info.server.clone();
@@ -145,17 +146,17 @@
         }
     }
 
-    /// Records a crash of the engine while the requests `ran` were running; runs that broke
+    /// Records a crash of the engine while the requests `affected` were running; runs that broke
     /// recently are suspects too. If known suspects are among them, only those are blamed.
     pub(crate) fn crash(
         &mut self,
         _now: TimePoint,
         at: usize,
-        ran: &[RequestFingerprint],
+        affected: &[RequestFingerprint],
         actions: &mut Vec<OwnerAction>,
     ) {
         let engine = &mut self.engines[at];
-        let mut suspects: Vec<RequestFingerprint> = ran.to_vec();
+        let mut suspects: Vec<RequestFingerprint> = affected.to_vec();
         suspects.extend(engine.broken.drain(..).map(|run| run.fingerprint));
         suspects.sort_unstable();
         suspects.dedup();
@@ -203,7 +204,7 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         let Some(slot) = self.engines[at].slot(&reported.slot) else {
-            self.adopt(now, at, reported, actions);
+            self.add_reported_slot(now, at, reported, actions);
             return;
         };
         let state = &mut self.engines[at].slots[slot];
@@ -216,7 +217,7 @@
 
     /// Adds a reported slot that this owner did not know to be loaded: one of an earlier epoch, or
     /// one of its own loads that finished late. A slot of a later epoch deposes this owner.
-    fn adopt(
+    fn add_reported_slot(
         &mut self,
         now: TimePoint,
         at: usize,
--- a/decision/src/limit.rs
+++ b/decision/src/limit.rs
@@ -307,8 +307,8 @@
 
     /// Sets the number of reachable VMs and of known VMs, both including this one. If too few of
     /// the known VMs are reachable, the rates are reduced.
-    pub fn in_touch(&mut self, now: TimePoint, seen: usize, known: usize) {
-        let fraction = seen as f64 / known.max(seen).max(1) as f64;
+    pub fn in_touch(&mut self, now: TimePoint, reachable: usize, known: usize) {
+        let fraction = reachable as f64 / known.max(reachable).max(1) as f64;
         let fraction =
             if fraction >= FULL_RATE_FRACTION { 1.0 } else { fraction * MINORITY_FRACTION };
         let before = std::mem::replace(&mut self.fraction, fraction);
--- a/decision/src/member.rs
+++ b/decision/src/member.rs
@@ -34,7 +34,7 @@
 use crate::id::{MICROS_PER_MILLI, TimePoint, VmIdentity, VmName};
 pub use crate::row::MemberRow;
 
-/// Settings of the membership.
+/// Settings of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSettings {
     /// Milliseconds between probes. A probe without an answer fails after this time.
@@ -83,8 +83,8 @@
 pub const SPREAD_PER_VM_MS: u64 = 25;
 /// Maximum number of customers whose usage a VM includes in its digest.
 pub const MAX_SPREAD_CUSTOMERS: usize = 8;
-/// Every how many periods a dead VM is probed, so that the two sides of a healed partition find
-/// each other again.
+/// Interval in periods at which a dead VM is probed, so that the two sides of a healed partition
+/// find each other again.
 const DEAD_PROBE_INTERVAL: u64 = 5;
 /// Times that an update is sent, per binary logarithm of the number of VMs.
 const SPREAD_ROUNDS: u32 = 3;
@@ -368,7 +368,7 @@
     }
 
     /// Sends changes of state at once instead of with the next periodic probe. With periodic probes
-    /// alone the last VMs of a large fleet would merge_digest of a death too late to keep callers away
+    /// alone the last VMs of a large fleet would learn of a death too late to keep callers away
     /// from it within 3 s. Changes within the push interval are sent together.
     fn push_urgent(&mut self, now: TimePoint, rng: &mut dyn Rng, actions: &mut Vec<MemberAction>) {
         let pending = self.rows.iter().any(|row| row.urgent && row.pushed.is_none());
--- a/decision/src/retry.rs
+++ b/decision/src/retry.rs
@@ -49,9 +49,9 @@
 
     /// Records a first attempt, which earns `per_mille` available_thousandths of a retry.
     pub fn first_try(&mut self) {
-        let most = self.settings.burst * 1_000;
+        let max = self.settings.burst * 1_000;
         self.available_thousandths =
-            (self.available_thousandths + self.settings.per_mille).min(most);
+            (self.available_thousandths + self.settings.per_mille).min(max);
     }
 
     /// Takes one retry from the budget. Returns `false` if there is none left.
--- a/decision/src/usage.rs
+++ b/decision/src/usage.rs
@@ -23,7 +23,7 @@
     pub struct UsageTotal {
         /// Demand, refused requests included.
         pub asked: f64,
-        /// Admitted and not given back.
+        /// Admitted and not refunded.
         pub admitted: f64,
     }
 
--- a/decision/tests/suite/fleet_limits.rs
+++ b/decision/tests/suite/fleet_limits.rs
@@ -174,8 +174,8 @@
         let all = (0..VMS).filter(|vm| !self.is_cut(*vm, now)).count();
         for vm in &mut self.vms {
             let last = vm.last_seen.iter().copied().max().unwrap_or(0);
-            let seen = if now - last.min(now) > ISOLATED_US { 1 } else { all };
-            vm.limiter.in_touch(TimePoint(now), seen, VMS);
+            let reachable = if now - last.min(now) > ISOLATED_US { 1 } else { all };
+            vm.limiter.in_touch(TimePoint(now), reachable, VMS);
         }
     }
 
@@ -236,16 +236,16 @@
 
     /// Returns the maximum admitted in any window.
     fn max_in_window(&self) -> f64 {
-        let (mut first, mut sum, mut most) = (0, 0.0, 0.0_f64);
+        let (mut first, mut sum, mut max) = (0, 0.0, 0.0_f64);
         for (at, cost) in &self.admitted {
             sum += cost;
             while self.admitted[first].0 + 8_000_000 < *at {
                 sum -= self.admitted[first].1;
                 first += 1;
             }
-            most = most.max(sum);
+            max = max.max(sum);
         }
-        most
+        max
     }
 }
 
@@ -318,8 +318,8 @@
     fn never_over(seed in any::<u64>(), scenario in scenario()) {
         let mut fleet = Fleet::new(seed, scenario);
         fleet.run(20_000_000);
-        let most = fleet.max_in_window();
-        prop_assert!(most <= allowed(), "{:.3} of what is allowed, {:?}", most / allowed(), scenario);
+        let max = fleet.max_in_window();
+        prop_assert!(max <= allowed(), "{:.3} of what is allowed, {:?}", max / allowed(), scenario);
     }
 }
 
