--- a/decision/src/fleet.rs
+++ b/decision/src/fleet.rs
@@ -429,8 +429,9 @@
         }
     }
 
-    /// Records that a VM is dead. Its grants keep their slots pinned, because the VM may only be
-    /// paused and use them when it resumes, but they no longer count against the batch.
+    /// Records that an incarnation of a VM is dead or was replaced. Its grants keep their slots
+    /// pinned, because the VM may only be paused and use them when it resumes, but they no longer
+    /// count against the batch.
     pub(crate) fn vm_gone(&mut self, now: TimePoint, vm: &VmIdentity) {
         for grant in self.grants.iter_mut().filter(|grant| grant.holder == *vm) {
             if grant.orphaned.is_none() {
--- a/decision/src/member.rs
+++ b/decision/src/member.rs
@@ -1,10 +1,10 @@
 //! SWIM-style membership of entry VMs: random probes with piggybacked digests.
 //!
 //! Each VM probes one other VM per period, and indirectly through helper VMs if the direct probe is
-//! not answered. Digests ride on probes and replies, so the cost per VM does not grow with the
-//! fleet. A VM that does not answer is suspected, and is declared dead unless it refutes the
-//! suspicion in time. All times are on the VM's own monotonic clock, so clock skew and clock jumps
-//! have no effect. See docs/AGREEMENT.md, "Membership".
+//! not answered. Digests are piggybacked on probes and replies, so the cost per VM does not grow
+//! with the fleet. A VM that does not answer is suspected, and is declared dead unless it refutes
+//! the suspicion in time. All times are on the VM's own monotonic clock, so clock skew and clock
+//! jumps have no effect. See docs/AGREEMENT.md, "Membership".
 //!
 //! ```
 //! use coltsfoothook_decision::id::{TimePoint, VmIdentity, VmIncarnation};
@@ -284,8 +284,8 @@
         }
     }
 
-    /// Restarts all timers if this VM was suspended (a stopped process, a frozen VM). Its open
-    /// probes and suspicions would otherwise all expire at once, and it would declare the other VMs
+    /// Drops open probes and restarts suspicion timers if this VM was suspended (a stopped process,
+    /// a frozen VM). They would otherwise all expire at once, and this VM would declare the others
     /// dead.
     fn restart_timers_after_suspension(&mut self, now: TimePoint) {
         let last = self.last_tick.replace(now);
