--- a/decision/tests/suite/member_probes.rs
+++ b/decision/tests/suite/member_probes.rs
@@ -30,7 +30,8 @@
     partitioned: bool,
 }
 
-/// Simulated fleet with a network delay of one or two milliseconds, ticked every 20 ms.
+/// Simulated fleet, ticked every 20 ms. Probes and replies are delivered within the tick; those to
+/// a suspended VM wait until it resumes.
 struct Fleet {
     now: TimePoint,
     rng: Pcg64,
