--- a/decision/src/choice.rs
+++ b/decision/src/choice.rs
@@ -1,7 +1,7 @@
-//! Where a request goes, and where adapters are loaded.
+//! Chooses the server for a request, and the servers at which adapters are loaded.
 //!
-//! [`BackendTable`] holds what is known of the servers; docs/PLACEMENT.md, "On the operators' platform",
-//! has what the choices were weighed against.
+//! Both choices read only [`BackendTable`], this VM's view of the servers. docs/PLACEMENT.md, "On
+//! the operators' platform", gives the alternatives that were considered.
 
 use std::time::Duration;
 
@@ -9,65 +9,68 @@
 use crate::id::{DomainName, ModelName, ServerName, ServiceName, TimePoint, stable_hash};
 use crate::routing::{AdapterKey, SharedPrompt};
 
-/// What one running request adds to a server's cost, in prompt tokens. A batch's step grows by less
-/// than one part in two hundred for each, against some tens of tokens read meanwhile.
+/// Cost of one running request, in prompt tokens. A batch step slows down by less than 0.5 % for
+/// each running request, while some tens of prompt tokens are processed in the same time.
 const RUNNING_TOKENS: u64 = 100;
-/// What a request beyond a server's slots adds, in prompt tokens: it waits for another one's end.
+/// Cost of each running request beyond the server's slots, in prompt tokens: it is queued until
+/// another one ends.
 const QUEUED_TOKENS: u64 = 2_000;
-/// What a server in another failure domain must be cheaper by, in prompt tokens. It saves bytes
-/// between domains where servers are about equally loaded.
-const DOMAIN_TOKENS: u64 = 120;
-/// A holder whose cost is this many hundredths of the mean and at least that many prompt tokens makes
-/// another copy of its adapter worth a place. Below it copies push out adapters that others wait for;
-/// at twice the mean the busiest servers were already late.
+/// Cost of a server in another failure domain, in prompt tokens. It saves traffic between domains
+/// where servers are about equally loaded.
+const CROSS_DOMAIN_TOKENS: u64 = 120;
+/// A holder of an adapter is overloaded, and another copy worth a slot, when its cost is at least
+/// `COPY_PERCENT` hundredths of the mean and at least `COPY_TOKENS` prompt tokens. Lower limits
+/// evict adapters that other requests need; higher ones copy only once holders are late.
 const COPY_PERCENT: u64 = 130;
 const COPY_TOKENS: u64 = 4_000;
-/// The part of a server's fair share of all requests that an adapter may bring to each of its holders;
-/// beyond it another copy is loaded before its holders are late. Few adapters bring so much, so their
-/// copies take few places, and with many holders each request finds one with little to do.
-const FULL_SHARE: f64 = 0.5;
-/// The least part that it must bring for another copy where its holders are late: a copy of one that
-/// brings less takes a place and a transfer from the weight store, and hardly any load off its holder.
-/// Without it an adapter asked for once in some seconds was fetched five times in a minute.
-const COPY_SHARE: f64 = 0.12;
-/// A copy goes to a server whose cost is at most this many hundredths of the holder's.
+/// Load per holder, as a fraction of a server's fair share of all requests, from which another copy
+/// is loaded although no holder is overloaded. Few adapters reach it, so these copies take few
+/// slots.
+const EARLY_COPY_SHARE: f64 = 0.5;
+/// Minimum load per holder, as a fraction of a server's fair share, for another copy where the
+/// holders are overloaded. It prevents copies that take a slot and a transfer from the weight store
+/// but hardly relieve the holder, and repeated loads of rarely used adapters.
+const MIN_COPY_SHARE: f64 = 0.12;
+/// Maximum cost of the server that loads a copy, in hundredths of the holder's cost.
 const COPY_TARGET_PERCENT: u64 = 67;
-/// A server that held an adapter lately gets it back while its cost is at most this many hundredths of
-/// the mean: loading it there takes a tenth of the time.
+/// Maximum cost, in hundredths of the mean, at which a server that recently held an adapter is
+/// preferred for loading it again: from its own memory this takes a tenth of the time.
 const WARM_PERCENT: u64 = 200;
-/// Servers that are considered for a load, in the order of their hash with the adapter. A few keep an
-/// adapter coming back to a server that has it in its own memory, and still leave a choice.
-const LOAD_CHOICES: usize = 2;
-/// The share of failed answers beyond that of its service at which a server costs twice as much.
+/// Number of servers considered for a load, by rank of their hash with the adapter. Few, so that an
+/// adapter tends to return to a server that still has it in its own memory; more than one, so that
+/// the less loaded can be chosen.
+const LOAD_CANDIDATES: usize = 2;
+/// Failure rate in excess of the service's mean at which a server's cost doubles.
 const FAILURE_EXCESS: f64 = 0.15;
-/// Prompts that share at least this many tokens go to one of their adapter's holders, chosen by hash, as
-/// long as that saves more than waiting there costs. Shorter ones cost less than what is uncertain
-/// about the servers' loads.
-const SHARED_TOKENS: u64 = 1_000;
+/// Minimum shared prefix, in prompt tokens, for which a request prefers the holder chosen by hash
+/// of the prefix, as long as this saves more than waiting there costs. For shorter prefixes the
+/// saving is below the error of the load figures.
+const MIN_SHARED_TOKENS: u64 = 1_000;
 
-/// What a request needs of a server.
+/// Requirements of a request on its server.
 #[derive(Clone, Debug)]
 pub struct ServerNeed<'a> {
-    /// The service.
+    /// Service that the route leads to.
     pub service: &'a ServiceName,
-    /// The base model, for model engines.
+    /// Base model; `None` for plain services.
     pub model: Option<&'a ModelName>,
-    /// The adapter and the oldest version of it that may be used.
+    /// Adapter and the lowest version of it that may be used.
     pub adapter: Option<(&'a AdapterKey, u64)>,
-    /// Servers that this request was sent to before, or that refused it.
+    /// Servers that this request was already sent to, or that rejected it.
     pub not: &'a [ServerName],
-    /// The failure domain of this VM.
+    /// Failure domain of this VM.
     pub domain: &'a DomainName,
-    /// What other requests' prompts begin with as well.
+    /// Prompt prefix that other requests have in common.
     pub shared: SharedPrompt,
-    /// Tokens of the prompt.
+    /// Length of the whole prompt, in tokens.
     pub prompt: u64,
-    /// The pause that streams at the service allow. None where the request is not held back for them.
+    /// Longest pause between events that streams at the service allow. `None` if the request is not
+    /// to be held back for them.
     pub gap: Option<Duration>,
 }
 
 impl ServerNeed<'_> {
-    /// Whether a server is of the right kind, does not leave, and was not tried.
+    /// Returns whether a server has the service and the model, is not leaving, and is not excluded.
     fn takes(&self, state: &BackendState) -> bool {
         state.entry.service == *self.service
             && !state.leaving
@@ -76,32 +79,32 @@
     }
 }
 
-/// Where a request goes.
+/// Decision for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerChoice {
-    /// To this server; another copy may be worth loading.
+    /// Send it to this server; another copy of its adapter may be worth loading.
     Send {
-        /// The server.
+        /// Server to send to.
         server: ServerName,
-        /// Where to load another copy of its adapter.
+        /// Server at which to load another copy of the adapter.
         copy: Option<ServerName>,
     },
-    /// Those that could take it have so much to read that its prompt would stop their streams for too
-    /// long; one is expected to have room then.
+    /// Hold it back: every candidate has so much prompt left to process that this prompt would
+    /// interrupt its streams for too long.
     Hold {
-        /// When to look again at the latest.
+        /// Latest time to choose again; a server is expected to have room by then.
         until: TimePoint,
-        /// Where to load another copy of its adapter.
+        /// Server at which to load another copy of the adapter.
         copy: Option<ServerName>,
     },
-    /// Its adapter is on the way and usable then.
+    /// Wait for the adapter, which is in flight or whose holder is avoided for a short time.
     Wait {
-        /// From when.
+        /// Time from which the adapter is expected to be usable.
         until: TimePoint,
     },
-    /// Its adapter is nowhere and should be loaded there.
+    /// Have the adapter loaded; no candidate holds it or has it in flight.
     Load {
-        /// The server.
+        /// Server at which to load it.
         server: ServerName,
     },
     /// No server can take it now.
@@ -109,8 +112,8 @@
 }
 
 impl BackendTable {
-    /// Chooses a server. `draw` is a random number, which spreads the VMs' choices: with counts that
-    /// are a moment old, all would else choose the same server.
+    /// Chooses a server. `draw` is a random number that spreads the choices of different VMs: load
+    /// counts are slightly out of date, so that otherwise all VMs would choose the same server.
     #[must_use]
     pub fn choose(&self, need: &ServerNeed<'_>, draw: u64, now: TimePoint) -> ServerChoice {
         let all = self.candidates(need, now);
@@ -126,8 +129,8 @@
             let copy = self.copy_target(&all, best, need, key, version, now);
             return self.send_or_hold(&holders, best, copy, need, draw, now);
         }
-        let coming = all.iter().filter_map(|state| state.usable_from(key, version)).min();
-        if let Some(until) = coming.or_else(|| self.calm_again(need, key, version, now)) {
+        let arrival = all.iter().filter_map(|state| state.usable_from(key, version)).min();
+        if let Some(until) = arrival.or_else(|| self.available_again(need, key, version, now)) {
             return ServerChoice::Wait { until };
         }
         match self.load_target(&all, need, key, now) {
@@ -136,7 +139,8 @@
         }
     }
 
-    /// Sends a request to `best`, or to another of `holders` that has less to read, or holds it back.
+    /// Sends a request to `best`, or to another of `holders` that has less prompt to process, or
+    /// holds it back.
     fn send_or_hold(
         &self,
         holders: &[&BackendState],
@@ -150,12 +154,12 @@
             server: state.entry.server.clone(),
             copy,
         };
-        let pace = self.pace(need.service);
-        let gap = need.gap.filter(|_| pace.holds_back());
-        let Some(bound) = gap.and_then(|gap| pace.bound(gap)) else {
+        let rate = self.prefill_rate(need.service);
+        let gap = need.gap.filter(|_| rate.holds_back());
+        let Some(bound) = gap.and_then(|gap| rate.bound(gap)) else {
             return send(best, copy);
         };
-        let excess = |state: &BackendState| match state.unread(pace, now) {
+        let excess = |state: &BackendState| match state.unread(rate, now) {
             0 => 0,
             unread => (unread + need.prompt).saturating_sub(bound),
         };
@@ -164,30 +168,30 @@
         }
         let open: Vec<&BackendState> =
             holders.iter().filter(|state| excess(state) == 0).copied().collect();
-        // A long shared beginning is worth more where it was read before than an earlier start.
-        if need.shared.tokens < SHARED_TOKENS
+        // For a long shared prefix, the server that has it cached is better than an earlier start.
+        if need.shared.tokens < MIN_SHARED_TOKENS
             && let Some(state) = self.cheapest(&open, need, draw, now)
         {
             return send(state, copy);
         }
-        let copy = copy.or_else(|| self.relief(best, need, now));
-        let least = holders.iter().map(|state| excess(state)).min().unwrap_or_default();
-        ServerChoice::Hold { until: pace.read_at(least, now), copy }
+        let copy = copy.or_else(|| self.relief_target(best, need, now));
+        let min_excess = holders.iter().map(|state| excess(state)).min().unwrap_or_default();
+        ServerChoice::Hold { until: rate.read_at(min_excess, now), copy }
     }
 
-    /// Servers that may take the request: of its service, not leaving, not tried; those that failed a
-    /// moment ago only where there is no other.
+    /// Returns the servers that may take the request. Servers avoided after a recent failure are
+    /// included only if there is no other.
     fn candidates(&self, need: &ServerNeed<'_>, now: TimePoint) -> Vec<&BackendState> {
         let all: Vec<&BackendState> =
             self.servers().iter().filter(|state| need.takes(state)).collect();
-        let calm: Vec<&BackendState> =
+        let available: Vec<&BackendState> =
             all.iter().filter(|state| now >= state.condition.avoid_until).copied().collect();
-        if calm.is_empty() { all } else { calm }
+        if available.is_empty() { all } else { available }
     }
 
-    /// When a holder that is avoided for a moment can be used again. It said that it is full, or failed
-    /// once; fetching the adapter for another server would take longer than that.
-    fn calm_again(
+    /// Returns when a holder that is avoided for a short time, because it was full or failed once,
+    /// can be used again. Loading the adapter at another server would take longer.
+    fn available_again(
         &self,
         need: &ServerNeed<'_>,
         key: &AdapterKey,
@@ -195,12 +199,15 @@
         now: TimePoint,
     ) -> Option<TimePoint> {
         let holders = self.servers().iter().filter(|state| {
-            need.takes(state) && state.usable(key, version, now) && state.condition.is_brief()
+            need.takes(state)
+                && state.usable(key, version, now)
+                && state.condition.failed_at_most_once()
         });
         holders.map(|state| state.condition.avoid_until).min()
     }
 
-    /// The cheaper of two that are drawn, or the cheapest of a few.
+    /// Returns the cheaper of two servers drawn at random, or the cheapest if there are at most two
+    /// or the prompt has a long shared prefix.
     fn cheapest<'a>(
         &self,
         among: &[&'a BackendState],
@@ -211,9 +218,9 @@
         let typical = self.typical(need.service);
         let cost = |state: &&&BackendState| {
             let local = state.entry.domain == *need.domain;
-            state.cost(typical, now) + if local { 0 } else { DOMAIN_TOKENS }
+            state.cost(typical, now) + if local { 0 } else { CROSS_DOMAIN_TOKENS }
         };
-        if need.shared.tokens >= SHARED_TOKENS {
+        if need.shared.tokens >= MIN_SHARED_TOKENS {
             let home = among.iter().min_by_key(|state| state.rank(mix(need.shared.id)))?.name();
             let saved =
                 |state: &BackendState| if state.name() == home { need.shared.tokens } else { 0 };
@@ -230,9 +237,10 @@
         drawn.iter().min_by_key(cost).copied()
     }
 
-    /// Where a copy of an adapter would take load off `held`, all of whose holders have too much to
-    /// read: at the server with the least demand, if that stays below `held`'s with a part of it.
-    fn relief(
+    /// Returns the server at which to load a copy when all holders have too much prompt to process:
+    /// the one with the least demand, if with half of `held`'s requests for this adapter it stays
+    /// at or below what `held` keeps.
+    fn relief_target(
         &self,
         held: &BackendState,
         need: &ServerNeed<'_>,
@@ -240,7 +248,7 @@
     ) -> Option<ServerName> {
         let (key, version) = need.adapter?;
         let all = self.candidates(need, now);
-        if holder_share(&all, key) < COPY_SHARE {
+        if holder_share(&all, key) < MIN_COPY_SHARE {
             return None;
         }
         let (with, without): (Vec<&BackendState>, Vec<&BackendState>) =
@@ -251,7 +259,7 @@
         }
         let takes = |state: &&&BackendState| state.takes_loads(now);
         let target = without.iter().filter(takes).min_by_key(|state| state.demand())?;
-        let moved = held.heat(key) / 2;
+        let moved = held.usage_score(key) / 2;
         (target.demand() + 2 * moved <= held.demand()).then(|| target.entry.server.clone())
     }
 
@@ -265,7 +273,7 @@
         now: TimePoint,
     ) -> Option<ServerName> {
         let share = holder_share(all, key);
-        if share < COPY_SHARE {
+        if share < MIN_COPY_SHARE {
             return None;
         }
         let typical = self.typical(need.service);
@@ -273,7 +281,7 @@
         let mean = total / (all.len() as u64).max(1);
         let cost = best.cost(typical, now);
         let late = cost >= COPY_TOKENS.max(mean * COPY_PERCENT / 100);
-        if !late && share < FULL_SHARE {
+        if !late && share < EARLY_COPY_SHARE {
             return None;
         }
         let (with, without): (Vec<&BackendState>, Vec<&BackendState>) =
@@ -283,7 +291,7 @@
             return None;
         }
         if !late {
-            // All VMs see the same demand; by hash they choose the same server.
+            // All VMs see the same demand; the hash makes them choose the same server.
             let fits = |state: &&&BackendState| {
                 state.takes_loads(now) && state.cost(typical, now) <= COPY_TOKENS.max(mean)
             };
@@ -291,15 +299,15 @@
             let target = without.iter().filter(fits).min_by_key(|state| state.rank(hash))?;
             return Some(target.entry.server.clone());
         }
-        // A copy is loaded to take load off its holder, so it goes to the server with the least.
+        // The copy has to relieve an overloaded holder, so it goes to the cheapest server.
         let takes = |state: &&&BackendState| state.takes_loads(now);
         let target = without.iter().filter(takes).min_by_key(|state| state.cost(typical, now))?;
         (target.cost(typical, now) < cost * COPY_TARGET_PERCENT / 100)
             .then(|| target.entry.server.clone())
     }
 
-    /// Where to load an adapter: among the first by hash the cheapest, and before them one that held
-    /// it lately, since it need not fetch it from the store.
+    /// Returns where to load an adapter: the cheapest server that recently held it and need not
+    /// fetch it from the store, unless overloaded; else the cheapest of the first few by hash rank.
     fn load_target<'a>(
         &self,
         all: &[&'a BackendState],
@@ -318,7 +326,7 @@
             .map(|state| (state.rank(hash), *state))
             .collect();
         ranked.sort_unstable_by_key(|(rank, _)| *rank);
-        let warm = |(_, state): &&(u64, &BackendState)| state.lately.contains(key);
+        let warm = |(_, state): &&(u64, &BackendState)| state.recently_held.contains(key);
         let cost = |(_, state): &&(u64, &'a BackendState)| state.cost(typical, now);
         let total: u64 = ranked.iter().map(|(_, state)| state.cost(typical, now)).sum();
         let mean = total / (ranked.len() as u64).max(1);
@@ -327,30 +335,30 @@
         {
             return Some(state);
         }
-        ranked.iter().take(LOAD_CHOICES).min_by_key(cost).map(|(_, state)| *state)
+        ranked.iter().take(LOAD_CANDIDATES).min_by_key(cost).map(|(_, state)| *state)
     }
 
-    /// What is usual at a service.
+    /// Returns the median response time and mean failure rate of a service's servers.
     fn typical(&self, service: &ServiceName) -> TypicalCondition {
-        let mut paces = Vec::new();
+        let mut latencies = Vec::new();
         let (mut failures, mut count) = (0.0, 0.0);
         for state in self.servers().iter().filter(|state| state.entry.service == *service) {
-            if state.condition.pace_us > 0.0 {
-                paces.push(state.condition.pace_us);
+            if state.condition.latency_us > 0.0 {
+                latencies.push(state.condition.latency_us);
             }
             failures += state.condition.failures;
             count += 1.0;
         }
-        paces.sort_unstable_by(f64::total_cmp);
-        let pace_us = paces.get(paces.len() / 2).copied().unwrap_or(0.0);
+        latencies.sort_unstable_by(f64::total_cmp);
+        let latency_us = latencies.get(latencies.len() / 2).copied().unwrap_or(0.0);
         let failures = if count > 0.0 { failures / count } else { 0.0 };
-        TypicalCondition { pace_us, failures }
+        TypicalCondition { latency_us, failures }
     }
 
-    /// Where to have an adapter loaded that `slow` was asked for a while ago; `other` is the choice without
-    /// it. Only a server that can load at once is worth the change, unless nobody orders `slow`: where
-    /// all places are in use, each change would lose the request's turn, and in the end two servers
-    /// would fetch the adapter.
+    /// Returns where to request a load that `slow` has not completed for some time; `other` is the
+    /// choice made without `slow`. Changes the server only if the other one can load at once or
+    /// `slow` has no owner: where all slots are in use, each change would lose the request's
+    /// position in the queue, and both servers could end up fetching the adapter.
     #[must_use]
     pub fn load_elsewhere(
         &self,
@@ -366,77 +374,79 @@
     }
 }
 
-/// What an adapter brings to each of its holders among `all`, as a part of a server's fair share of all
-/// requests. Without any count it is taken to be just worth a copy.
+/// Returns the requests for an adapter per holder among `all`, as a fraction of a server's fair
+/// share of all requests; `MIN_COPY_SHARE` if nothing is counted yet.
 fn holder_share(all: &[&BackendState], key: &AdapterKey) -> f64 {
     let total: u64 = all.iter().map(|state| state.demand()).sum();
     if total == 0 {
-        return COPY_SHARE;
+        return MIN_COPY_SHARE;
     }
     let held = all.iter().filter_map(|state| Some(u64::from(state.held.find(key)?.heat)));
-    let (holders, heat) = held.fold((0u64, 0u64), |(count, sum), heat| (count + 1, sum + heat));
+    let (holders, score) = held.fold((0u64, 0u64), |(count, sum), score| (count + 1, sum + score));
     let fair = total as f64 / all.len() as f64;
-    heat as f64 / holders.max(1) as f64 / fair
+    score as f64 / holders.max(1) as f64 / fair
 }
 
 fn key_hash(key: &AdapterKey) -> u64 {
     stable_hash(&[key.model.as_str(), key.adapter.as_str()])
 }
 
-/// Spreads a number over all bits, so that ranks made of the same hashes are independent of each other.
+/// Spreads a number over all bits, so that ranks derived from the same hashes are independent of
+/// each other.
 fn mix(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     number ^ (number >> 31)
 }
 
-/// What is usual at the servers of a service.
+/// Reference values of a service, against which one server is compared.
 #[derive(Clone, Copy, Debug)]
 struct TypicalCondition {
-    pace_us: f64,
+    latency_us: f64,
     failures: f64,
 }
 
 impl BackendState {
-    /// Its adapters' requests, as the VM that orders it counts them.
+    /// Sum of the usage scores of its adapters, as its owner counts them.
     fn demand(&self) -> u64 {
         self.holdings().iter().map(|holding| u64::from(holding.heat)).sum()
     }
 
-    fn heat(&self, key: &AdapterKey) -> u64 {
+    fn usage_score(&self, key: &AdapterKey) -> u64 {
         self.held.find(key).map_or(0, |holding| u64::from(holding.heat))
     }
 
-    /// Its rank for something with this hash; the same at all VMs.
+    /// Rank for an item with this hash; the same at all VMs.
     fn rank(&self, hash: u64) -> u64 {
-        mix(self.place ^ hash)
+        mix(self.name_hash ^ hash)
     }
 
-    /// What a further request meets here, in prompt tokens that are read before it, made larger where
-    /// the server is slower than others of its service or fails more of its requests.
+    /// Estimated cost of sending a further request here: prompt tokens to be processed before it,
+    /// scaled up if the server is slower or fails more often than others of its service.
     fn cost(&self, typical: TypicalCondition, now: TimePoint) -> u64 {
         let load = self.load(now);
         let over = u64::from(load.running.saturating_sub(self.entry.slots));
         let tokens = load.unread + RUNNING_TOKENS * u64::from(load.running) + QUEUED_TOKENS * over;
         let condition = self.condition;
-        let slower = if typical.pace_us > 0.0 && condition.pace_us > 0.0 {
-            (condition.pace_us / typical.pace_us).max(1.0)
+        let slower = if typical.latency_us > 0.0 && condition.latency_us > 0.0 {
+            (condition.latency_us / typical.latency_us).max(1.0)
         } else {
             1.0
         };
         let excess = (condition.failures - typical.failures).max(0.0) / FAILURE_EXCESS;
-        // The constant keeps an idle but bad server from looking as cheap as an idle good one.
+        // The constant keeps an idle server with failures from costing as little as an idle healthy
+        // one.
         ((tokens + RUNNING_TOKENS) as f64 * slower * (1.0 + excess)) as u64
     }
 }
 
-/// The part of a caller's patience for which a request waits for its adapter. What is left is enough
-/// to come back once and be served.
-const WAIT_PART: f64 = 0.45;
+/// Fraction of a caller's timeout for which a request waits for its adapter. The rest is enough for
+/// one retry to be served.
+const WAIT_FRACTION: f64 = 0.45;
 
-/// How long a request may wait for its adapter before it is refused, where `patience` is the time
-/// after which its caller leaves.
+/// Returns how long a request may wait for its adapter before it is rejected, where `timeout` is
+/// the time after which its caller gives up.
 #[must_use]
-pub fn longest_wait(patience: Duration) -> Duration {
-    patience.mul_f64(WAIT_PART)
+pub fn longest_wait(timeout: Duration) -> Duration {
+    timeout.mul_f64(WAIT_FRACTION)
 }
