--- a/decision/src/coverage.rs
+++ b/decision/src/coverage.rs
@@ -1,20 +1,21 @@
-//! Whether what others tell of a topic's changes leaves none out.
+//! Detects missed changes of a topic of which VMs notify each other.
 //!
-//! Some VMs read a topic and tell the others what changed, several times since messages get lost. There are
-//! changes that they find and do not tell of: those in a snapshot, taken where the history was dropped, and
-//! those of an outage, which each VM judges for itself. That a message came is therefore no sign that all
-//! changes did. Each message names the span of the topic whose changes it holds. Who knows the topic up to a
-//! place in that span knows it up to the span's end; anybody else has missed something and looks itself.
+//! Some VMs read a topic and send its changes to the others, each change several times since
+//! messages can be lost. Some changes are found but not sent: those of a snapshot, taken where the
+//! history was dropped, and those of an outage, which each VM assesses for itself. A received
+//! message therefore doesn't imply that no change is missing. Each message names the span of the
+//! topic whose changes it contains. A VM that knows all changes up to a position in that span then
+//! knows them up to the span's end; any other VM has missed changes and reads the topic itself.
 
 use crate::value;
 
 value! {
-    /// A part of a topic all of whose changes a message holds.
+    /// Span of a topic all of whose changes a message contains.
     #[derive(Copy, Eq, Default)]
     pub struct ToldSpan {
-        /// Where it begins.
+        /// First position.
         pub since: u64,
-        /// Where it ends; the record at this place is not in it.
+        /// End position, exclusive.
         pub up_to: u64,
     }
 }
@@ -26,12 +27,12 @@
 }
 
 impl TopicCoverage {
-    /// The VM read the topic itself, up to a place.
+    /// Records that the VM read the topic itself up to a position.
     pub fn looked(&mut self, up_to: u64) {
         self.known_to = self.known_to.max(Some(up_to));
     }
 
-    /// The VM was told of a span; false if changes between what it knew and the span are missing.
+    /// Records a received span. Returns false if changes before the span are missing.
     pub fn told(&mut self, span: ToldSpan) -> bool {
         let complete = self.known_to.is_some_and(|known| span.since <= known);
         if complete {
@@ -41,45 +42,45 @@
     }
 }
 
-/// The last looks of a VM that tells others what it read.
+/// Latest reads of a VM that sends the changes to others.
 #[derive(Clone, Debug)]
 pub struct ToldHistory<T> {
     up_to: u64,
-    /// Where each look began, and what it found.
-    looks: Vec<(u64, T)>,
+    /// Start position of each read, and the changes it found.
+    reads: Vec<(u64, T)>,
     repeats: usize,
 }
 
 impl<T> ToldHistory<T> {
-    /// Without looks yet; each is told so many times.
+    /// Creates an empty history. Each read is sent `repeats` times.
     #[must_use]
     pub fn new(repeats: usize) -> Self {
-        Self { up_to: 0, looks: Vec::new(), repeats }
+        Self { up_to: 0, reads: Vec::new(), repeats }
     }
 
-    /// A look found these changes between the end of the one before and a place.
+    /// Adds the changes found between the end of the previous read and a position.
     pub fn look(&mut self, up_to: u64, changes: T) {
-        self.looks.push((self.up_to, changes));
+        self.reads.push((self.up_to, changes));
         self.up_to = up_to;
-        let excess = self.looks.len().saturating_sub(self.repeats);
-        self.looks.drain(..excess);
+        let excess = self.reads.len().saturating_sub(self.repeats);
+        self.reads.drain(..excess);
     }
 
-    /// The VM knows the topic up to a place, and not all that it found is told.
+    /// Restarts the history at a position, because some changes before it are not sent.
     pub fn untold(&mut self, up_to: u64) {
-        self.looks.clear();
+        self.reads.clear();
         self.up_to = up_to;
     }
 
-    /// What a message with all changes covers.
+    /// Returns the span that a message with all changes of the history covers.
     #[must_use]
     pub fn span(&self) -> ToldSpan {
-        let since = self.looks.first().map_or(self.up_to, |(since, _)| *since);
+        let since = self.reads.first().map_or(self.up_to, |(since, _)| *since);
         ToldSpan { since, up_to: self.up_to }
     }
 
-    /// The changes.
+    /// Returns the changes to send, oldest first.
     pub fn changes(&self) -> impl Iterator<Item = &T> {
-        self.looks.iter().map(|(_, changes)| changes)
+        self.reads.iter().map(|(_, changes)| changes)
     }
 }
--- a/decision/src/holding.rs
+++ b/decision/src/holding.rs
@@ -1,42 +1,43 @@
-//! The adapters in a server's places.
+//! Adapters in a server's slots.
 
 use crate::id::TimePoint;
 use crate::routing::AdapterKey;
 use crate::value;
 
 value! {
-    /// An adapter in a server's place.
+    /// Adapter in a slot of a server.
     #[derive(Eq, Default)]
     pub struct AdapterHolding {
-        /// The adapter.
+        /// Model and name of the adapter.
         pub key: AdapterKey,
-        /// Its version.
+        /// Version that is held or being loaded.
         pub version: u64,
-        /// From when it can be used, on this process's clock.
+        /// Time from which it can be used, on this process's clock.
         pub usable_from: TimePoint,
-        /// How much it is used there, as the VM that orders the server counts it.
+        /// Usage score of the adapter at the server, as counted by the server's owner.
         pub heat: u32,
         /// Whether it was loaded from the server's own memory and not from the weight store.
         pub from_memory: bool,
     }
 }
 
-/// What one server holds or is being sent, sorted by adapter.
+/// Adapters that one server holds or that are in flight to it, sorted by key.
 ///
-/// A choice asks every server of a service for one adapter, and nearly all of them lack it. The marks answer
-/// those without a look at the names: for a hundred servers that was a third of a choice's time.
+/// A choice checks every server of a service for one adapter, and nearly all of them lack it. The
+/// filter rejects most of those without comparing names, which took a third of a choice's time for
+/// a hundred servers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeldAdapters {
     holdings: Vec<AdapterHolding>,
-    /// A bit for each adapter, by its name; one bit may stand for several.
-    marks: u64,
+    /// One bit for each adapter, by the hash of its name; several adapters may have the same bit.
+    filter: u64,
 }
 
 impl HeldAdapters {
     pub(crate) fn new(mut holdings: Vec<AdapterHolding>) -> Self {
         holdings.sort_by(|a, b| a.key.cmp(&b.key));
-        let marks = holdings.iter().fold(0, |marks, holding| marks | mark(&holding.key));
-        Self { holdings, marks }
+        let filter = holdings.iter().fold(0, |filter, holding| filter | filter_bit(&holding.key));
+        Self { holdings, filter }
     }
 
     pub(crate) fn all(&self) -> &[AdapterHolding] {
@@ -44,21 +45,21 @@
     }
 
     pub(crate) fn find(&self, key: &AdapterKey) -> Option<&AdapterHolding> {
-        if self.marks & mark(key) == 0 {
+        if self.filter & filter_bit(key) == 0 {
             return None;
         }
         let at = self.holdings.binary_search_by(|holding| holding.key.cmp(key)).ok()?;
         Some(&self.holdings[at])
     }
 
-    /// Drops an adapter; its mark may stay.
+    /// Removes an adapter. Its filter bit stays, because another adapter may have the same one.
     pub(crate) fn remove(&mut self, key: &AdapterKey) {
         self.holdings.retain(|holding| holding.key != *key);
     }
 }
 
-/// The bit of an adapter. Its name is short, so a plain sum of its bytes by place costs little.
-fn mark(key: &AdapterKey) -> u64 {
+/// Returns the filter bit of an adapter. Names are short, so that a plain polynomial hash is cheap.
+fn filter_bit(key: &AdapterKey) -> u64 {
     let bytes = key.adapter.as_str().bytes();
     let sum = bytes.fold(0u64, |sum, byte| sum.wrapping_mul(31).wrapping_add(u64::from(byte)));
     1 << (sum % 64)
--- a/decision/src/load.rs
+++ b/decision/src/load.rs
@@ -1,4 +1,4 @@
-//! Loads of adapters: the share of the weight store, orders under way, and what to load next.
+//! Budget, state and order of adapter loads in a group.
 
 use std::cmp::Ordering;
 
@@ -8,7 +8,8 @@
 
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// The group's share of the weight store: a token bucket, and loads at full speed at once.
+/// The group's part of the weight store's capacity: a token bucket for starts, and a limit on
+/// concurrent loads.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadBudget {
     share: StoreShare,
@@ -26,16 +27,17 @@
         self.share = share;
     }
 
-    /// Whether a load may start now, with `under_way` loads running.
+    /// Refills the bucket and returns whether a load may start now, with `under_way` loads in
+    /// flight.
     pub(crate) fn ready(&mut self, under_way: usize, now: TimePoint) -> bool {
-        let most = f64::from(self.share.full_speed.max(1));
+        let capacity = f64::from(self.share.full_speed.max(1));
         let earned = now.since(self.at) as f64 / MICROS_PER_SECOND * self.share.loads_per_s;
-        self.tokens = (self.tokens + earned).min(most);
+        self.tokens = (self.tokens + earned).min(capacity);
         self.at = self.at.max(now);
         self.tokens >= 1.0 && under_way < self.share.full_speed.max(1) as usize
     }
 
-    /// Whether the whole burst is unspent, so that a load takes nothing from anybody.
+    /// Returns whether the bucket is full, so that a load delays no other one.
     pub(crate) fn is_full(&self) -> bool {
         self.tokens >= f64::from(self.share.full_speed.max(1))
     }
@@ -44,7 +46,7 @@
         self.tokens -= 1.0;
     }
 
-    /// Milliseconds until the load after `ahead` others may start.
+    /// Returns the milliseconds until a load with `ahead` others before it may start.
     pub(crate) fn wait_ms(&self, ahead: usize, load_ms: f64) -> f64 {
         let by_rate = ahead as f64 * 1_000.0 / self.share.loads_per_s.max(0.001);
         let by_speed = ahead as f64 * load_ms / f64::from(self.share.full_speed.max(1));
@@ -52,18 +54,19 @@
     }
 }
 
-/// How far an eviction and load have come.
+/// Progress of an eviction and the load after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadStage {
-    /// The intent is appended and not read back.
+    /// The intent is appended and not read back yet.
     AwaitIntent,
-    /// The unload of the victim is ordered.
+    /// The unload of the evicted adapter is ordered.
     Unloading,
-    /// The load is ordered.
+    /// The load of the new adapter is ordered.
     Loading,
 }
 
-/// A load that an order is to make.
+/// Slot that an order is to fill. `ahead` is set for a load on schedule, `extra` for a further
+/// copy.
 #[derive(Clone, Debug)]
 pub(crate) struct NewSlot {
     pub(crate) name: SlotName,
@@ -73,11 +76,11 @@
     pub(crate) extra: bool,
 }
 
-/// An eviction, if one is needed, and the load that follows it. Without a load it only removes a
-/// slot of which an earlier order left nothing certain.
+/// An eviction, if one is needed, and the load after it. Without a load it only clears a slot whose
+/// state is uncertain after an earlier order.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadOrder {
-    /// The number of the intent and of the order that is out.
+    /// Number of the intent, and of the order in flight.
     pub(crate) number: u64,
     pub(crate) server: usize,
     pub(crate) incarnation: ServerIncarnation,
@@ -89,28 +92,28 @@
 }
 
 impl LoadOrder {
-    /// Whether it loads `adapter`.
+    /// Returns whether it loads `adapter`.
     pub(crate) fn loads(&self, adapter: u32) -> bool {
         self.load.as_ref().is_some_and(|load| load.adapter == adapter)
     }
 }
 
-/// How soon a load is wanted. The order of the variants is the order of loads.
+/// Urgency of a load; earlier variants are loaded first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum LoadPressure {
     /// For an urgent request.
     Urgent,
     /// For a request or a schedule whose deadline is near.
     Pressing,
-    /// For any other request, the oldest first: whoever has time may still not wait for ever.
+    /// For any other request, oldest first, so that requests without a near deadline don't starve.
     Waiting,
-    /// For a schedule that has time: it takes loads that nobody else wants.
+    /// For a schedule whose deadline is not near; uses loads that no request needs.
     Ahead,
-    /// To bring a much used adapter to an engine with a larger batch.
+    /// For a frequently used adapter, to move it to an engine with a larger batch.
     Gather,
 }
 
-/// The wish for an adapter, from its waiting requests or from a schedule.
+/// Load request for an adapter, from its waiting requests or from a schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadWish {
     pub(crate) adapter: u32,
@@ -124,8 +127,8 @@
 }
 
 impl LoadWish {
-    /// The order in which wishes are served: pressure, then deadline where it presses, then age,
-    /// where each waiting request counts as some time of waiting.
+    /// Compares load requests for service: by urgency, then by deadline where that matters, else by
+    /// age, where each further waiting request counts as some time of waiting.
     pub(crate) fn rank(&self, other: &Self) -> Ordering {
         self.pressure
             .cmp(&other.pressure)
@@ -145,5 +148,5 @@
     }
 }
 
-/// How much earlier a load is made for each further request that waits for it.
+/// Additional age of a load request for each further request that waits for it, in microseconds.
 const WAITER_MICROS: u64 = 500_000;
--- a/decision/src/route.rs
+++ b/decision/src/route.rs
@@ -1,7 +1,7 @@
-//! Which group serves an adapter, and which VM should own a group.
+//! Maps adapters to the groups that serve them, and groups to the VMs that should own them.
 //!
-//! Everything here follows from the manifest and a list of live VMs alone, so that all VMs come to
-//! the same answer without talking. See docs/PLACEMENT.md, "Groups".
+//! Both depend only on the manifest and the list of live VMs, so that all VMs come to the same
+//! result without communication. See docs/PLACEMENT.md, "Groups".
 
 use crate::grant::GrantRefusal;
 use crate::id::{
@@ -11,57 +11,58 @@
 use crate::outcome::RefusalReason;
 use crate::topology::{EngineInfo, GroupTopology, StoreShare, TenantShare};
 
-/// How many groups are kept ranked for each adapter and region. A hot adapter rarely needs more.
+/// Number of groups kept ranked for each adapter and region. Even a frequently used adapter rarely
+/// needs more.
 const RANKED_GROUPS: usize = 4;
 
-/// Groups are planned this full, in percent, so that an added server rarely moves others.
+/// Planned fill of a group, in percent. The reserve lets a server be added without moving others.
 const PLANNED_FILL_PERCENT: usize = 75;
 
-/// A group of engines of one region and one base model.
+/// Group of engines of one region and one base model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineGroup {
-    /// Its name: region, model and number.
+    /// Unique name: region, model and number.
     pub name: GroupName,
-    /// The region.
+    /// Region of its engines.
     pub region: RegionName,
-    /// The base model.
+    /// Base model that its engines run.
     pub model: ModelName,
-    /// Its engines, sorted.
+    /// Names of its engines, sorted.
     pub servers: Vec<ServerName>,
     hash: u64,
 }
 
-/// An adapter's place in a [`GroupMap`].
+/// Index of an adapter in a [`GroupMap`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AdapterRoute(u32);
 
-/// A group's place in a [`GroupMap`].
+/// Index of a group in a [`GroupMap`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupRoute(u32);
 
 impl GroupRoute {
-    /// The group's place in [`GroupMap::groups`].
+    /// Returns the index in [`GroupMap::groups`].
     #[must_use]
     pub fn place(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Maps adapters to groups. Built once for each accepted configuration; look-ups allocate nothing.
+/// Maps adapters to groups. Built once for each accepted configuration; lookups don't allocate.
 #[derive(Clone, Debug, Default)]
 pub struct GroupMap {
     regions: Vec<RegionName>,
     groups: Vec<EngineGroup>,
     adapters: Vec<AdapterName>,
-    /// Hashes of the adapters' names with their places, sorted: comparing numbers that lie side by
-    /// side touches far less memory than comparing names.
+    /// Hashes of the adapters' names with their indices, sorted. Comparing contiguous numbers
+    /// touches far less memory than comparing names.
     hashes: Vec<(u64, u32)>,
     ranks: Vec<GroupRoute>,
     rank_ends: Vec<u32>,
 }
 
 impl GroupMap {
-    /// Builds the map of `manifest`, whose lists are sorted by name.
+    /// Builds the map of `manifest`, whose lists must be sorted by name.
     #[must_use]
     pub fn new(manifest: &ServingManifest) -> Self {
         let groups = plan_groups(manifest);
@@ -70,8 +71,8 @@
         regions.dedup();
         let mut map = Self { regions, groups, ..Self::default() };
         for adapter in &manifest.adapters {
-            let place = map.adapters.len() as u32;
-            map.hashes.push((stable_hash(&[adapter.name.as_str()]), place));
+            let index = map.adapters.len() as u32;
+            map.hashes.push((stable_hash(&[adapter.name.as_str()]), index));
             map.adapters.push(adapter.name.clone());
             map.rank_adapter(adapter.name.as_str(), &adapter.model);
         }
@@ -94,31 +95,31 @@
         }
     }
 
-    /// All groups, sorted by region, model and number.
+    /// Returns all groups, sorted by region, model and number.
     #[must_use]
     pub fn groups(&self) -> &[EngineGroup] {
         &self.groups
     }
 
-    /// A group by its place.
+    /// Returns the group at an index of this map.
     #[must_use]
     pub fn group(&self, group: GroupRoute) -> &EngineGroup {
         &self.groups[group.0 as usize]
     }
 
-    /// Finds a group by name.
+    /// Returns the group with this name, by linear search.
     #[must_use]
     pub fn find_group(&self, name: &str) -> Option<&EngineGroup> {
         self.groups.iter().find(|group| group.name.as_str() == name)
     }
 
-    /// The group that `server` belongs to, if it is an engine.
+    /// Returns the group that `server` belongs to; `None` unless it is an engine.
     #[must_use]
     pub fn group_of_server(&self, server: &ServerName) -> Option<&EngineGroup> {
         self.groups.iter().find(|group| group.servers.binary_search(server).is_ok())
     }
 
-    /// Finds an adapter by binary search.
+    /// Finds an adapter by binary search over the hashes of names.
     #[must_use]
     pub fn adapter(&self, name: &str) -> Option<AdapterRoute> {
         let hash = stable_hash(&[name]);
@@ -128,7 +129,7 @@
         found.map(|entry| AdapterRoute(entry.1))
     }
 
-    /// The groups of `region` that may serve `adapter`, the usual one first.
+    /// Returns the groups of `region` that may serve `adapter`, the preferred one first.
     #[must_use]
     pub fn ranked(&self, adapter: AdapterRoute, region: &str) -> &[GroupRoute] {
         let Some(region) = self.regions.iter().position(|name| name.as_str() == region) else {
@@ -139,7 +140,7 @@
         &self.ranks[start..self.rank_ends[at] as usize]
     }
 
-    /// The groups of `region` for the adapter called `name`, or why there is none.
+    /// Returns the groups of `region` for the adapter called `name`, the preferred one first.
     ///
     /// # Errors
     /// The adapter is unknown, or no engine of the region runs its base model.
@@ -153,11 +154,12 @@
         Ok(ranked)
     }
 
-    /// What the owner of `group` needs to know of `manifest`.
+    /// Returns the part of `manifest` that the owner of `group` needs. The store's capacity is
+    /// divided equally among the groups of the region.
     #[must_use]
     pub fn topology(&self, group: &EngineGroup, manifest: &ServingManifest) -> GroupTopology {
         let engines = group.servers.iter().filter_map(|name| engine_info(manifest, name)).collect();
-        let sharers = self.groups.iter().filter(|other| other.region == group.region).count();
+        let region_groups = self.groups.iter().filter(|other| other.region == group.region).count();
         let store = manifest.stores.iter().find(|store| store.region == group.region);
         let tenants = manifest
             .tenants
@@ -167,8 +169,8 @@
             group: group.name.clone(),
             engines,
             store: store.map_or_else(StoreShare::default, |store| StoreShare {
-                loads_per_s: store.loads_per_s / sharers.max(1) as f64,
-                full_speed: (store.full_speed / sharers.max(1) as u32).max(1),
+                loads_per_s: store.loads_per_s / region_groups.max(1) as f64,
+                full_speed: (store.full_speed / region_groups.max(1) as u32).max(1),
             }),
             classes: manifest.classes.clone(),
             tenants: tenants.collect(),
@@ -177,12 +179,12 @@
     }
 }
 
-/// When a caller whose adapter is not known here may try again.
+/// Delay after which a caller may retry a request for an unknown or unserved adapter.
 const UNROUTED_RETRY_MS: u64 = 5_000;
 
-/// The VM among `vms` that should own `group`, by rendezvous hashing over the VMs' names.
+/// Returns the VM among `vms` that should own `group`, by rendezvous hashing of the VMs' names.
 ///
-/// Only a group whose owner is gone moves, and a VM that joins takes an equal share over time.
+/// When a VM leaves, only its groups move; a VM that joins takes over an equal share of the groups.
 #[must_use]
 pub fn preferred_owner<'vms>(
     group: &GroupName,
@@ -210,25 +212,29 @@
         }
     }
     pools.sort_unstable();
-    let most = (manifest.policy.group_servers as usize).max(1);
+    let max_servers = (manifest.policy.group_servers as usize).max(1);
     let mut groups = Vec::new();
     for pool in pools.chunk_by(|left, right| (left.0, left.1) == (right.0, right.1)) {
-        groups.extend(split_pool(pool, most));
+        groups.extend(split_pool(pool, max_servers));
     }
     groups
 }
 
-/// Splits a pool by rendezvous hashing with bounded groups, so that adding a server moves few.
-fn split_pool(pool: &[(&RegionName, &ModelName, &ServerName)], most: usize) -> Vec<EngineGroup> {
-    let planned = (most * PLANNED_FILL_PERCENT / 100).max(1);
-    let count = if pool.len() <= most { 1 } else { pool.len().div_ceil(planned) };
+/// Splits a pool by rendezvous hashing with bounded group sizes, so that adding a server moves few
+/// others.
+fn split_pool(
+    pool: &[(&RegionName, &ModelName, &ServerName)],
+    max_servers: usize,
+) -> Vec<EngineGroup> {
+    let planned = (max_servers * PLANNED_FILL_PERCENT / 100).max(1);
+    let count = if pool.len() <= max_servers { 1 } else { pool.len().div_ceil(planned) };
     let mut groups: Vec<EngineGroup> =
         (0..count).map(|number| new_group(pool[0], number)).collect();
     let mut servers: Vec<(u64, &ServerName)> =
         pool.iter().map(|entry| (stable_hash(&[entry.2.as_str()]), entry.2)).collect();
     servers.sort_unstable();
     for (hash, server) in servers {
-        let open = groups.iter_mut().filter(|group| group.servers.len() < most);
+        let open = groups.iter_mut().filter(|group| group.servers.len() < max_servers);
         if let Some(group) = open.max_by_key(|group| mix(hash, group.hash)) {
             group.servers.push(server.clone());
         }
@@ -251,7 +257,7 @@
     }
 }
 
-/// Mixes two hashes into one whose order is that of a rendezvous.
+/// Mixes two hashes into a rank for rendezvous hashing.
 fn mix(left: u64, right: u64) -> u64 {
     let mut mixed = left ^ right.rotate_left(32);
     mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/decision/src/routing.rs
+++ b/decision/src/routing.rs
@@ -1,7 +1,8 @@
-//! Which service a request goes to, by the host and path that it names.
+//! Maps requests to services by host and path, and defines what the configuration and the servers
+//! state about services.
 //!
-//! A table is made anew for each configuration and never changes; a request keeps the table that it
-//! was taken under. See docs/PLATFORM.md, "Configuration".
+//! A [`RouteTable`] is built for each configuration and is immutable; a request keeps the table
+//! under which it was accepted. See docs/PLATFORM.md, "Configuration".
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,138 +12,139 @@
 use crate::value;
 
 value! {
-    /// What may be done again with a request that was begun.
+    /// Whether a request that may have run can be retried.
     #[derive(Copy, Eq)]
     pub enum RepeatRule {
-        /// It may run any number of times.
+        /// May run any number of times.
         Idempotent,
-        /// It may run once at most.
+        /// May run at most once.
         Once,
-        /// A stream that may run once at most.
+        /// Stream that may run at most once.
         StreamOnce,
-        /// A stream that another server may go on with after the last event that was passed on.
+        /// Stream that another server can resume after the last event forwarded to the caller.
         StreamResumable,
     }
 
-    /// A service that takes a share of a route's requests.
+    /// Service that receives a fraction of a route's requests.
     #[derive(Eq)]
     pub struct RouteShare {
-        /// The service.
+        /// Service that the requests go to.
         pub service: ServiceName,
-        /// Its share, against the sum of all weights of the route.
+        /// Weight relative to the sum of all weights of the route.
         pub weight: u32,
     }
 
-    /// A route of the configuration.
+    /// Route of the configuration.
     #[derive(Eq)]
     pub struct ServingRoute {
-        /// Its name, for logs and metrics.
+        /// Unique name, for logs and metrics.
         pub name: String,
-        /// The host that requests name.
+        /// Host that requests must name, compared exactly.
         pub host: String,
-        /// What their path begins with; begins and ends with a slash.
+        /// Beginning of the path; starts and ends with a slash.
         pub prefix: String,
-        /// Where requests go.
+        /// Services that requests go to, with their weights.
         pub shares: Vec<RouteShare>,
-        /// What may be repeated.
+        /// Rule for retries.
         pub repeat: RepeatRule,
-        /// How long a request may be kept waiting for its final answer.
+        /// Longest time until the final answer.
         pub timeout: Duration,
-        /// Within which time an answer, or the first event of a stream, is on time.
+        /// Time within which an answer, or the first event of a stream, is on time.
         pub target: Duration,
-        /// The longest pause between two events of a stream that is on time.
+        /// Longest pause between two events of a stream that is on time; `None` for plain answers.
         pub target_gap: Option<Duration>,
-        /// Rank; 0 goes first.
+        /// Rank among the routes; 0 goes first.
         pub priority: u8,
-        /// The most servers that may run one request.
+        /// Maximum number of servers that may run one request.
         pub most_servers: u32,
-        /// Whether requests need no key, where the configuration has customers.
+        /// Whether requests need no key if the configuration has customers.
         #[serde(default)]
         pub public: bool,
     }
 
-    /// A base model as the configuration lists it.
+    /// Base model of the configuration.
     #[derive(Default)]
     pub struct ModelPlan {
-        /// The model.
+        /// Name of the base model.
         pub model: ModelName,
-        /// Memory that its weights take at a server, in MB.
+        /// Memory for its weights at a server, in MB.
         pub weights_mb: f64,
-        /// Memory that each of its adapters takes, in MB.
+        /// Memory for each of its adapters, in MB.
         pub adapter_mb: f64,
     }
 
-    /// What the model engines of a service have in common.
+    /// Common properties of a service's model engines.
     #[derive(Default)]
     pub struct EnginePlan {
-        /// Requests in one batch.
+        /// Maximum number of requests in one batch.
         pub batch: u32,
-        /// Tokens that a server's memory holds.
+        /// Number of tokens that fit into a server's memory.
         pub memory_tokens: u64,
         /// Memory for weights and adapters together, in MB.
         pub weights_mb: f64,
-        /// Places for adapters at a server.
+        /// Number of adapter slots at a server.
         pub adapter_places: usize,
-        /// Base models that may be fetched from the weight store in a second, over all servers.
+        /// Base models that may be loaded from the weight store per second, over all servers.
         pub loads_per_second: f64,
-        /// The models that its servers may hold.
+        /// Base models that its servers may hold.
         pub models: Vec<ModelPlan>,
     }
 
-    /// A service of the configuration.
+    /// Service of the configuration.
     pub struct ServicePlan {
-        /// Its name.
+        /// Unique name, which routes refer to.
         pub service: ServiceName,
-        /// The most connections that a server takes from all callers together.
+        /// Maximum number of connections that a server accepts from all callers together.
         pub most_connections: usize,
-        /// Set for model engines, none for plain services.
+        /// Set for model engines; `None` for plain services.
         pub engine: Option<EnginePlan>,
     }
 
-    /// What a caller may send, and how long it may take.
+    /// Limits on a caller's requests and connections.
     #[derive(Copy, Eq)]
     pub struct CallerLimits {
-        /// The most bytes in a request's head.
+        /// Maximum size of a request's head, in bytes.
         pub head_bytes: usize,
-        /// The most bytes in a request's body.
+        /// Maximum size of a request's body, in bytes.
         pub body_bytes: usize,
-        /// How long a head may take to arrive.
+        /// Longest time in which a head may arrive.
         pub head_time: Duration,
-        /// How long a connection may stay idle.
+        /// Longest time for which a connection may be idle.
         pub idle_time: Duration,
     }
 }
 
-/// The routes and services of one configuration.
+/// Routes, services and customers of one configuration.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct RouteTable {
-    /// The configuration's version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
     /// Sorted by host and prefix.
     routes: Vec<ServingRoute>,
     /// Sorted by name.
     services: Vec<ServicePlan>,
-    /// The shortest pause between events that a route allows, for each service with streams; sorted.
+    /// Shortest of the pauses that routes allow between events, for each service with streams;
+    /// sorted.
     gaps: Vec<(ServiceName, Duration)>,
-    /// Who may use the routes that are not public; all may where there are none.
+    /// Customers that may use the routes that are not public. If there are none, all callers may.
     #[serde(default)]
     customers: CustomerTable,
-    /// The ranks of customers and routes that requests can have, sorted.
+    /// All combinations of customer rank and route rank that requests can have, sorted.
     #[serde(default)]
     ranks: Vec<RequestRank>,
 }
 
-/// The rank of a request: its customer's goes before that of its route.
+/// Rank of a request: first the customer's, then the route's.
 type RequestRank = (u8, u8);
-/// Ranks that servers tell apart.
-const RANKS: usize = 10;
-/// The rank of requests whose customer has none.
-const USUAL_RANK: u8 = 0;
+/// Number of ranks that servers distinguish.
+const SERVER_RANKS: usize = 10;
+/// Rank of requests whose customer has none.
+const DEFAULT_RANK: u8 = 0;
 
 impl RouteTable {
-    /// A table of `routes` and `services` in any order.
+    /// Builds a table of `routes` and `services` in any order, without customers.
     #[must_use]
     pub fn new(
         version: ConfigVersion,
@@ -152,17 +154,17 @@
     ) -> Self {
         routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
         services.sort_by(|a, b| a.service.cmp(&b.service));
-        let gaps = least_gaps(&routes);
+        let gaps = min_gaps(&routes);
         let customers = CustomerTable::default();
         Self { version, limits, routes, services, gaps, customers, ranks: Vec::new() }
     }
 
-    /// The same table with customers, whose keys its routes ask for.
+    /// Adds customers, whose keys are then required on routes that are not public.
     #[must_use]
     pub fn with_customers(mut self, customers: CustomerTable) -> Self {
         let plans = customers.plans().iter();
         let mut ranked: Vec<u8> = plans.filter_map(|plan| plan.priority).collect();
-        ranked.push(USUAL_RANK);
+        ranked.push(DEFAULT_RANK);
         let routes = self.routes.iter().map(|route| route.priority);
         self.ranks =
             routes.flat_map(|route| ranked.iter().map(move |rank| (*rank, route))).collect();
@@ -172,31 +174,32 @@
         self
     }
 
-    /// Who may use the routes that are not public.
+    /// Returns the customers that may use the routes that are not public.
     #[must_use]
     pub fn customers(&self) -> &CustomerTable {
         &self.customers
     }
 
-    /// The place of a request among all ranks of this configuration; 0 goes first. Without customers it is
-    /// the route's own.
+    /// Returns the rank of a request, scaled to the ranks that servers distinguish; 0 goes first.
+    /// Without customers it is the route's own.
     #[must_use]
     pub fn rank(&self, route: &ServingRoute, customer: Option<&CustomerPlan>) -> u8 {
-        let own = customer.and_then(|plan| plan.priority).unwrap_or(USUAL_RANK);
+        let own = customer.and_then(|plan| plan.priority).unwrap_or(DEFAULT_RANK);
         match self.ranks.binary_search(&(own, route.priority)) {
-            Ok(place) => (place * RANKS / self.ranks.len().max(RANKS)) as u8,
+            Ok(index) => (index * SERVER_RANKS / self.ranks.len().max(SERVER_RANKS)) as u8,
             Err(_) => route.priority,
         }
     }
 
-    /// The longest pause between two events that every stream at a service allows, where there are any.
+    /// Returns the shortest pause between events that any stream at a service allows; `None` if it
+    /// has no streams with a limit.
     #[must_use]
     pub fn least_gap(&self, service: &ServiceName) -> Option<Duration> {
         let at = self.gaps.binary_search_by(|(known, _)| known.cmp(service)).ok()?;
         Some(self.gaps[at].1)
     }
 
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&ServingRoute> {
         let mut rest = path;
@@ -212,27 +215,27 @@
         }
     }
 
-    /// A service by its name.
+    /// Returns a service of this configuration by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServicePlan> {
         let at = self.services.binary_search_by(|plan| plan.service.as_str().cmp(name)).ok()?;
         Some(&self.services[at])
     }
 
-    /// All services, sorted by name.
+    /// Returns all services, sorted by name.
     #[must_use]
     pub fn services(&self) -> &[ServicePlan] {
         &self.services
     }
 
-    /// How many routes there are.
+    /// Returns the number of routes.
     #[must_use]
     pub fn route_count(&self) -> usize {
         self.routes.len()
     }
 }
 
-fn least_gaps(routes: &[ServingRoute]) -> Vec<(ServiceName, Duration)> {
+fn min_gaps(routes: &[ServingRoute]) -> Vec<(ServiceName, Duration)> {
     let mut gaps: Vec<(ServiceName, Duration)> = Vec::new();
     for route in routes {
         let Some(gap) = route.target_gap else { continue };
@@ -246,30 +249,31 @@
     gaps
 }
 
-/// The beginning of a prompt that other requests share. A server that has read it for the same adapter
-/// a moment ago need not read it again.
+/// Beginning of a prompt that other requests share. A server that recently processed it for the
+/// same adapter need not process it again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SharedPrompt {
-    /// What tells it from others.
+    /// Hash of the model, the adapter and the shared parts.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens; 0 if nothing is shared.
     pub tokens: u64,
 }
 
-/// Callers leave a stream that brings nothing for the longest of this, four times the target and eight
-/// times the longest pause that is on time.
-const LEAST_SILENCE: Duration = Duration::from_secs(2);
-const SILENT_TARGETS: u32 = 4;
-const SILENT_GAPS: u32 = 8;
+/// Callers give up a stream after the longest of this time without events, `IDLE_TIMEOUT_TARGETS`
+/// times the target, and `IDLE_TIMEOUT_GAPS` times the longest pause that is on time.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT_TARGETS: u32 = 4;
+const IDLE_TIMEOUT_GAPS: u32 = 8;
 
 impl ModelNeed {
-    /// Tokens of the prompt and the most that are generated.
+    /// Returns the tokens of the prompt plus the maximum that is generated.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
     }
 
-    /// All parts of the prompt but the last, which is the request's own.
+    /// Returns the shared prefix: all parts of the prompt but the last, which belongs to this
+    /// request only.
     #[must_use]
     pub fn shared(&self) -> SharedPrompt {
         let Some((_, shared)) = self.parts.split_last() else { return SharedPrompt::default() };
@@ -283,17 +287,19 @@
 }
 
 impl ServingRoute {
-    /// After which silence a caller leaves: for a plain answer its deadline comes first.
+    /// Returns after which time without data a caller gives up. For a plain answer that is its
+    /// deadline.
     #[must_use]
     pub fn silence(&self) -> Duration {
         if !self.repeat.is_stream() {
             return self.timeout;
         }
-        let gap = self.target_gap.unwrap_or_default() * SILENT_GAPS;
-        gap.max(self.target * SILENT_TARGETS).max(LEAST_SILENCE)
+        let gap = self.target_gap.unwrap_or_default() * IDLE_TIMEOUT_GAPS;
+        gap.max(self.target * IDLE_TIMEOUT_TARGETS).max(MIN_IDLE_TIMEOUT)
     }
 
-    /// The service of a request, by its id: tries of one id stay with one service.
+    /// Returns the service of a request, chosen by its id, so that retries with the same id go to
+    /// the same service. `None` if all weights are 0.
     #[must_use]
     pub fn service_for(&self, request_id: &str) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
@@ -310,13 +316,13 @@
 }
 
 impl RepeatRule {
-    /// Whether a request that may have run can be sent to another server.
+    /// Returns whether a request that may have run can be sent to another server.
     #[must_use]
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::StreamResumable)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::StreamOnce | Self::StreamResumable)
@@ -324,104 +330,105 @@
 }
 
 value! {
-    /// An adapter of a base model.
+    /// Names an adapter of a base model.
     #[derive(Eq, PartialOrd, Ord, Hash, Default)]
     pub struct AdapterKey {
-        /// The base model.
+        /// Base model that the adapter belongs to.
         pub model: ModelName,
-        /// The adapter.
+        /// Name of the adapter within its model.
         pub adapter: AdapterName,
     }
 
-    /// A part of a prompt that requests can share.
+    /// Part of a prompt that requests can share.
     #[derive(Copy, Eq)]
     pub struct PromptPart {
-        /// What tells it from other parts.
+        /// Identifier; the same for all requests with this part.
         pub id: u64,
-        /// Its length.
+        /// Length in tokens.
         pub tokens: u32,
     }
 
-    /// What a request asks of a model engine.
+    /// What a request needs of a model engine.
     #[derive(Eq)]
     pub struct ModelNeed {
-        /// The base model.
+        /// Base model to run.
         pub model: ModelName,
-        /// The adapter, if it names one.
+        /// Adapter to apply, if the request names one.
         pub adapter: Option<AdapterKey>,
-        /// Tokens of the prompt.
+        /// Length of the prompt, in tokens.
         pub prompt_tokens: u32,
-        /// The most tokens that are generated.
+        /// Maximum number of tokens that are generated.
         pub output_tokens: u32,
-        /// The prompt's parts, in order.
+        /// Parts of the prompt, in order.
         pub parts: Vec<PromptPart>,
     }
 
-    /// A backend server as it registered itself.
+    /// Registration of a backend server.
     pub struct BackendEntry {
-        /// Its name. Most starts of a server have a name of their own, some the one of the start before.
+        /// Name of the server. Usually unique to one start, but a restarted server may reuse the
+        /// name.
         pub server: crate::id::ServerName,
-        /// When this life of the server began, in Unix milliseconds as the server states it; 0 where it
-        /// states none. It is compared with that of other lives under the same name, and with no clock.
+        /// Start time of this incarnation, in Unix milliseconds as the server states it; 0 if not
+        /// stated. Compared only between incarnations with the same name, never with a clock.
         #[serde(default)]
         pub born: u64,
-        /// The service that it belongs to.
+        /// Service that it belongs to.
         pub service: ServiceName,
-        /// Where it is reached.
+        /// Address for requests.
         pub address: SocketAddr,
-        /// Its failure domain.
+        /// Failure domain that it runs in.
         pub domain: crate::id::DomainName,
-        /// Requests that it processes at once.
+        /// Number of requests that it processes at once.
         pub slots: u32,
-        /// Whether it takes new work.
+        /// Whether it takes new work; false once it is leaving.
         pub ready: bool,
-        /// Grows with each heartbeat of this life.
+        /// Increases with each heartbeat of this incarnation.
         pub heartbeat: u64,
-        /// The place of the entry's record in its topic; later records have a higher one.
+        /// Position of the entry's record in its topic; later records have a higher one.
         pub position: u64,
-        /// What it held then.
+        /// Base models and adapters that it held when it wrote the entry.
         pub models: Vec<HeldModel>,
     }
 
-    /// A base model that a server holds, and its adapters.
+    /// Base model that a server holds, and its adapters.
     #[derive(Eq)]
     pub struct HeldModel {
-        /// The model.
+        /// Name of the base model.
         pub model: ModelName,
-        /// Its adapters with their versions.
+        /// Its adapters at the server, with their versions.
         pub adapters: Vec<HeldAdapter>,
     }
 
-    /// An adapter that a server holds.
+    /// Adapter that a server holds.
     #[derive(Eq, PartialOrd, Ord)]
     pub struct HeldAdapter {
-        /// The adapter.
+        /// Name of the adapter.
         pub adapter: AdapterName,
-        /// Its version.
+        /// Version that is held.
         pub version: u64,
     }
 
-    /// What a server says of itself when asked; some hundred milliseconds old.
+    /// State that a server reports on request; up to some hundred milliseconds old.
     pub struct ServerReport {
-        /// When this life of the server began; as in [`BackendEntry::born`].
+        /// Start time of this incarnation, as in [`BackendEntry::born`].
         #[serde(default)]
         pub born: u64,
-        /// Orders that this life accepted so far.
+        /// Number of orders that this incarnation accepted so far.
         pub orders: u64,
         /// Whether a base model is being loaded or unloaded.
         pub busy: bool,
-        /// What it holds.
+        /// Base models and adapters that it holds.
         pub models: Vec<HeldModel>,
-        /// Adapters on their way to it.
+        /// Adapters in flight to it.
         pub pending: Vec<PendingAdapter>,
     }
 
-    /// An adapter on its way to a server.
+    /// Adapter in flight to a server.
     #[derive(Eq)]
     pub struct PendingAdapter {
-        /// The adapter.
+        /// Model and name of the adapter.
         pub key: AdapterKey,
-        /// Its version.
+        /// Version that is being loaded.
         pub version: u64,
     }
 }
