--- a/decision/src/adapter.rs
+++ b/decision/src/adapter.rs
@@ -1,36 +1,36 @@
-//! Adapter versions that the owner has met, numbered so that decisions compare small integers.
+//! Adapter versions known to the owner, numbered so that decisions compare small integers.
 
 use crate::id::{AdapterVersion, TimePoint, stable_hash};
 
-/// An adapter version's number at one owner.
+/// Number of an adapter version at one owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AdapterIndex(pub(crate) u32);
 
-/// A slot by its place: the form in which decisions name it.
+/// Slot as decisions refer to it, by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SlotChoice {
-    /// The engine's place at the owner.
+    /// Index of the engine at the owner.
     pub server: u16,
-    /// The slot's place at the engine.
+    /// Index of the slot at the engine.
     pub slot: u16,
 }
 
-/// What the owner knows of an adapter version.
+/// State of an adapter version at the owner.
 #[derive(Clone, Debug)]
 pub(crate) struct AdapterState {
     pub(crate) version: AdapterVersion,
-    /// Every slot that holds it or is to hold it.
+    /// Slots that hold it or are to hold it.
     pub(crate) copies: Vec<SlotChoice>,
-    /// Requests that wait for it.
+    /// Number of requests that wait for it.
     pub(crate) waiting: u32,
-    /// Loads that failed in a row.
+    /// Number of loads that failed in a row.
     pub(crate) failures: u32,
-    /// No load before then.
+    /// Time before which no load is started, after a failed one.
     pub(crate) retry_at: TimePoint,
-    /// Kept from eviction until then, because a schedule needs it.
-    pub(crate) kept_until: TimePoint,
-    heat: f64,
-    heated_at: TimePoint,
+    /// Time until which it is reserved for a schedule and kept from eviction.
+    pub(crate) reserved_until: TimePoint,
+    usage_score: f64,
+    used_at: TimePoint,
 }
 
 impl AdapterState {
@@ -41,26 +41,26 @@
             waiting: 0,
             failures: 0,
             retry_at: TimePoint::default(),
-            kept_until: TimePoint::default(),
-            heat: 0.0,
-            heated_at: TimePoint::default(),
+            reserved_until: TimePoint::default(),
+            usage_score: 0.0,
+            used_at: TimePoint::default(),
         }
     }
 
-    /// Its requests of late, each counted less the older it is.
-    pub(crate) fn heat(&self, now: TimePoint, decay_micros: f64) -> f64 {
-        self.heat * (-(now.since(self.heated_at) as f64) / decay_micros).exp()
+    /// Returns its number of requests, exponentially decayed by age.
+    pub(crate) fn usage_score(&self, now: TimePoint, decay_micros: f64) -> f64 {
+        self.usage_score * (-(now.since(self.used_at) as f64) / decay_micros).exp()
     }
 
     /// Counts a request.
     pub(crate) fn touch(&mut self, now: TimePoint, decay_micros: f64) {
-        self.heat = self.heat(now, decay_micros) + 1.0;
-        self.heated_at = now;
+        self.usage_score = self.usage_score(now, decay_micros) + 1.0;
+        self.used_at = now;
     }
 }
 
-/// All adapter versions met, found by binary search over their hashes: comparing numbers that lie
-/// side by side touches far less memory than comparing names.
+/// All known adapter versions, found by binary search over their hashes. Comparing contiguous
+/// numbers touches far less memory than comparing names.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdapterTable {
     states: Vec<AdapterState>,
@@ -72,7 +72,7 @@
         self.search(hash_of(version), version).ok()
     }
 
-    /// The number of `version`, which is met for the first time or was met before.
+    /// Returns the number of `version`, adding it if it is new.
     pub(crate) fn intern(&mut self, version: &AdapterVersion) -> u32 {
         let hash = hash_of(version);
         match self.search(hash, version) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The number of `version`, or else the place where it belongs.
+    /// Returns the number of `version`, or else the index at which to insert it.
     fn search(&self, hash: u64, version: &AdapterVersion) -> Result<u32, usize> {
         let start = self.sorted.partition_point(|entry| entry.0 < hash);
         let same = self.sorted[start..].iter().take_while(|entry| entry.0 == hash);
--- a/decision/src/load.rs
+++ b/decision/src/load.rs
@@ -100,24 +100,24 @@
 
 /// Urgency of a load; earlier variants are loaded first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum LoadPressure {
+pub(crate) enum LoadPriority {
     /// For an urgent request.
     Urgent,
     /// For a request or a schedule whose deadline is near.
-    Pressing,
+    DueSoon,
     /// For any other request, oldest first, so that requests without a near deadline don't starve.
     Waiting,
     /// For a schedule whose deadline is not near; uses loads that no request needs.
-    Ahead,
+    Scheduled,
     /// For a frequently used adapter, to move it to an engine with a larger batch.
     Gather,
 }
 
 /// Load request for an adapter, from its waiting requests or from a schedule.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LoadWish {
+pub(crate) struct LoadRequest {
     pub(crate) adapter: u32,
-    pub(crate) pressure: LoadPressure,
+    pub(crate) priority: LoadPriority,
     pub(crate) class: RequestClass,
     pub(crate) deadline: Option<TimePoint>,
     pub(crate) waiters: u32,
@@ -126,22 +126,22 @@
     pub(crate) extra: bool,
 }
 
-impl LoadWish {
+impl LoadRequest {
     /// Compares load requests for service: by urgency, then by deadline where that matters, else by
     /// age, where each further waiting request counts as some time of waiting.
     pub(crate) fn rank(&self, other: &Self) -> Ordering {
-        self.pressure
-            .cmp(&other.pressure)
+        self.priority
+            .cmp(&other.priority)
             .then(self.time_rank().cmp(&other.time_rank()))
             .then(self.adapter.cmp(&other.adapter))
     }
 
     fn time_rank(&self) -> u64 {
         let due = self.deadline.map_or(u64::MAX, |due| due.0);
-        match self.pressure {
-            LoadPressure::Pressing | LoadPressure::Ahead => due,
-            LoadPressure::Urgent | LoadPressure::Waiting | LoadPressure::Gather => {
-                let bonus = u64::from(self.waiters.saturating_sub(1)) * WAITER_MICROS;
+        match self.priority {
+            LoadPriority::DueSoon | LoadPriority::Scheduled => due,
+            LoadPriority::Urgent | LoadPriority::Waiting | LoadPriority::Gather => {
+                let bonus = u64::from(self.waiters.saturating_sub(1)) * WAITER_BONUS_MICROS;
                 self.oldest.0.saturating_sub(bonus)
             }
         }
@@ -149,4 +149,4 @@
 }
 
 /// Additional age of a load request for each further request that waits for it, in microseconds.
-const WAITER_MICROS: u64 = 500_000;
+const WAITER_BONUS_MICROS: u64 = 500_000;
--- a/decision/src/order.rs
+++ b/decision/src/order.rs
@@ -1,5 +1,4 @@
-//! Orders to engines: how they are sent and what follows from each result. `plan` decides which
-//! loads they carry out.
+//! Sends orders to engines and applies their results. `plan` decides which loads to order.
 
 use rand::{Rng, RngExt};
 
@@ -7,27 +6,27 @@
 use crate::event::{EngineOrder, OrderResult, OwnerAction, OwnerNote};
 use crate::id::{MICROS_PER_MILLI, SlotName, TimePoint};
 use crate::invariant::InvariantName;
-use crate::load::{LoadOrder, LoadStage, LoadWish, NewSlot};
+use crate::load::{LoadOrder, LoadRequest, LoadStage, NewSlot};
 use crate::owner::{GroupOwner, millis};
 use crate::place::LoadTarget;
 use crate::slot::{FenceState, SlotPhase, SlotState, slot_name};
 
-/// How much of a new load time enters the running mean.
-const LOAD_GAIN: f64 = 0.2;
-/// The most that a pause before a repeat is lengthened at random, as a part of it.
+/// Weight of a new load time in the moving average.
+const LOAD_TIME_WEIGHT: f64 = 0.2;
+/// Maximum random addition to the delay before a load is retried, as a fraction of it.
 const BACKOFF_JITTER: f64 = 0.2;
 
 impl GroupOwner {
-    /// Begins the load that was planned, with the eviction that makes room for it.
+    /// Starts a planned load, with the eviction that makes room for it.
     pub(crate) fn begin_load(
         &mut self,
         now: TimePoint,
-        wish: &LoadWish,
+        request: &LoadRequest,
         target: &LoadTarget,
         actions: &mut Vec<OwnerAction>,
     ) {
         let number = self.number();
-        let version = self.adapters.get(wish.adapter).version.clone();
+        let version = self.adapters.get(request.adapter).version.clone();
         let engine = &self.engines[target.server];
         let order = LoadOrder {
             number,
@@ -37,10 +36,10 @@
             evict: target.evict.map(|at| engine.slots[at].name.clone()),
             load: Some(NewSlot {
                 name: slot_name(&version, self.epoch, number),
-                adapter: wish.adapter,
+                adapter: request.adapter,
                 version,
-                ahead: wish.ahead,
-                extra: wish.extra,
+                ahead: request.ahead,
+                extra: request.extra,
             }),
             begun: now,
             sent: now,
@@ -48,9 +47,9 @@
         self.begin_order(now, order, actions);
     }
 
-    /// Sends the first order at once to an engine that checks fencing numbers. For any other the
-    /// intent must be read back first: a paused owner that wakes after a takeover could otherwise
-    /// evict a slot that its successor has granted.
+    /// Sends the first order at once to an engine that checks fencing numbers. For any other engine
+    /// the intent must be read back first: a paused owner that resumes after a takeover could
+    /// otherwise evict a slot that its successor has granted.
     fn begin_order(&mut self, now: TimePoint, order: LoadOrder, actions: &mut Vec<OwnerAction>) {
         let engine = &self.engines[order.server];
         if engine.info.checks_fencing {
@@ -68,7 +67,8 @@
         self.orders.push(order);
     }
 
-    /// Goes on with an order whose intent was read back, or gives it up if the epoch was over there.
+    /// Continues with an order whose intent was read back, or drops the order and ends this
+    /// ownership if the intent was appended after the end of the epoch.
     pub(crate) fn intent_read(
         &mut self,
         now: TimePoint,
@@ -89,7 +89,7 @@
         self.send_next(now, at, actions);
     }
 
-    /// Ends this ownership: a later epoch is in force, and no further order may go out.
+    /// Ends this ownership because a later epoch is in force; no further order may be sent.
     pub(crate) fn depose(&mut self, actions: &mut Vec<OwnerAction>) {
         if !self.deposed {
             self.deposed = true;
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Sends the unload if there is a victim, or else the load. A victim that was granted while
-    /// the intent was under way stays, and the whole order is dropped.
+    /// Sends the unload if there is a victim, else the load. If the victim was granted while the
+    /// intent was in flight, it stays and the whole order is dropped.
     fn send_next(&mut self, now: TimePoint, at: usize, actions: &mut Vec<OwnerAction>) {
         let order = self.orders[at].clone();
         let engine = &self.engines[order.server];
-        let same_life = engine.incarnation == Some(order.incarnation);
-        if self.deposed || !same_life || !engine.usable() {
+        let same_incarnation = engine.incarnation == Some(order.incarnation);
+        if self.deposed || !same_incarnation || !engine.usable() {
             self.orders.swap_remove(at);
             return;
         }
@@ -140,10 +140,10 @@
         let slot = &mut engine.slots[choice.slot as usize];
         let unused = slot.pins == 0 && (!slot.inherited || self.inherited_free);
         self.invariants.check(InvariantName::NoEvictionInUse, unused, || {
-            format!("{} is evicted with {} grants out", slot.name, slot.pins)
+            format!("slot {} is evicted with {} outstanding grants", slot.name, slot.pins)
         });
         self.invariants.check(InvariantName::OneWriter, !self.deposed, || {
-            format!("epoch {} is deposed and evicts {}", self.epoch, slot.name)
+            format!("owner of epoch {} is deposed but evicts slot {}", self.epoch, slot.name)
         });
         slot.phase = SlotPhase::Unloading;
         actions.push(OwnerAction::SendOrder {
@@ -194,7 +194,7 @@
         });
     }
 
-    /// Takes over how an order ended.
+    /// Applies the result of an order.
     pub(crate) fn order_done(
         &mut self,
         now: TimePoint,
@@ -249,7 +249,7 @@
                 self.engines[order.server].slots[slot].phase = SlotPhase::Ready;
                 self.orders.swap_remove(at);
             }
-            // The slot stays unusable; the tick sends the unload again until a result is known.
+            // The slot stays unusable; the tick repeats the unload until its result is known.
             _ => {
                 self.orders.swap_remove(at);
             }
@@ -282,7 +282,7 @@
         match result {
             OrderResult::Done => {
                 let took = millis(now.since(order.sent));
-                self.load_ms += (took - self.load_ms) * LOAD_GAIN;
+                self.load_ms += (took - self.load_ms) * LOAD_TIME_WEIGHT;
                 self.slot_ready(now, choice);
                 actions.push(OwnerAction::Note(OwnerNote::Loaded {
                     server: self.engines[order.server].info.server.clone(),
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Makes a slot usable and notes for its waiting requests that the load stall is over.
+    /// Makes a slot usable, and records for its waiting requests when the load ended.
     pub(crate) fn slot_ready(&mut self, now: TimePoint, choice: SlotChoice) {
         let slot = &mut self.engines[choice.server as usize].slots[choice.slot as usize];
         slot.phase = SlotPhase::Ready;
@@ -316,7 +316,8 @@
         }
     }
 
-    /// Counts a failed load; a failing adapter pauses longer each time and then refuses at once.
+    /// Counts a failed load. The delay before the next one doubles with each failure in a row;
+    /// after the configured number of attempts, waiting requests are rejected.
     fn load_failed(
         &mut self,
         now: TimePoint,
@@ -325,12 +326,12 @@
         rng: &mut dyn Rng,
         actions: &mut Vec<OwnerAction>,
     ) {
-        let (first, most) = (self.settings.load_backoff_ms, self.settings.load_backoff_most_ms);
+        let (initial, max) = (self.settings.load_backoff_ms, self.settings.load_backoff_most_ms);
         let state = self.adapters.get_mut(load.adapter);
         state.failures += 1;
-        let doubled = first.saturating_mul(1 << (state.failures - 1).min(20)).min(most);
-        let pause = doubled as f64 * (1.0 + BACKOFF_JITTER * rng.random::<f64>());
-        state.retry_at = now.plus((pause * MICROS_PER_MILLI as f64) as u64);
+        let doubled = initial.saturating_mul(1 << (state.failures - 1).min(20)).min(max);
+        let delay = doubled as f64 * (1.0 + BACKOFF_JITTER * rng.random::<f64>());
+        state.retry_at = now.plus((delay * MICROS_PER_MILLI as f64) as u64);
         let failures = state.failures;
         actions.push(OwnerAction::Note(OwnerNote::LoadFailed {
             server: self.engines[server].info.server.clone(),
@@ -338,11 +339,12 @@
             failures,
         }));
         if failures >= self.settings.load_attempts && !self.is_ready(now, load.adapter) {
-            self.refuse_waiters(load.adapter, pause, actions);
+            self.refuse_waiters(load.adapter, delay, actions);
         }
     }
 
-    /// Ends orders that have had no result for too long.
+    /// Ends orders that have had no result within the timeout, and repeats unfinished unloads and
+    /// fencing orders.
     pub(crate) fn settle_orders(
         &mut self,
         now: TimePoint,
@@ -359,20 +361,20 @@
                 LoadStage::Loading => self.load_done(now, at, OrderResult::Unknown, rng, actions),
             }
         }
-        self.clean_slots(now, actions);
+        self.repeat_unloads(now, actions);
         for server in 0..self.engines.len() {
             self.send_fence(now, server, actions);
         }
     }
 
-    /// Unloads slots of which an earlier order left nothing certain, until a result is known: an
-    /// engine would otherwise lose a slot for good. A repeat is harmless, as no two loads share a
-    /// name.
-    fn clean_slots(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
+    /// Unloads slots whose state is uncertain after an earlier order, until a result is known; the
+    /// engine would otherwise lose the slot permanently. Repeating is harmless, since no two loads
+    /// share a name.
+    fn repeat_unloads(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
         if self.deposed || !self.majority {
             return;
         }
-        let patience = self.settings.order_timeout_ms * MICROS_PER_MILLI;
+        let timeout = self.settings.order_timeout_ms * MICROS_PER_MILLI;
         for server in 0..self.engines.len() {
             let engine = &self.engines[server];
             if !engine.usable() || (!engine.info.checks_fencing && !self.log_writable) {
@@ -381,17 +383,17 @@
             let uncertain = engine.slots.iter().position(|slot| match slot.phase {
                 SlotPhase::Unloading => !self.is_ordered(server, slot),
                 SlotPhase::Unknown { since } => {
-                    now.since(since) >= patience && !self.is_ordered(server, slot)
+                    now.since(since) >= timeout && !self.is_ordered(server, slot)
                 }
                 _ => false,
             });
             if let Some(slot) = uncertain {
-                self.begin_cleaning(now, server, slot, actions);
+                self.begin_unload(now, server, slot, actions);
             }
         }
     }
 
-    fn begin_cleaning(
+    fn begin_unload(
         &mut self,
         now: TimePoint,
         server: usize,
@@ -413,7 +415,7 @@
         self.begin_order(now, order, actions);
     }
 
-    /// Whether an order that evicts `slot` is under way.
+    /// Returns whether an order that evicts `slot` is in flight.
     pub(crate) fn is_ordered(&self, server: usize, slot: &SlotState) -> bool {
         let evicts = |order: &LoadOrder| order.evict.as_ref() == Some(&slot.name);
         self.orders.iter().any(|order| order.server == server && evicts(order))
@@ -421,20 +423,22 @@
 }
 
 impl GroupOwner {
-    /// Makes an engine that checks fencing numbers know this epoch, by unloading a slot that does
-    /// not exist. Until it has, a paused predecessor could evict a slot that this owner grants.
+    /// Announces this epoch to an engine that checks fencing numbers, by unloading a slot that
+    /// doesn't exist. Until the engine knows the epoch, a paused predecessor could evict a slot
+    /// that this owner grants.
     pub(crate) fn send_fence(
         &mut self,
         now: TimePoint,
         server: usize,
         actions: &mut Vec<OwnerAction>,
     ) {
-        let pause = self.settings.fence_retry_ms * MICROS_PER_MILLI;
+        let interval = self.settings.fence_retry_ms * MICROS_PER_MILLI;
         let engine = &self.engines[server];
-        let waiting = matches!(engine.fence, FenceState::Sent { at, .. } if now.since(at) < pause);
-        let needless = !engine.info.checks_fencing || engine.fence == FenceState::Known;
+        let recently_sent =
+            matches!(engine.fence, FenceState::Sent { at, .. } if now.since(at) < interval);
+        let not_needed = !engine.info.checks_fencing || engine.fence == FenceState::Known;
         let inherited = engine.slots.iter().any(|slot| slot.inherited);
-        if waiting || needless || !inherited || !engine.usable() || self.deposed {
+        if recently_sent || not_needed || !inherited || !engine.usable() || self.deposed {
             return;
         }
         let number = self.number();
--- a/decision/src/orderbook.rs
+++ b/decision/src/orderbook.rs
@@ -1,10 +1,10 @@
-//! Orders to one server: which adapters are loaded into its places and which make way.
+//! Tracks the orders to one server: which adapters are loaded into its slots and which are evicted.
 //!
-//! A server counts the orders that it accepted, and an order states the count that it was decided
-//! on. An order whose answer is lost may be carried out seconds later, but only while that count
-//! still stands. So each decision is made on the state at one count, and an order that arrives late
-//! either fits that state or is refused by the server: the sum of adapters that are held and on their
-//! way never passes the places. docs/PLATFORM.md, "Orders".
+//! A server counts the orders that it accepted, and each order states the count on which it was
+//! decided. An order whose reply is lost may be carried out seconds later, but only while the
+//! server still has that count. Each decision is therefore based on the state at one count, and a
+//! delayed order either fits that state or is rejected by the server, so that the adapters held and
+//! in flight never exceed the slots. docs/PLATFORM.md, "Orders", has the protocol.
 
 use crate::holding::AdapterHolding;
 use crate::id::{ModelName, TimePoint, VmName};
@@ -13,155 +13,156 @@
 use crate::value;
 
 value! {
-    /// An order to a server.
+    /// Change that a server is ordered to make.
     #[derive(Eq)]
     pub enum OrderAction {
         /// Loads an adapter, or replaces its version.
         LoadAdapter {
-            /// The adapter.
+            /// Adapter to load.
             key: AdapterKey,
-            /// The version.
+            /// Version to load.
             version: u64,
         },
-        /// Drops an adapter.
+        /// Evicts an adapter.
         UnloadAdapter {
-            /// The adapter.
+            /// Adapter to evict.
             key: AdapterKey,
         },
         /// Loads a base model.
         LoadModel {
-            /// The model.
+            /// Base model to load.
             model: ModelName,
         },
     }
 
-    /// An order and the count of accepted orders that it was decided on.
+    /// Order with the count of accepted orders on which it was decided.
     #[derive(Eq)]
     pub struct ServerOrder {
-        /// What to do.
+        /// Change to make.
         pub action: OrderAction,
-        /// The server refuses the order if it has accepted another number of orders.
+        /// Number of orders that the server must have accepted before; it rejects the order
+        /// otherwise.
         pub expected: u64,
     }
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It is being carried out.
+    /// The server is carrying it out.
     Accepted,
-    /// It is done, or held already.
+    /// The server has carried it out, or its effect was in slot already.
     Done,
     /// The server has accepted another number of orders, or is busy.
     Conflict,
     /// The server has seen a higher fencing number.
     Fenced,
-    /// The server does not take it.
+    /// The server rejects it for good.
     Refused,
-    /// No answer: it may be carried out now or later.
+    /// No reply: the order may be carried out now or later.
     Lost,
     /// The server could not be reached.
     Unsent,
 }
 
-/// What to do next for a server.
+/// Next step for a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BookAction {
-    /// Ask the server what it holds.
+    /// Query the server's report.
     Ask,
     /// Send an order.
     Order(ServerOrder),
 }
 
-/// Times and bounds of order books. All times are in microseconds.
+/// Times, in microseconds, and bounds for tracking a server.
 #[derive(Clone, Copy, Debug)]
 pub struct BookSettings {
-    /// Adapters that may be on their way to a server at once; the servers' own bound.
-    pub transfers: usize,
-    /// How old a server's report may be.
+    /// Maximum number of adapters in flight to a server; the servers' own limit.
+    pub max_in_flight: usize,
+    /// Maximum age of a server's report when it arrives.
     pub report_lag_us: u64,
-    /// How long to wait before asking after an order without answer; longer than the lag.
-    pub lost_pause_us: u64,
-    /// How long an adapter must have been unused before it makes way: longer than a VM's word that a
-    /// request began is on its way.
+    /// Delay before querying a report after an order without a reply; longer than the report lag.
+    pub lost_delay_us: u64,
+    /// Time without requests after which an adapter may be evicted; longer than a VM's report of a
+    /// new request takes to arrive.
     pub idle_us: u64,
-    /// How long an adapter is kept for the request that it was loaded for.
-    pub unmet_us: u64,
-    /// How long a VM's word that requests run is believed. VMs repeat it several times in it.
-    pub user_trust_us: u64,
-    /// How long a wish is kept that is not repeated.
-    pub wish_us: u64,
-    /// The time after which an adapter's uses count half.
+    /// Time for which an adapter without any request yet is kept for those that it was loaded for.
+    pub first_use_us: u64,
+    /// Validity of a VM's report that requests are running. VMs repeat it several times within it.
+    pub user_ttl_us: u64,
+    /// Time after which a load request that is not repeated is dropped.
+    pub request_ttl_us: u64,
+    /// Half-life of an adapter's usage score.
     pub half_life_us: u64,
 }
 
 impl Default for BookSettings {
     fn default() -> Self {
         Self {
-            transfers: 4,
+            max_in_flight: 4,
             report_lag_us: 250_000,
-            lost_pause_us: 600_000,
+            lost_delay_us: 600_000,
             idle_us: 60_000,
-            unmet_us: 300_000,
-            user_trust_us: 600_000,
-            wish_us: 300_000,
+            first_use_us: 300_000,
+            user_ttl_us: 600_000,
+            request_ttl_us: 300_000,
             half_life_us: 10_000_000,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PlaceState {
+enum SlotStatus {
     Held {
         usable_from: TimePoint,
         load: OrderedLoad,
     },
-    /// It was told to make way, by the order that was decided on this count of accepted orders.
-    Leaving {
+    /// Its eviction was ordered, by an order decided on this count of accepted orders.
+    Evicting {
         expected: u64,
     },
 }
 
 #[derive(Clone, Debug)]
-struct AdapterPlace {
+struct AdapterSlot {
     key: AdapterKey,
     version: u64,
-    state: PlaceState,
+    state: SlotStatus,
     used_at: TimePoint,
-    /// VMs with requests running on it, and when each last said so.
+    /// VMs with requests running on it, and the time of each one's last report.
     users: Vec<(VmName, TimePoint)>,
     /// Whether a request has used it since it was loaded.
-    met: bool,
-    heat: f64,
+    was_used: bool,
+    usage_score: f64,
 }
 
 #[derive(Clone, Debug)]
-struct LoadWish {
+struct LoadRequest {
     key: AdapterKey,
     version: u64,
     since: TimePoint,
-    asked_at: TimePoint,
+    requested_at: TimePoint,
     waiting: Vec<WaitingRequests>,
 }
 
 /// Requests of one VM that wait for an adapter.
 #[derive(Clone, Debug, Default)]
 pub struct WaitingRequests {
-    /// The VM.
+    /// VM that received the requests.
     pub vm: VmName,
-    /// How many; none where a copy is wished for.
+    /// Number of requests; 0 to request a further copy.
     pub count: u32,
-    /// Until when the load must be done for the newest of them to be served in time.
+    /// Time by which the load must be done to serve the newest of them in time.
     pub in_time_until: TimePoint,
 }
 
-/// What a request that is served late is worth against one that is served in time, as callers commonly
-/// value them; and a copy of an adapter that is held elsewhere.
+/// Value of a request that is served late, and of a further copy of an adapter, relative to a
+/// request that is served in time.
 const LATE_VALUE: f64 = 0.3;
 const COPY_VALUE: f64 = 0.25;
 
-impl LoadWish {
-    /// What the load brings if it is done at `done`, in requests that are served in time.
+impl LoadRequest {
+    /// Returns the value of the load if it is done at `done`, in requests served in time.
     fn value(&self, done: TimePoint) -> f64 {
         let each = |waiting: &WaitingRequests| {
             let value = if waiting.in_time_until >= done { 1.0 } else { LATE_VALUE };
@@ -171,124 +172,125 @@
     }
 }
 
-/// What a VM tells of its requests on an adapter at a server.
+/// A VM's report about its requests for an adapter at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ToldUse<'a> {
-    /// The VM.
+    /// VM that reports.
     pub vm: &'a VmName,
-    /// Requests that began since it last told.
+    /// Requests that began since its last report.
     pub begun: u32,
-    /// Requests that run now.
+    /// Requests that are running now.
     pub running: u32,
 }
 
-/// The orders of one life of a server.
+/// Tracks the orders to one incarnation of a server and its resulting state.
 #[derive(Debug)]
 pub struct OrderBook {
     settings: BookSettings,
-    places: usize,
-    /// Orders that the server has accepted, once known for certain.
+    slots: usize,
+    /// Number of orders that the server has accepted; `None` while uncertain.
     accepted: Option<u64>,
-    /// It has accepted at least that many; a report with fewer is older than an answer.
-    least_accepted: u64,
+    /// Lower bound of that number; a report with fewer orders is out of date.
+    min_accepted: u64,
     /// Sorted by adapter.
-    held: Vec<AdapterPlace>,
+    held: Vec<AdapterSlot>,
     models: Vec<ModelName>,
     busy: bool,
-    wishes: Vec<LoadWish>,
-    waiting: bool,
-    ask_at: TimePoint,
-    /// Orders in a row that the server did not answer.
+    load_requests: Vec<LoadRequest>,
+    awaits_reply: bool,
+    query_at: TimePoint,
+    /// Orders in a row that the server did not reply to.
     unanswered: u32,
-    lately: Vec<AdapterKey>,
+    recently_held: Vec<AdapterKey>,
     revision: u64,
 }
 
-/// How much later an adapter is taken to be usable when a request came too early, as a part of the time
-/// since its load was ordered, and at least. Where loads take twice as long as expected, three tries
-/// find it out; each one that is refused counts as a repeat.
-const LATER_PART: f64 = 0.25;
-const LEAST_LATER_US: u64 = 45_000;
-/// A load that lasts more than this many times as long as expected is asked about. Postponed again and
-/// again, it would never be found out that the server lost it.
-const MOST_TIMES_EXPECTED: f64 = 2.5;
-/// Adapters that a book remembers as held lately.
-const LATELY_HELD: usize = 120;
-/// Microseconds between two questions to a server that is loading a base model.
-const MODEL_ASK_US: u64 = 250_000;
-/// Orders in a row without an answer after which a server is taken to be away. Some servers leave one
-/// order in three unanswered for a while; the next one then follows at once, since it states the same
-/// count and cannot do harm.
-const LOST_IN_ROW: u32 = 3;
-/// Microseconds after which a server that is away is asked for a report; it gets no order before it has
-/// given one. A server that is down refuses connections at once, and orders without a rest would fill
-/// the wire.
-const AWAY_REST_US: u64 = 60_000;
-/// Microseconds after which an adapter that was told to make way is asked about.
-const LEAVING_ASK_US: u64 = 400_000;
+/// How long an adapter's expected arrival is postponed when a request came too early: a fraction of
+/// the time since its load was ordered, and a minimum. If loads take twice as long as expected,
+/// three attempts reach the end; each rejected attempt counts as a retry.
+const DELAY_FRACTION: f64 = 0.25;
+const MIN_DELAY_US: u64 = 45_000;
+/// Ratio to its expected time after which a load is verified by a report. Otherwise it would be
+/// postponed for ever if the server has lost it.
+const MAX_EXPECTED_RATIO: f64 = 2.5;
+/// Maximum number of adapters remembered as recently held.
+const MAX_RECENTLY_HELD: usize = 120;
+/// Interval of queries to a server that is loading a base model, in microseconds.
+const MODEL_QUERY_US: u64 = 250_000;
+/// Number of orders in a row without a reply from which a server is considered unresponsive. Below
+/// it the next order follows at once, since some servers lose single replies; it states the same
+/// count, so that at most one of the two can be accepted.
+const MAX_LOST_IN_ROW: u32 = 3;
+/// Delay before an unresponsive server is queried, in microseconds; it gets no order until it has
+/// reported. A server that is down refuses connections at once, so that without the delay orders
+/// would flood the network.
+const UNRESPONSIVE_QUERY_US: u64 = 60_000;
+/// Delay before the progress of an eviction is queried, in microseconds.
+const EVICTION_QUERY_US: u64 = 400_000;
 
 impl OrderBook {
-    /// A book of a server of which nothing is known yet.
+    /// Creates the tracker of a server whose state is unknown, with a number of adapter slots.
     #[must_use]
-    pub fn new(settings: BookSettings, places: usize, now: TimePoint) -> Self {
+    pub fn new(settings: BookSettings, slots: usize, now: TimePoint) -> Self {
         Self {
             settings,
-            places,
+            slots,
             accepted: None,
-            least_accepted: 0,
+            min_accepted: 0,
             held: Vec::new(),
             models: Vec::new(),
             busy: false,
-            wishes: Vec::new(),
-            waiting: false,
-            ask_at: now,
+            load_requests: Vec::new(),
+            awaits_reply: false,
+            query_at: now,
             unanswered: 0,
-            lately: Vec::new(),
+            recently_held: Vec::new(),
             revision: 0,
         }
     }
 
-    /// Grows with each change of what [`Self::adapters`] tells.
+    /// Returns a number that increases with each change of [`Self::adapters`].
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether the server's state is known, so that what the book tells can be passed on.
+    /// Returns whether the server's state is known, so that [`Self::adapters`] can be reported.
     #[must_use]
     pub fn is_known(&self) -> bool {
-        self.least_accepted > 0 || self.accepted.is_some()
+        self.min_accepted > 0 || self.accepted.is_some()
     }
 
-    /// The adapters that requests may count on.
+    /// Returns the adapters that requests may use, including those in flight.
     #[must_use]
     pub fn adapters(&self, now: TimePoint) -> Vec<AdapterHolding> {
         let half_life = self.settings.half_life_us as f64;
-        let booked = |place: &AdapterPlace| match place.state {
-            PlaceState::Held { usable_from, load } => Some(AdapterHolding {
-                key: place.key.clone(),
-                version: place.version,
+        let holding = |slot: &AdapterSlot| match slot.state {
+            SlotStatus::Held { usable_from, load } => Some(AdapterHolding {
+                key: slot.key.clone(),
+                version: slot.version,
                 usable_from,
-                heat: place.heat_at(half_life, now).round() as u32,
+                heat: slot.score_at(half_life, now).round() as u32,
                 from_memory: load.again,
             }),
-            PlaceState::Leaving { .. } => None,
+            SlotStatus::Evicting { .. } => None,
         };
-        self.held.iter().filter_map(booked).collect()
+        self.held.iter().filter_map(holding).collect()
     }
 
-    /// Other places from now on, with another configuration.
-    pub fn set_places(&mut self, places: usize) {
-        self.places = places;
+    /// Changes the number of adapter slots after a change of configuration.
+    pub fn set_places(&mut self, slots: usize) {
+        self.slots = slots;
     }
 
-    /// Whether it holds no base model and none is coming.
+    /// Returns whether it neither holds nor loads a base model.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.accepted.is_some() && self.models.is_empty() && !self.busy
     }
 
-    /// A VM has requests for an adapter and would have it here.
+    /// Records a VM's request to load an adapter. Does nothing if this version or a later one is
+    /// held or in flight.
     pub fn wish(
         &mut self,
         key: &AdapterKey,
@@ -299,70 +301,71 @@
         if self.version_of(key).is_some_and(|held| held >= version) {
             return;
         }
-        match self.wishes.iter_mut().find(|wish| wish.key == *key) {
-            Some(wish) => {
-                wish.version = wish.version.max(version);
-                wish.asked_at = now;
-                wish.waiting.retain(|known| known.vm != waiting.vm);
-                wish.waiting.push(waiting);
+        match self.load_requests.iter_mut().find(|request| request.key == *key) {
+            Some(request) => {
+                request.version = request.version.max(version);
+                request.requested_at = now;
+                request.waiting.retain(|known| known.vm != waiting.vm);
+                request.waiting.push(waiting);
             }
             None => {
                 let (key, waiting) = (key.clone(), vec![waiting]);
-                let wish = LoadWish { key, version, since: now, asked_at: now, waiting };
-                self.wishes.push(wish);
+                let request = LoadRequest { key, version, since: now, requested_at: now, waiting };
+                self.load_requests.push(request);
             }
         }
     }
 
-    /// A VM tells of its requests on an adapter here.
+    /// Records a VM's report about its requests for an adapter.
     pub fn used(&mut self, key: &AdapterKey, told: &ToldUse<'_>, now: TimePoint) {
         let half_life = self.settings.half_life_us as f64;
-        let Some(place) = self.place_mut(key) else { return };
-        place.cool(half_life, now);
-        place.heat += f64::from(told.begun);
-        place.used_at = now;
-        place.met |= told.begun > 0;
-        place.users.retain(|(vm, _)| vm != told.vm);
+        let Some(slot) = self.slot_mut(key) else { return };
+        slot.decay_score(half_life, now);
+        slot.usage_score += f64::from(told.begun);
+        slot.used_at = now;
+        slot.was_used |= told.begun > 0;
+        slot.users.retain(|(vm, _)| vm != told.vm);
         if told.running > 0 {
-            place.users.push((told.vm.clone(), now));
+            slot.users.push((told.vm.clone(), now));
         }
     }
 
-    /// The server refused a request since it lacks the adapter.
+    /// Records that the server rejected a request because it lacks the adapter; its state is then
+    /// queried again.
     pub fn missing(&mut self, key: &AdapterKey, now: TimePoint) {
         if self.version_of(key).is_some() {
             self.accepted = None;
-            self.ask_at = self.ask_at.max(now.plus(self.settings.report_lag_us));
+            self.query_at = self.query_at.max(now.plus(self.settings.report_lag_us));
         }
     }
 
-    /// The load of an adapter that is held or on its way.
+    /// Returns the load of an adapter that is held or in flight; `None` if it is being evicted.
     #[must_use]
     pub fn ordered(&self, key: &AdapterKey) -> Option<OrderedLoad> {
-        let at = self.held.binary_search_by(|place| place.key.cmp(key)).ok()?;
+        let at = self.held.binary_search_by(|slot| slot.key.cmp(key)).ok()?;
         match self.held[at].state {
-            PlaceState::Held { load, .. } => Some(load),
-            PlaceState::Leaving { .. } => None,
+            SlotStatus::Held { load, .. } => Some(load),
+            SlotStatus::Evicting { .. } => None,
         }
     }
 
-    /// A request came too early for an adapter; it is usable later than was told, by a part of the time
-    /// that its load has taken so far.
+    /// Records that a request came too early for an adapter, and postpones the expected arrival by
+    /// a fraction of the time since the load was ordered.
     pub fn too_early(&mut self, key: &AdapterKey, now: TimePoint) {
         let overdue = |load: OrderedLoad| {
-            now.since(load.at) as f64 > load.expected_us as f64 * MOST_TIMES_EXPECTED
+            now.since(load.at) as f64 > load.expected_us as f64 * MAX_EXPECTED_RATIO
         };
         if self.ordered(key).is_some_and(overdue) {
-            // It was lost, with a start of the server that nobody told of yet.
+            // The load was lost, probably by a restart of the server that is not known yet.
             self.missing(key, now);
             return;
         }
-        if let Some(place) = self.place_mut(key)
-            && let PlaceState::Held { usable_from, load } = &mut place.state
+        if let Some(slot) = self.slot_mut(key)
+            && let SlotStatus::Held { usable_from, load } = &mut slot.state
         {
-            let later_us = (now.since(load.at) as f64 * LATER_PART) as u64;
-            let later = now.plus(later_us.max(LEAST_LATER_US));
-            // Where requests looked early on purpose, the load is as far as expected.
+            let later_us = (now.since(load.at) as f64 * DELAY_FRACTION) as u64;
+            let later = now.plus(later_us.max(MIN_DELAY_US));
+            // If requests checked early on purpose, the expected time still holds.
             let expected = load.at.plus(load.expected_us);
             let next = if expected > now { expected } else { later };
             *usable_from = (*usable_from).max(next);
@@ -371,26 +374,26 @@
         }
     }
 
-    /// What to do now, if anything. `model` is a base model that may be loaded if there is none.
+    /// Returns the next step, if any. `model` is the base model to load if the server has none.
     pub fn next(
         &mut self,
         model: Option<&ModelName>,
         forecast: &LoadForecast,
         now: TimePoint,
     ) -> Option<BookAction> {
-        if self.waiting {
+        if self.awaits_reply {
             return None;
         }
         self.shorten_loads(forecast, now);
-        let wish_us = self.settings.wish_us;
-        self.wishes.retain(|wish| now.since(wish.asked_at) < wish_us);
+        let request_ttl_us = self.settings.request_ttl_us;
+        self.load_requests.retain(|request| now.since(request.requested_at) < request_ttl_us);
         if self.needs_report(now) {
-            self.waiting = true;
+            self.awaits_reply = true;
             return Some(BookAction::Ask);
         }
         let expected = self.accepted?;
-        // An adapter that makes way waits for its runs, and the server takes no order meanwhile.
-        if self.busy || self.is_away() || self.held.iter().any(AdapterPlace::is_leaving) {
+        // An eviction waits for running requests, and the server takes no order meanwhile.
+        if self.busy || self.is_unresponsive() || self.held.iter().any(AdapterSlot::is_evicting) {
             return None;
         }
         let action = match model {
@@ -399,15 +402,15 @@
             }
             _ => self.adapter_action(forecast, now),
         }?;
-        self.waiting = true;
-        self.begin(&action, expected);
+        self.awaits_reply = true;
+        self.mark_evicted(&action, expected);
         Some(BookAction::Order(ServerOrder { action, expected }))
     }
 
-    /// Tells anew from when adapters can be used whose loads are known by now to take less.
+    /// Moves the arrival of loads in flight forward if they are now expected to take less time.
     fn shorten_loads(&mut self, forecast: &LoadForecast, now: TimePoint) {
-        for place in &mut self.held {
-            let PlaceState::Held { usable_from, load } = &mut place.state else { continue };
+        for slot in &mut self.held {
+            let SlotStatus::Held { usable_from, load } = &mut slot.state else { continue };
             if *usable_from <= now {
                 continue;
             }
@@ -422,61 +425,64 @@
     fn needs_report(&self, now: TimePoint) -> bool {
         let unsettled = self.accepted.is_none()
             || self.busy
-            || self.is_away()
-            || self.held.iter().any(AdapterPlace::is_leaving);
-        unsettled && now >= self.ask_at
+            || self.is_unresponsive()
+            || self.held.iter().any(AdapterSlot::is_evicting);
+        unsettled && now >= self.query_at
     }
 
-    /// Whether the server has left so many orders unanswered that it is taken to be away.
-    fn is_away(&self) -> bool {
-        self.unanswered >= LOST_IN_ROW
+    /// Returns whether the server has left too many orders without a reply.
+    fn is_unresponsive(&self) -> bool {
+        self.unanswered >= MAX_LOST_IN_ROW
     }
 
     fn adapter_action(&self, forecast: &LoadForecast, now: TimePoint) -> Option<OrderAction> {
-        let coming = |place: &&AdapterPlace| match place.state {
-            PlaceState::Held { usable_from, .. } => usable_from > now,
-            PlaceState::Leaving { .. } => false,
+        let in_flight = |slot: &&AdapterSlot| match slot.state {
+            SlotStatus::Held { usable_from, .. } => usable_from > now,
+            SlotStatus::Evicting { .. } => false,
         };
-        if self.held.iter().filter(coming).count() >= self.settings.transfers {
+        if self.held.iter().filter(in_flight).count() >= self.settings.max_in_flight {
             return None;
         }
-        let holds_model = |wish: &&LoadWish| self.models.contains(&wish.key.model);
-        let again = |wish: &&LoadWish| self.lately.contains(&wish.key);
-        let allowed = |wish: &&LoadWish| !forecast.is_crowded() || again(wish);
-        let value = |wish: &&LoadWish| wish.value(now.plus(forecast.expected_us(again(wish))));
-        let first = |a: &&LoadWish, b: &&LoadWish| {
+        let holds_model = |request: &&LoadRequest| self.models.contains(&request.key.model);
+        let cached = |request: &&LoadRequest| self.recently_held.contains(&request.key);
+        let allowed = |request: &&LoadRequest| !forecast.is_crowded() || cached(request);
+        let value = |load: &&LoadRequest| load.value(now.plus(forecast.expected_us(cached(load))));
+        let first = |a: &&LoadRequest, b: &&LoadRequest| {
             value(b).total_cmp(&value(a)).then(a.since.cmp(&b.since))
         };
-        let wish = self.wishes.iter().filter(holds_model).filter(allowed).min_by(first)?;
-        let replaces = self.held.binary_search_by(|place| place.key.cmp(&wish.key)).is_ok();
-        if replaces || self.held.len() < self.places {
-            let (key, version) = (wish.key.clone(), wish.version);
+        let request =
+            self.load_requests.iter().filter(holds_model).filter(allowed).min_by(first)?;
+        let replaces = self.held.binary_search_by(|slot| slot.key.cmp(&request.key)).is_ok();
+        if replaces || self.held.len() < self.slots {
+            let (key, version) = (request.key.clone(), request.version);
             return Some(OrderAction::LoadAdapter { key, version });
         }
         let victim = self.victim(now)?;
         Some(OrderAction::UnloadAdapter { key: victim.key.clone() })
     }
 
-    /// The adapter that makes way: unused for a moment, and with the fewest uses of late.
-    fn victim(&self, now: TimePoint) -> Option<&AdapterPlace> {
+    /// Returns the adapter to evict: the one with the lowest usage score that is idle and not
+    /// requested.
+    fn victim(&self, now: TimePoint) -> Option<&AdapterSlot> {
         let half_life = self.settings.half_life_us as f64;
-        let idle = |place: &&AdapterPlace| place.is_idle(&self.settings, now);
-        let wished = |place: &&AdapterPlace| self.wishes.iter().any(|wish| wish.key == place.key);
-        let free = self.held.iter().filter(|place| idle(place) && !wished(place));
-        free.min_by(|a, b| a.heat_at(half_life, now).total_cmp(&b.heat_at(half_life, now)))
+        let idle = |slot: &&AdapterSlot| slot.is_idle(&self.settings, now);
+        let requested =
+            |slot: &&AdapterSlot| self.load_requests.iter().any(|request| request.key == slot.key);
+        let free = self.held.iter().filter(|slot| idle(slot) && !requested(slot));
+        free.min_by(|a, b| a.score_at(half_life, now).total_cmp(&b.score_at(half_life, now)))
     }
 
-    /// Notes an order before it is sent: an adapter that is told to make way gets no new requests.
-    fn begin(&mut self, action: &OrderAction, expected: u64) {
+    /// Records an order before it is sent: an adapter to be evicted gets no new requests.
+    fn mark_evicted(&mut self, action: &OrderAction, expected: u64) {
         if let OrderAction::UnloadAdapter { key } = action
-            && let Some(place) = self.place_mut(key)
+            && let Some(slot) = self.slot_mut(key)
         {
-            place.state = PlaceState::Leaving { expected };
+            slot.state = SlotStatus::Evicting { expected };
             self.revision += 1;
         }
     }
 
-    /// Takes the answer to an order.
+    /// Applies the reply to an order.
     pub fn replied(
         &mut self,
         order: &ServerOrder,
@@ -484,56 +490,56 @@
         forecast: &LoadForecast,
         now: TimePoint,
     ) {
-        self.waiting = false;
+        self.awaits_reply = false;
         match reply {
             OrderReply::Lost => self.unanswered += 1,
-            OrderReply::Unsent => self.unanswered = (self.unanswered + 1).max(LOST_IN_ROW),
+            OrderReply::Unsent => self.unanswered = (self.unanswered + 1).max(MAX_LOST_IN_ROW),
             _ => self.unanswered = 0,
         }
         match reply {
             OrderReply::Accepted | OrderReply::Done => {
-                self.carried_out(order, reply, forecast, now);
+                self.apply_accepted(order, reply, forecast, now);
             }
             OrderReply::Conflict | OrderReply::Fenced | OrderReply::Refused => {
-                self.stays(order, now);
+                self.restore_slot(order, now);
                 self.accepted = None;
-                self.ask_at = now.plus(self.settings.report_lag_us);
+                self.query_at = now.plus(self.settings.report_lag_us);
             }
-            OrderReply::Lost | OrderReply::Unsent => self.lost(order, now),
+            OrderReply::Lost | OrderReply::Unsent => self.order_lost(order, now),
         }
         if reply == OrderReply::Refused
             && let OrderAction::LoadAdapter { key, .. } = &order.action
         {
-            self.wishes.retain(|wish| wish.key != *key);
+            self.load_requests.retain(|request| request.key != *key);
         }
     }
 
-    /// An order without an answer may still be carried out, but only on the count that it states. The
-    /// next order states the same count: either it is accepted and the lost one can't be any more, or
-    /// it is refused since the lost one was. So nothing needs to wait for the server's late report.
-    fn lost(&mut self, order: &ServerOrder, now: TimePoint) {
-        if self.is_away() {
-            self.ask_at = now.plus(AWAY_REST_US);
+    /// A lost order may still be carried out, but only at the count that it states. The next order
+    /// states the same count: if it is accepted, the lost one can't be carried out any more; if it
+    /// is rejected, the lost one was. No report has to be awaited in between.
+    fn order_lost(&mut self, order: &ServerOrder, now: TimePoint) {
+        if self.is_unresponsive() {
+            self.query_at = now.plus(UNRESPONSIVE_QUERY_US);
         }
-        self.stays(order, now);
+        self.restore_slot(order, now);
         if matches!(order.action, OrderAction::LoadModel { .. }) {
             self.accepted = None;
-            self.ask_at = now.plus(self.settings.lost_pause_us);
+            self.query_at = now.plus(self.settings.lost_delay_us);
         }
     }
 
-    /// An adapter whose order to make way was not accepted can be used on. Left as it was, it would
-    /// stop all orders: they wait for adapters that make way.
-    fn stays(&mut self, order: &ServerOrder, now: TimePoint) {
+    /// Makes an adapter usable again whose eviction was not accepted. Left in the evicting state,
+    /// it would block all further orders.
+    fn restore_slot(&mut self, order: &ServerOrder, now: TimePoint) {
         if let OrderAction::UnloadAdapter { key } = &order.action
-            && let Some(place) = self.place_mut(key)
+            && let Some(slot) = self.slot_mut(key)
         {
-            place.state = PlaceState::Held { usable_from: now, load: OrderedLoad::done(now) };
+            slot.state = SlotStatus::Held { usable_from: now, load: OrderedLoad::done(now) };
             self.revision += 1;
         }
     }
 
-    fn carried_out(
+    fn apply_accepted(
         &mut self,
         order: &ServerOrder,
         reply: OrderReply,
@@ -544,85 +550,86 @@
             reply == OrderReply::Done && !matches!(order.action, OrderAction::UnloadAdapter { .. });
         let count = order.expected + u64::from(!held_already);
         self.accepted = Some(count);
-        // A server answers alike whether it dropped an adapter or never had it, and counts only the first.
-        // Taken for certain, that count would make each later report look older than the answer, and the
-        // server would get no order any more.
+        // The server replies `Done` both after dropping an adapter and if it never had it, and
+        // counts only the former. With the higher count as lower bound, all later reports could
+        // look out of date, and the server would get no more orders.
         let unload = matches!(order.action, OrderAction::UnloadAdapter { .. });
         let certain = if unload && reply == OrderReply::Done { order.expected } else { count };
-        self.least_accepted = self.least_accepted.max(certain);
+        self.min_accepted = self.min_accepted.max(certain);
         match &order.action {
             OrderAction::LoadAdapter { key, version } => {
-                let again = self.lately.contains(key);
+                let from_memory = self.recently_held.contains(key);
                 let load = match held_already {
                     true => OrderedLoad::done(now),
-                    false => forecast.load(now, again),
+                    false => forecast.load(now, from_memory),
                 };
-                self.place(key, *version, now.plus(load.look_us), load);
-                self.wishes.retain(|wish| wish.key != *key);
-                self.lately.retain(|other| other != key);
+                self.set_slot(key, *version, now.plus(load.look_us), load);
+                self.load_requests.retain(|request| request.key != *key);
+                self.recently_held.retain(|other| other != key);
             }
             OrderAction::UnloadAdapter { key } if reply == OrderReply::Done => {
-                self.held.retain(|place| place.key != *key);
+                self.held.retain(|slot| slot.key != *key);
                 self.remember(key);
             }
             OrderAction::UnloadAdapter { .. } => {
-                self.ask_at = now.plus(LEAVING_ASK_US);
+                self.query_at = now.plus(EVICTION_QUERY_US);
             }
             OrderAction::LoadModel { .. } => {
                 self.busy = true;
-                self.ask_at = now.plus(MODEL_ASK_US);
+                self.query_at = now.plus(MODEL_QUERY_US);
             }
         }
         self.revision += 1;
     }
 
-    /// Takes a server's report, or that there was none.
+    /// Applies a server's report; `None` if the query failed.
     pub fn reported(
         &mut self,
         report: Option<&ServerReport>,
         forecast: &LoadForecast,
         now: TimePoint,
     ) {
-        self.waiting = false;
+        self.awaits_reply = false;
         let Some(report) = report else {
-            self.ask_at = now.plus(self.settings.lost_pause_us);
+            self.query_at = now.plus(self.settings.lost_delay_us);
             return;
         };
-        if report.orders < self.least_accepted {
-            self.ask_at = now.plus(self.settings.report_lag_us / 2);
+        if report.orders < self.min_accepted {
+            self.query_at = now.plus(self.settings.report_lag_us / 2);
             return;
         }
         self.unanswered = 0;
         self.accepted = Some(report.orders);
-        self.least_accepted = report.orders;
+        self.min_accepted = report.orders;
         self.busy = report.busy;
-        self.ask_at = now.plus(if report.busy { MODEL_ASK_US } else { LEAVING_ASK_US });
+        self.query_at = now.plus(if report.busy { MODEL_QUERY_US } else { EVICTION_QUERY_US });
         self.models = report.models.iter().map(|held| held.model.clone()).collect();
         let before = std::mem::take(&mut self.held);
         for held in &report.models {
             for adapter in &held.adapters {
                 let key =
                     AdapterKey { model: held.model.clone(), adapter: adapter.adapter.clone() };
-                self.place(&key, adapter.version, now, OrderedLoad::done(now));
+                self.set_slot(&key, adapter.version, now, OrderedLoad::done(now));
             }
         }
         for pending in &report.pending {
             let from = now.plus(forecast.expected_us(false) / 2);
-            self.place(&pending.key, pending.version, from, OrderedLoad::done(now));
+            self.set_slot(&pending.key, pending.version, from, OrderedLoad::done(now));
         }
         for old in before {
-            match self.place_mut(&old.key) {
-                Some(place) => {
-                    place.heat = old.heat;
-                    place.used_at = old.used_at;
-                    place.users = old.users;
-                    place.met = old.met;
-                    // With a higher count the order was accepted and waits for runs to end; with
-                    // the same one it never arrived, and the adapter can still be used.
-                    if let PlaceState::Leaving { expected } = old.state
+            match self.slot_mut(&old.key) {
+                Some(slot) => {
+                    slot.usage_score = old.usage_score;
+                    slot.used_at = old.used_at;
+                    slot.users = old.users;
+                    slot.was_used = old.was_used;
+                    // A higher count shows that the order was accepted and waits for running
+                    // requests to end; at the same count it was not carried out, and the adapter
+                    // can still be used.
+                    if let SlotStatus::Evicting { expected } = old.state
                         && report.orders > expected
                     {
-                        place.state = old.state;
+                        slot.state = old.state;
                     }
                 }
                 None => self.remember(&old.key),
@@ -631,93 +638,98 @@
         self.revision += 1;
     }
 
-    fn place(&mut self, key: &AdapterKey, version: u64, usable_from: TimePoint, load: OrderedLoad) {
-        let state = PlaceState::Held { usable_from, load };
-        match self.held.binary_search_by(|place| place.key.cmp(key)) {
+    fn set_slot(
+        &mut self,
+        key: &AdapterKey,
+        version: u64,
+        usable_from: TimePoint,
+        load: OrderedLoad,
+    ) {
+        let state = SlotStatus::Held { usable_from, load };
+        match self.held.binary_search_by(|slot| slot.key.cmp(key)) {
             Ok(at) => {
                 self.held[at].version = version;
                 self.held[at].state = state;
             }
             Err(at) => {
-                // The request that it is loaded for is on its way until then.
+                // Until its arrival, the request that it is loaded for counts as a use.
                 let used_at = usable_from.max(load.at);
-                let place = AdapterPlace {
+                let slot = AdapterSlot {
                     key: key.clone(),
                     version,
                     state,
                     used_at,
                     users: Vec::new(),
-                    met: false,
-                    heat: 1.0,
+                    was_used: false,
+                    usage_score: 1.0,
                 };
-                self.held.insert(at, place);
+                self.held.insert(at, slot);
             }
         }
     }
 
     fn remember(&mut self, key: &AdapterKey) {
-        self.lately.retain(|other| other != key);
-        self.lately.push(key.clone());
-        let excess = self.lately.len().saturating_sub(LATELY_HELD);
-        self.lately.drain(..excess);
+        self.recently_held.retain(|other| other != key);
+        self.recently_held.push(key.clone());
+        let excess = self.recently_held.len().saturating_sub(MAX_RECENTLY_HELD);
+        self.recently_held.drain(..excess);
     }
 
     fn version_of(&self, key: &AdapterKey) -> Option<u64> {
-        let at = self.held.binary_search_by(|place| place.key.cmp(key)).ok()?;
+        let at = self.held.binary_search_by(|slot| slot.key.cmp(key)).ok()?;
         match self.held[at].state {
-            PlaceState::Held { .. } => Some(self.held[at].version),
-            PlaceState::Leaving { .. } => None,
+            SlotStatus::Held { .. } => Some(self.held[at].version),
+            SlotStatus::Evicting { .. } => None,
         }
     }
 
-    fn place_mut(&mut self, key: &AdapterKey) -> Option<&mut AdapterPlace> {
-        let at = self.held.binary_search_by(|place| place.key.cmp(key)).ok()?;
+    fn slot_mut(&mut self, key: &AdapterKey) -> Option<&mut AdapterSlot> {
+        let at = self.held.binary_search_by(|slot| slot.key.cmp(key)).ok()?;
         Some(&mut self.held[at])
     }
 
-    /// How many more adapters could be loaded now: places that are empty or whose adapter nobody uses,
-    /// less those that are wished for already. None while the server does not answer orders or waits
-    /// for runs to end.
+    /// Returns how many more adapters could be loaded now: free slots and slots with an idle
+    /// adapter, less the load requests. 0 while the server is busy, unresponsive or evicting.
     #[must_use]
     pub fn free(&self, now: TimePoint) -> usize {
-        if self.busy || self.is_away() || self.held.iter().any(AdapterPlace::is_leaving) {
+        if self.busy || self.is_unresponsive() || self.held.iter().any(AdapterSlot::is_evicting) {
             return 0;
         }
-        let idle = self.held.iter().filter(|place| place.is_idle(&self.settings, now));
-        let free = self.places.saturating_sub(self.held.len()) + idle.count();
-        free.saturating_sub(self.wishes.len())
+        let idle = self.held.iter().filter(|slot| slot.is_idle(&self.settings, now));
+        let free = self.slots.saturating_sub(self.held.len()) + idle.count();
+        free.saturating_sub(self.load_requests.len())
     }
 
-    /// Whether loads from the store are wished for; they may wait for others to be done.
+    /// Returns whether load requests are pending; they may be delayed until others are done.
     #[must_use]
     pub fn has_wishes(&self) -> bool {
-        !self.wishes.is_empty()
+        !self.load_requests.is_empty()
     }
 
-    /// Adapters that are held or on their way, and places.
+    /// Returns the number of adapters held or in flight, and the number of slots.
     #[must_use]
     pub fn fill(&self) -> (usize, usize) {
-        (self.held.len(), self.places)
+        (self.held.len(), self.slots)
     }
 }
 
-impl AdapterPlace {
-    fn is_leaving(&self) -> bool {
-        matches!(self.state, PlaceState::Leaving { .. })
+impl AdapterSlot {
+    fn is_evicting(&self) -> bool {
+        matches!(self.state, SlotStatus::Evicting { .. })
     }
 
     fn is_idle(&self, settings: &BookSettings, now: TimePoint) -> bool {
-        let PlaceState::Held { usable_from, .. } = self.state else { return false };
-        let pause = if self.met { settings.idle_us } else { settings.unmet_us };
-        let used = self.users.iter().any(|(_, at)| now.since(*at) < settings.user_trust_us);
-        usable_from <= now && !used && now.since(self.used_at) >= pause
+        let SlotStatus::Held { usable_from, .. } = self.state else { return false };
+        let min_idle_us = if self.was_used { settings.idle_us } else { settings.first_use_us };
+        let in_use = self.users.iter().any(|(_, at)| now.since(*at) < settings.user_ttl_us);
+        usable_from <= now && !in_use && now.since(self.used_at) >= min_idle_us
     }
 
-    fn heat_at(&self, half_life: f64, now: TimePoint) -> f64 {
-        self.heat * 0.5f64.powf(now.since(self.used_at) as f64 / half_life)
+    fn score_at(&self, half_life: f64, now: TimePoint) -> f64 {
+        self.usage_score * 0.5f64.powf(now.since(self.used_at) as f64 / half_life)
     }
 
-    fn cool(&mut self, half_life: f64, now: TimePoint) {
-        self.heat = self.heat_at(half_life, now);
+    fn decay_score(&mut self, half_life: f64, now: TimePoint) {
+        self.usage_score = self.score_at(half_life, now);
     }
 }
--- a/decision/src/place.rs
+++ b/decision/src/place.rs
@@ -1,44 +1,47 @@
-//! Which slot runs a request, and which slot gives way to a load.
+//! Chooses the slot that runs a request, and the slot that is evicted for a load.
 //!
-//! The choice of a slot returns numbers and allocates nothing; the owned grant is built from it
-//! afterwards. docs/PLACEMENT.md weighs the rules.
+//! The choice of a slot returns indices and doesn't allocate; the grant with owned names is built
+//! from it afterwards. docs/PLACEMENT.md explains the rules.
 
 use crate::adapter::{AdapterIndex, SlotChoice};
 use crate::grant::RequestSpec;
 use crate::id::{RequestFingerprint, ServerName, TimePoint};
-use crate::load::{LoadPressure, LoadWish};
+use crate::load::{LoadPriority, LoadRequest};
 use crate::outcome::RequestClass;
 use crate::owner::GroupOwner;
 use crate::slot::{EngineState, SlotPhase, SlotState};
 use crate::suspect::SuspectVerdict;
 
-/// What a choice of slot depends on, besides the adapter.
+/// Properties of a request, besides its adapter, on which the choice of a slot depends.
 #[derive(Clone, Copy, Debug)]
 pub struct PlaceQuery<'spec> {
-    /// The class.
+    /// Class of the request; urgent ones may use the reserve of the batch.
     pub class: RequestClass,
-    /// How the request stands.
+    /// Verdict on the request's fingerprint as a possible poison request.
     pub standing: SuspectVerdict,
-    /// The hash of the prompt's beginning.
+    /// Hash of the prompt's beginning.
     pub prefix: u64,
-    /// Servers to avoid where another can do it.
+    /// Servers to use only if there is no other.
     pub avoid: &'spec [ServerName],
-    /// The only engines that may be chosen, by their places at the owner.
-    pub confined: Option<[u16; CONFINED_ENGINES]>,
+    /// Engines, by index at the owner, to which the choice is restricted; `None` for no
+    /// restriction.
+    pub confined: Option<[u16; MAX_ENGINES_PER_REQUEST]>,
 }
 
-/// On how many engines the same request may run at a time. Were it poison, it would crash them all.
-const CONFINED_ENGINES: usize = 2;
+/// Number of engines on which the same request may run at a time. It bounds the engines that a
+/// poison request can crash.
+const MAX_ENGINES_PER_REQUEST: usize = 2;
 
-/// What a slot is worth more if the engine saw the prompt's beginning there last.
+/// Score of a slot whose last prompt had the same prefix, so that the engine may have it cached.
 const PREFIX_BONUS: f64 = 0.05;
-/// What a server is worth less if it failed the request before.
+/// Cost of a server on which the request failed before.
 const AVOID_COST: f64 = 10.0;
 /// Breaks ties in favour of the engine with the smaller batch.
 const TIE_COST: f64 = 0.01;
 
 impl GroupOwner {
-    /// The slot that should run a request for `adapter` now, if one can. Allocates nothing.
+    /// Returns the slot that should run a request for `adapter` now, if there is one. Doesn't
+    /// allocate.
     #[must_use]
     pub fn choose(
         &self,
@@ -54,13 +57,13 @@
             if !usable || slot.doomed_until > now {
                 continue;
             }
-            let barred = query.confined.is_some_and(|open| !open.contains(&choice.server));
-            if barred || !self.admits(engine, query) {
+            let excluded = query.confined.is_some_and(|allowed| !allowed.contains(&choice.server));
+            if excluded || !self.admits(engine, query) {
                 continue;
             }
-            let worth = self.worth(engine, slot, query);
-            if best.is_none_or(|(most, _)| worth > most) {
-                best = Some((worth, choice));
+            let score = self.score(engine, slot, query);
+            if best.is_none_or(|(highest, _)| score > highest) {
+                best = Some((score, choice));
             }
         }
         best.map(|(_, choice)| choice)
@@ -83,18 +86,21 @@
             standing,
             prefix: spec.prefix,
             avoid: &spec.avoid,
-            confined: (count == CONFINED_ENGINES).then_some(engines),
+            confined: (count == MAX_ENGINES_PER_REQUEST).then_some(engines),
         };
         self.choose(now, AdapterIndex(adapter), &query)
     }
 
-    /// The first engines that run a request of `fingerprint`, and how many of them there are.
-    fn engines_running(&self, fingerprint: RequestFingerprint) -> ([u16; CONFINED_ENGINES], usize) {
-        let mut engines = [0; CONFINED_ENGINES];
+    /// Returns the first engines that run a request of `fingerprint`, and their number.
+    fn engines_running(
+        &self,
+        fingerprint: RequestFingerprint,
+    ) -> ([u16; MAX_ENGINES_PER_REQUEST], usize) {
+        let mut engines = [0; MAX_ENGINES_PER_REQUEST];
         let mut count = 0;
         for grant in self.grants.iter().filter(|grant| grant.fingerprint == fingerprint) {
             let server = grant.choice.server;
-            if count < CONFINED_ENGINES && !engines[..count].contains(&server) {
+            if count < MAX_ENGINES_PER_REQUEST && !engines[..count].contains(&server) {
                 engines[count] = server;
                 count += 1;
             }
@@ -102,9 +108,9 @@
         (engines, count)
     }
 
-    /// How `fingerprint` stands, with broken runs that may turn out to be crashes. One such run
-    /// isolates it; a second makes it wait until the first is settled, so that it can never take a
-    /// third server.
+    /// Returns the verdict on `fingerprint`, taking into account broken runs that may turn out to
+    /// be crashes. One such run isolates it; a second one condemns it until the first is resolved,
+    /// so that it can never reach a third server.
     pub(crate) fn standing(&self, fingerprint: RequestFingerprint) -> SuspectVerdict {
         let broken = self
             .engines
@@ -125,33 +131,33 @@
             && (query.standing == SuspectVerdict::Clear || engine.suspects == 0)
     }
 
-    fn worth(&self, engine: &EngineState, slot: &SlotState, query: &PlaceQuery<'_>) -> f64 {
+    fn score(&self, engine: &EngineState, slot: &SlotState, query: &PlaceQuery<'_>) -> f64 {
         let fill = fill(engine);
-        let pack = match query.standing {
-            SuspectVerdict::Clear => self.pack() - self.spread(),
+        let fill_weight = match query.standing {
+            SuspectVerdict::Clear => self.batching_weight() - self.stall_weight(),
             _ => -1.0,
         };
-        let mut worth = (pack - TIE_COST) * fill;
+        let mut score = (fill_weight - TIE_COST) * fill;
         if slot.prefix == query.prefix {
-            worth += PREFIX_BONUS;
+            score += PREFIX_BONUS;
         }
         if query.avoid.contains(&engine.info.server) {
-            worth -= AVOID_COST;
+            score -= AVOID_COST;
         }
-        worth
+        score
     }
 
-    /// How much full batches count, from 0 to 1.
-    pub(crate) fn pack(&self) -> f64 {
-        1.0 - self.spread()
+    /// Returns the weight of full batches, from 0 to 1.
+    pub(crate) fn batching_weight(&self) -> f64 {
+        1.0 - self.stall_weight()
     }
 
-    /// How much load stalls count, from 0 to 1.
-    pub(crate) fn spread(&self) -> f64 {
+    /// Returns the weight of load stalls, from 0 to 1.
+    pub(crate) fn stall_weight(&self) -> f64 {
         self.topology.policy.stall_weight.clamp(0.0, 1.0)
     }
 
-    /// Whether a copy of `adapter` is loaded on an engine that takes work.
+    /// Returns whether a copy of `adapter` is loaded on an engine that takes work.
     pub(crate) fn is_ready(&self, now: TimePoint, adapter: u32) -> bool {
         self.adapters.get(adapter).copies.iter().any(|&copy| {
             let engine = &self.engines[copy.server as usize];
@@ -160,24 +166,25 @@
         })
     }
 
-    /// Whether a load of `adapter` is under way.
+    /// Returns whether a load of `adapter` is in flight.
     pub(crate) fn is_loading(&self, adapter: u32) -> bool {
         self.orders.iter().any(|order| order.loads(adapter))
     }
 
-    /// Where to load what `wish` asks for: the engine, and the slot to evict there if one must be.
-    pub(crate) fn load_target(&self, now: TimePoint, wish: &LoadWish) -> Option<LoadTarget> {
+    /// Returns the engine at which to load the requested adapter, and the slot to evict there if
+    /// necessary.
+    pub(crate) fn load_target(&self, now: TimePoint, request: &LoadRequest) -> Option<LoadTarget> {
         let mut best: Option<(f64, LoadTarget)> = None;
         for (server, engine) in self.engines.iter().enumerate() {
             if !engine.usable() || (!engine.info.checks_fencing && !self.log_writable) {
                 continue;
             }
-            if self.holds(server, wish.adapter) {
+            if self.holds(server, request.adapter) {
                 continue;
             }
-            let Some((evict, loss)) = self.make_room(now, server, wish) else { continue };
+            let Some((evict, loss)) = self.make_room(now, server, request) else { continue };
             let cost = self.load_cost(engine, loss);
-            if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+            if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
                 best = Some((cost, LoadTarget { server, evict, loss }));
             }
         }
@@ -189,12 +196,13 @@
         copies.iter().any(|copy| copy.server as usize == server)
     }
 
-    /// The slot to evict on `server`, if one must be, and the heat that is lost with it.
+    /// Returns the slot to evict on `server`, if necessary, and the usage score that is lost with
+    /// it.
     fn make_room(
         &self,
         now: TimePoint,
         server: usize,
-        wish: &LoadWish,
+        request: &LoadRequest,
     ) -> Option<(Option<usize>, f64)> {
         let engine = &self.engines[server];
         if engine.has_free_slot() {
@@ -205,71 +213,77 @@
         }
         let mut best: Option<(usize, f64)> = None;
         for (at, slot) in engine.slots.iter().enumerate() {
-            if !self.evictable(now, server, slot, wish) {
+            if !self.evictable(now, server, slot, request) {
                 continue;
             }
             let loss = self.loss(now, server, slot);
-            let loss = if self.is_kept(now, slot) { loss + KEPT_LOSS } else { loss };
-            if best.is_none_or(|(_, least)| loss < least) {
+            let loss = if self.is_reserved(now, slot) { loss + RESERVED_LOSS } else { loss };
+            if best.is_none_or(|(_, lowest)| loss < lowest) {
                 best = Some((at, loss));
             }
         }
         best.map(|(at, loss)| (Some(at), loss))
     }
 
-    /// What is lost with `slot`: the heat of its adapter, and little if a copy on a warmer engine
-    /// is loaded, which then serves its requests.
+    /// Returns the loss by evicting `slot`: the usage score of its adapter, or a fraction of it if
+    /// a copy is ready on an engine with the same or a higher score, which then serves its
+    /// requests.
     fn loss(&self, now: TimePoint, server: usize, slot: &SlotState) -> f64 {
         let adapter = self.adapters.get(slot.adapter);
-        let heat = adapter.heat(now, self.decay_micros());
+        let usage_score = adapter.usage_score(now, self.decay_micros());
         let own = self.engines[server].warmth;
-        let warmer = adapter.copies.iter().any(|copy| {
+        let served_elsewhere = adapter.copies.iter().any(|copy| {
             let engine = &self.engines[copy.server as usize];
             let ready = engine.slots[copy.slot as usize].phase == SlotPhase::Ready;
-            let further = copy.server as usize != server;
-            further && ready && engine.usable() && engine.warmth >= own
+            let other_engine = copy.server as usize != server;
+            other_engine && ready && engine.usable() && engine.warmth >= own
         });
-        if warmer { heat * COPY_LOSS } else { heat }
+        if served_elsewhere { usage_score * COPY_LOSS_FRACTION } else { usage_score }
     }
 
-    /// A much used adapter on an engine with a small batch, and a slot on an engine with a larger
-    /// one whose adapter is used much less. Only where full batches count.
-    pub(crate) fn gather_target(&self, now: TimePoint) -> Option<(LoadWish, LoadTarget)> {
-        if self.pack() < GATHER_PACK {
+    /// Returns a frequently used adapter on an engine with a small batch, and a target on an engine
+    /// with a larger one, where a much less used adapter can be evicted. Used only if full batches
+    /// have weight.
+    pub(crate) fn gather_target(&self, now: TimePoint) -> Option<(LoadRequest, LoadTarget)> {
+        if self.batching_weight() < MIN_GATHER_WEIGHT {
             return None;
         }
-        let mut best: Option<(f64, LoadWish, LoadTarget)> = None;
+        let mut best: Option<(f64, LoadRequest, LoadTarget)> = None;
         for engine in self.engines.iter().filter(|engine| engine.usable()) {
             for slot in engine.slots.iter().filter(|slot| slot.phase == SlotPhase::Ready) {
                 let adapter = self.adapters.get(slot.adapter);
                 if adapter.copies.len() != 1 {
                     continue;
                 }
-                let heat = adapter.heat(now, self.decay_micros());
-                if heat < GATHER_HEAT || best.as_ref().is_some_and(|(most, ..)| heat <= *most) {
+                let score = adapter.usage_score(now, self.decay_micros());
+                if score < MIN_GATHER_SCORE
+                    || best.as_ref().is_some_and(|(highest, ..)| score <= *highest)
+                {
                     continue;
                 }
-                let wish = gather_wish(now, slot.adapter);
+                let load = gather_request(now, slot.adapter);
                 let warmth = engine.warmth;
-                let Some(target) = self.warmer_target(now, &wish, warmth, heat) else { continue };
-                best = Some((heat, wish, target));
+                let Some(target) = self.find_busier(now, &load, warmth, score) else { continue };
+                best = Some((score, load, target));
             }
         }
-        best.map(|(_, wish, target)| (wish, target))
+        best.map(|(_, load, target)| (load, target))
     }
 
-    /// The heat of all adapters of an engine together.
+    /// Returns the sum of the usage scores of an engine's loaded adapters.
     pub(crate) fn warmth(&self, now: TimePoint, engine: &EngineState) -> f64 {
         let ready = engine.slots.iter().filter(|slot| slot.phase == SlotPhase::Ready);
-        ready.map(|slot| self.adapters.get(slot.adapter).heat(now, self.decay_micros())).sum()
+        ready
+            .map(|slot| self.adapters.get(slot.adapter).usage_score(now, self.decay_micros()))
+            .sum()
     }
 
-    fn warmer_target(
+    fn find_busier(
         &self,
         now: TimePoint,
-        wish: &LoadWish,
+        request: &LoadRequest,
         warmth: f64,
-        heat: f64,
+        usage_score: f64,
     ) -> Option<LoadTarget> {
         let mut best: Option<(f64, LoadTarget)> = None;
         for (server, engine) in self.engines.iter().enumerate() {
@@ -277,52 +291,63 @@
                 continue;
             }
             let other = engine.warmth;
-            let crowded = fill(engine) > GATHER_FILL;
-            if crowded || other <= warmth || best.as_ref().is_some_and(|(most, _)| other <= *most) {
+            let too_full = fill(engine) > MAX_GATHER_FILL;
+            if too_full
+                || other <= warmth
+                || best.as_ref().is_some_and(|(highest, _)| other <= *highest)
+            {
                 continue;
             }
-            let Some((evict, loss)) = self.make_room(now, server, wish) else { continue };
-            if loss < heat * GATHER_LOSS {
+            let Some((evict, loss)) = self.make_room(now, server, request) else { continue };
+            if loss < usage_score * MAX_GATHER_LOSS {
                 best = Some((other, LoadTarget { server, evict, loss }));
             }
         }
         best.map(|(_, target)| target)
     }
 
-    fn is_kept(&self, now: TimePoint, slot: &SlotState) -> bool {
-        self.adapters.get(slot.adapter).kept_until > now
+    fn is_reserved(&self, now: TimePoint, slot: &SlotState) -> bool {
+        self.adapters.get(slot.adapter).reserved_until > now
     }
 
-    /// Whether `slot` may be evicted for `wish`; see docs/DESIGN.md, "When a slot may be evicted".
-    fn evictable(&self, now: TimePoint, server: usize, slot: &SlotState, wish: &LoadWish) -> bool {
+    /// Returns whether `slot` may be evicted for `request`; see docs/DESIGN.md, "When a slot may be
+    /// evicted".
+    fn evictable(
+        &self,
+        now: TimePoint,
+        server: usize,
+        slot: &SlotState,
+        request: &LoadRequest,
+    ) -> bool {
         let adapter = self.adapters.get(slot.adapter);
         let needed = adapter.waiting > 0 && adapter.copies.len() == 1;
-        let kept = self.is_kept(now, slot) && wish.pressure != LoadPressure::Urgent;
+        let reserved = self.is_reserved(now, slot) && request.priority != LoadPriority::Urgent;
         slot.phase == SlotPhase::Ready
             && slot.pins == 0
             && slot.reported == 0
             && slot.doomed_until <= now
             && (!slot.inherited || self.inherited_free)
             && !needed
-            && !kept
+            && !reserved
             && !self.is_ordered(server, slot)
     }
 
-    /// What a load on `engine` costs: the heat lost with the victim, and the worse batch.
+    /// Returns the cost of a load on `engine`: the loss by the eviction, and the effect on its
+    /// batch.
     fn load_cost(&self, engine: &EngineState, loss: f64) -> f64 {
         let fill = fill(engine);
         let full = engine.room_for(false, self.settings.urgent_reserve_percent) == 0;
-        let crowd = if full { FULL_COST } else { 0.0 };
-        loss + self.pack() * PACK_COST / f64::from(1 + engine.running)
-            + self.spread() * fill * SPREAD_COST
-            + crowd
+        let room_cost = if full { NO_ROOM_COST } else { 0.0 };
+        loss + self.batching_weight() * EMPTY_BATCH_COST / f64::from(1 + engine.running)
+            + self.stall_weight() * fill * FULL_BATCH_COST
+            + room_cost
     }
 }
 
-fn gather_wish(now: TimePoint, adapter: u32) -> LoadWish {
-    LoadWish {
+fn gather_request(now: TimePoint, adapter: u32) -> LoadRequest {
+    LoadRequest {
         adapter,
-        pressure: LoadPressure::Gather,
+        priority: LoadPriority::Gather,
         class: RequestClass::Audit,
         deadline: None,
         waiters: 0,
@@ -332,26 +357,26 @@
     }
 }
 
-/// From which weight of full batches on much used adapters are brought together.
-const GATHER_PACK: f64 = 0.6;
-/// The least heat of an adapter that is worth a load to bring it elsewhere.
-const GATHER_HEAT: f64 = 4.0;
-/// The most that the victim's heat may be, as a part of the gathered adapter's.
-const GATHER_LOSS: f64 = 0.4;
-/// An engine that is fuller gets no more adapters gathered.
-const GATHER_FILL: f64 = 0.6;
-/// What is lost with one of several copies, as a part of the adapter's heat.
-const COPY_LOSS: f64 = 0.1;
-/// What an empty batch costs a load, in requests of the victim's heat.
-const PACK_COST: f64 = 2.0;
-/// What it costs to evict an adapter that a schedule needs; only urgent requests may.
-const KEPT_LOSS: f64 = 1_000.0;
-/// What a full batch costs a load where stalls count.
-const SPREAD_COST: f64 = 0.5;
-/// What it costs to load where there is no room to run.
-const FULL_COST: f64 = 20.0;
+/// Minimum weight of full batches for moving frequently used adapters together.
+const MIN_GATHER_WEIGHT: f64 = 0.6;
+/// Minimum usage score of an adapter for moving it.
+const MIN_GATHER_SCORE: f64 = 4.0;
+/// Maximum loss by the eviction, as a fraction of the moved adapter's score.
+const MAX_GATHER_LOSS: f64 = 0.4;
+/// Maximum fill of an engine to which adapters are moved.
+const MAX_GATHER_FILL: f64 = 0.6;
+/// Loss by evicting one of several copies, as a fraction of the adapter's score.
+const COPY_LOSS_FRACTION: f64 = 0.1;
+/// Cost of loading on an engine with an empty batch, in units of usage score.
+const EMPTY_BATCH_COST: f64 = 2.0;
+/// Cost of evicting an adapter that is reserved for a schedule; only urgent requests may.
+const RESERVED_LOSS: f64 = 1_000.0;
+/// Cost of loading on an engine with a full batch, if stalls have weight.
+const FULL_BATCH_COST: f64 = 0.5;
+/// Cost of loading on an engine without room to run the requests.
+const NO_ROOM_COST: f64 = 20.0;
 
-/// Where a load goes.
+/// Engine for a load, the slot to evict there, and the loss by that.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LoadTarget {
     pub(crate) server: usize,
--- a/decision/src/slot.rs
+++ b/decision/src/slot.rs
@@ -1,20 +1,22 @@
-//! What the owner knows of an engine and of the adapters in its slots.
+//! State of an engine and of the adapters in its slots, as the owner knows it.
 
 use crate::id::{
     AdapterVersion, OwnerEpoch, RequestFingerprint, ServerIncarnation, SlotName, TimePoint,
 };
 use crate::topology::EngineInfo;
 
-/// The name under which an engine knows a load of `adapter`: `adapter@version#epoch.number`.
+/// Returns the name under which an engine knows a load of `adapter`:
+/// `adapter@version#epoch.number`.
 ///
-/// No two loads ever share a name, so an order or an answer that comes late can only meet the load
-/// that it was meant for.
+/// No two loads share a name, so that a delayed order or reply can only affect the load that it was
+/// meant for.
 #[must_use]
 pub fn slot_name(adapter: &AdapterVersion, epoch: OwnerEpoch, number: u64) -> SlotName {
     SlotName(format!("{adapter}#{epoch}.{number}"))
 }
 
-/// Reads a slot's name back: the adapter version, and the epoch that loaded it.
+/// Parses a slot's name into the adapter version and the epoch that loaded it; `None` if it isn't a
+/// slot's name.
 #[must_use]
 pub fn parse_slot(slot: &SlotName) -> Option<(AdapterVersion, OwnerEpoch)> {
     let (adapter, load) = slot.as_str().rsplit_once('#')?;
@@ -25,121 +27,122 @@
     Some((adapter, OwnerEpoch(epoch.parse().ok()?)))
 }
 
-/// What becomes of a slot.
+/// State of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotPhase {
-    /// A load is ordered, or about to be.
+    /// A load is ordered or about to be.
     Loading,
-    /// Loaded, and grants may use it.
+    /// Loaded; grants may use it.
     Ready,
-    /// An unload is ordered, or its result is not known; nothing may use it any more.
+    /// An unload is ordered or its result is unknown; no new grant may use it.
     Unloading,
-    /// A load's result is not known. A report that shows the slot makes it ready.
+    /// The result of its load is unknown. A report that shows the slot makes it ready.
     Unknown {
-        /// Since when.
+        /// Time from which the result is unknown.
         since: TimePoint,
     },
-    /// The engine does not have it any more, but grants on it are still out.
+    /// The engine no longer has it, but grants on it are outstanding.
     Lost,
-    /// Nothing: the place may be taken by another load.
+    /// Unused; another load may take this index.
     Empty,
 }
 
-/// A slot of an engine.
+/// Slot of an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct SlotState {
     pub(crate) name: SlotName,
     pub(crate) adapter: u32,
     pub(crate) phase: SlotPhase,
-    /// Grants that use it, those of earlier epochs and of VMs that are gone included.
+    /// Grants that use it, including those of earlier epochs and of VMs that left.
     pub(crate) pins: u32,
-    /// Loaded under an earlier epoch, whose grants may not all be known yet.
+    /// Loaded under an earlier epoch, not all of whose grants may be known yet.
     pub(crate) inherited: bool,
-    /// A report of the engine has shown it, so that its absence from a later one means it is gone.
+    /// Whether a report of the engine has shown it, so that its absence from a later one means that
+    /// it was lost.
     pub(crate) seen: bool,
     /// Loaded ahead of a schedule and not used yet.
     pub(crate) ahead: bool,
-    /// A further copy of an adapter that was loaded elsewhere.
+    /// Further copy of an adapter that another engine holds.
     pub(crate) extra: bool,
-    /// Requests that use it, by the engine's last report.
+    /// Number of requests that use it, by the engine's last report.
     pub(crate) reported: u32,
-    /// The last prompt's prefix, for the engine's prefix cache.
+    /// Prefix hash of the last prompt, which the engine may have cached.
     pub(crate) prefix: u64,
-    /// Not to be used until then, because a deposed owner may still evict it.
+    /// Time until which it must not be used, because a deposed owner may still evict it.
     pub(crate) doomed_until: TimePoint,
 }
 
-/// A life of an engine that ended, and when a report of the next one came.
+/// Incarnation of an engine that ended, and when a report of the next one was received.
 #[derive(Clone, Copy, Debug)]
-struct PastLife {
+struct PastIncarnation {
     incarnation: ServerIncarnation,
     ended: TimePoint,
 }
 
-/// A slot's name for which something holds until a time: it was unloaded and late reports may still
-/// show it, or a deposed owner may still evict it.
+/// Slot name with the end of a period in which late reports may still show the unloaded slot, or a
+/// deposed owner may still evict it.
 #[derive(Clone, Debug)]
-struct GoneSlot {
+struct ExpiringName {
     name: SlotName,
     until: TimePoint,
 }
 
-/// A request whose connection broke, while it is not known whether the engine crashed.
+/// Request whose connection broke, while it is unknown whether the engine crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BrokenRun {
     pub(crate) fingerprint: RequestFingerprint,
     pub(crate) at: TimePoint,
 }
 
-/// The most names of unloaded slots that are kept for each engine.
-const GONE_SLOTS: usize = 256;
-/// The most earlier lives of an engine that are remembered.
-const PAST_LIVES: usize = 16;
-/// The most broken runs that are kept for each engine.
-const BROKEN_RUNS: usize = 1_024;
+/// Maximum number of slot names in each list of an engine.
+const MAX_EXPIRING_NAMES: usize = 256;
+/// Maximum number of past incarnations remembered for each engine.
+const MAX_PAST_INCARNATIONS: usize = 16;
+/// Maximum number of broken runs kept for each engine.
+const MAX_BROKEN_RUNS: usize = 1_024;
 
 /// Whether an engine that checks fencing numbers knows this owner's epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FenceState {
-    /// It must be told before inherited slots are granted.
+    /// It doesn't know the epoch yet; its inherited slots can't be granted.
     Needed,
-    /// It was told and has not answered.
+    /// A fencing order was sent and has no result yet.
     Sent {
-        /// The order's number.
+        /// Number of the order.
         number: u64,
-        /// When.
+        /// Time at which it was sent.
         at: TimePoint,
     },
-    /// It knows.
+    /// It knows the epoch.
     Known,
 }
 
-/// An engine of the group.
+/// Engine of the group.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineState {
     pub(crate) info: EngineInfo,
-    /// Still in the configuration.
+    /// Whether it is still in the configuration.
     pub(crate) listed: bool,
     pub(crate) draining: bool,
     pub(crate) draining_since: Option<TimePoint>,
     pub(crate) failed_reports: u32,
     pub(crate) down: bool,
     pub(crate) incarnation: Option<ServerIncarnation>,
-    past: Vec<PastLife>,
+    past: Vec<PastIncarnation>,
     pub(crate) sequence: u64,
     pub(crate) waiting: u32,
     /// Grants of live VMs that run on it.
     pub(crate) running: u32,
     pub(crate) fence: FenceState,
-    /// The heat of its adapters together, as of the last tick.
+    /// Sum of the usage scores of its adapters, as of the last tick.
     pub(crate) warmth: f64,
-    /// Suspects that run on it.
+    /// Number of runs of suspected poison requests on it.
     pub(crate) suspects: u32,
     pub(crate) slots: Vec<SlotState>,
-    /// Slots that were unloaded a short time ago.
-    gone: Vec<GoneSlot>,
+    /// Slots that were unloaded recently.
+    removed: Vec<ExpiringName>,
     /// Slots that a deposed owner may still evict.
-    doomed: Vec<GoneSlot>,
+    at_risk: Vec<ExpiringName>,
     pub(crate) broken: Vec<BrokenRun>,
 }
 
@@ -161,23 +164,23 @@
             warmth: 0.0,
             suspects: 0,
             slots: Vec::new(),
-            gone: Vec::new(),
-            doomed: Vec::new(),
+            removed: Vec::new(),
+            at_risk: Vec::new(),
             broken: Vec::new(),
         }
     }
 
-    /// Whether new work may go to it.
+    /// Returns whether new work may be sent to it.
     pub(crate) fn usable(&self) -> bool {
         self.listed && !self.draining && !self.down && self.incarnation.is_some()
     }
 
-    /// Whether no earlier owner can still evict `slot` unseen.
+    /// Returns whether no earlier owner can evict `slot` unnoticed.
     pub(crate) fn is_fenced(&self, slot: &SlotState) -> bool {
         !slot.inherited || !self.info.checks_fencing || self.fence == FenceState::Known
     }
 
-    /// Whether it may become usable without a change of configuration.
+    /// Returns whether it may become usable without a change of configuration.
     pub(crate) fn hopeful(&self) -> bool {
         self.listed && !self.draining && !self.down
     }
@@ -186,8 +189,8 @@
         self.slots.iter().position(|slot| slot.phase != SlotPhase::Empty && slot.name == *name)
     }
 
-    /// Puts a slot into an empty place, and tells which. Places never move, so that adapters and
-    /// grants can refer to them by number.
+    /// Puts a slot at an unused index and returns the index. Indices don't change, so that adapters
+    /// and grants can refer to them.
     pub(crate) fn add_slot(&mut self, slot: SlotState) -> usize {
         match self.slots.iter().position(|other| other.phase == SlotPhase::Empty) {
             Some(at) => {
@@ -201,22 +204,23 @@
         }
     }
 
-    /// Whether a report of `incarnation` comes late from a life that ended. Only reports that are
-    /// at most `lag` late do; a life that goes on reporting for longer did not end. An owner that
-    /// met two lives' reports in the wrong order would otherwise ignore the engine for good.
+    /// Returns whether a report of `incarnation` is a late one of an ended incarnation. Reports are
+    /// at most `lag` late; an incarnation that reports for longer has not ended. Without this
+    /// limit, an owner that received the reports of two incarnations in the wrong order would
+    /// ignore the engine for ever.
     pub(crate) fn is_past(&self, now: TimePoint, incarnation: ServerIncarnation, lag: u64) -> bool {
-        let known = self.past.iter().find(|life| life.incarnation == incarnation);
+        let known = self.past.iter().find(|past| past.incarnation == incarnation);
         known.is_some_and(|life| now.since(life.ended) < lag)
     }
 
-    /// Starts a new life: nothing is loaded any more.
+    /// Starts a new incarnation, with no slot loaded.
     pub(crate) fn restart(&mut self, now: TimePoint, incarnation: ServerIncarnation) {
-        self.past.retain(|life| life.incarnation != incarnation);
+        self.past.retain(|past| past.incarnation != incarnation);
         if let Some(ended) = self.incarnation.replace(incarnation) {
-            if self.past.len() == PAST_LIVES {
+            if self.past.len() == MAX_PAST_INCARNATIONS {
                 self.past.remove(0);
             }
-            self.past.push(PastLife { incarnation: ended, ended: now });
+            self.past.push(PastIncarnation { incarnation: ended, ended: now });
         }
         self.sequence = 0;
         self.fence = FenceState::Needed;
@@ -224,60 +228,61 @@
         self.suspects = 0;
         self.waiting = 0;
         self.slots.clear();
-        self.gone.clear();
+        self.removed.clear();
         self.broken.clear();
     }
 
-    /// Forgets a slot, whose name late reports may show until `until`.
+    /// Removes a slot, whose name late reports may show until `until`.
     pub(crate) fn forget_slot(&mut self, at: usize, until: TimePoint) {
         let slot = &mut self.slots[at];
         slot.phase = if slot.pins > 0 { SlotPhase::Lost } else { SlotPhase::Empty };
         let name = slot.name.clone();
-        if self.gone.len() == GONE_SLOTS {
-            self.gone.remove(0);
+        if self.removed.len() == MAX_EXPIRING_NAMES {
+            self.removed.remove(0);
         }
-        self.gone.push(GoneSlot { name, until });
+        self.removed.push(ExpiringName { name, until });
     }
 
-    /// Whether `name` was unloaded so short a time ago that a report of it is a late one.
+    /// Returns whether `name` was unloaded so recently that a report with it is a late one.
     pub(crate) fn recently_gone(&self, name: &SlotName, now: TimePoint) -> bool {
-        self.gone.iter().any(|gone| gone.name == *name && gone.until > now)
+        self.removed.iter().any(|removed| removed.name == *name && removed.until > now)
     }
 
-    /// Notes that a deposed owner may evict `name` until `until`, so nothing new may use it.
+    /// Records that a deposed owner may evict `name` until `until`, so that nothing new may use it.
     pub(crate) fn doom(&mut self, name: SlotName, until: TimePoint) {
         if let Some(at) = self.slot(&name) {
             self.slots[at].doomed_until = until;
         }
-        if self.doomed.len() == GONE_SLOTS {
-            self.doomed.remove(0);
+        if self.at_risk.len() == MAX_EXPIRING_NAMES {
+            self.at_risk.remove(0);
         }
-        self.doomed.push(GoneSlot { name, until });
+        self.at_risk.push(ExpiringName { name, until });
     }
 
-    /// Until when `name` may be evicted by a deposed owner.
+    /// Returns until when a deposed owner may evict `name`; zero if none may.
     pub(crate) fn doom_of(&self, name: &SlotName) -> TimePoint {
-        let found = self.doomed.iter().filter(|doomed| doomed.name == *name);
-        found.map(|doomed| doomed.until).max().unwrap_or_default()
+        let found = self.at_risk.iter().filter(|slot| slot.name == *name);
+        found.map(|slot| slot.until).max().unwrap_or_default()
     }
 
     pub(crate) fn add_broken(&mut self, run: BrokenRun) {
-        if self.broken.len() < BROKEN_RUNS {
+        if self.broken.len() < MAX_BROKEN_RUNS {
             self.broken.push(run);
         }
     }
 
-    /// Slots that are taken or may be.
+    /// Returns the number of slots that are in use or may be.
     pub(crate) fn taken(&self) -> usize {
-        let taken = |slot: &&SlotState| !matches!(slot.phase, SlotPhase::Empty | SlotPhase::Lost);
-        self.slots.iter().filter(taken).count()
+        let in_use = |slot: &&SlotState| !matches!(slot.phase, SlotPhase::Empty | SlotPhase::Lost);
+        self.slots.iter().filter(in_use).count()
     }
 
     pub(crate) fn has_free_slot(&self) -> bool {
         self.taken() < self.info.adapter_slots as usize
     }
 
-    /// Places of the batch that requests of the class may take.
+    /// Returns the number of free batch slots that requests of the class may use. Of the batch,
+    /// `reserve_percent` is reserved for urgent requests.
     pub(crate) fn room_for(&self, urgent: bool, reserve_percent: u32) -> u32 {
         let batch = self.info.batch_slots;
         let reserved = if urgent { 0 } else { (batch * reserve_percent).div_ceil(100) };
--- a/decision/src/tenure.rs
+++ b/decision/src/tenure.rs
@@ -1,45 +1,49 @@
-//! Which servers this VM gives orders to.
+//! Determines to which servers this VM may send orders.
 //!
-//! The platform deals numbered shares of the fleet to the members of a group and raises a generation
-//! with each change. A server belongs to the share that its name hashes to, and the generation is
-//! the fencing number of orders. Two things keep two VMs from ordering one server in turns:
+//! The platform assigns numbered partitions of the fleet to the members of a group, and increases a
+//! generation with each change. A server belongs to the partition that its name hashes to; the
+//! generation is the fencing number of orders. Two rules prevent two VMs from alternately sending
+//! orders to one server:
 //!
-//! * a VM stops when its last renewal is older than the lifetime it asked for. Time is read from a
-//!   clock that goes on while the VM is suspended, so a VM that wakes up stops at once;
-//! * a VM that gains a share waits until orders of the holder before it must have ended. If it heard
-//!   that holder's lists, it counts from the last of them; else from the gain.
+//! * a VM stops when its last renewal is older than the lifetime that it requested. The clock used
+//!   advances while the VM is suspended, so that a VM stops as soon as it resumes;
+//! * a VM that gains a partition waits until orders of the previous holder must have ended, counted
+//!   from the last adapter list received from that holder, or else from the gain.
 //!
-//! While the store answers nobody, nobody can be dealt a share either, so holders go on: a lapsed VM
-//! orders as long as most VMs that it knows tell it that they cannot reach the store. Once one of them
-//! can, it stops, long before that one's pause is over.
+//! While the store is unavailable to all, no partition can be assigned to another VM, so holders
+//! continue: a VM whose lease has expired sends orders as long as most VMs that it knows report
+//! that they cannot reach the store. When one of them reaches it again, the VM stops, well before
+//! the waiting time of a new holder ends.
 //!
-//! A process that starts anew within its lifetime still holds its shares, but does not know since when.
-//! It keeps a [`TenureRecord`] in the platform's store: if the generation there is still the current
-//! one, nobody else can have held the shares that it names.
+//! A process that restarts within its lifetime still holds its partitions but no longer knows since
+//! when. It keeps a [`TenureRecord`] in the platform's store: if the generation there is still the
+//! current one, no other VM can have held the partitions that it names.
 
 use crate::id::{ServerName, TimePoint, stable_hash};
 use crate::value;
 
 value! {
-    /// A share of the fleet as the platform deals it.
+    /// Partition of the fleet, as assigned by the platform.
     #[derive(Copy, Eq, PartialOrd, Ord)]
     pub struct FleetShare {
-        /// The number of its topic.
+        /// Number of its topic.
         pub topic: u32,
-        /// The partition in that topic.
+        /// Partition number within the topic.
         pub part: u32,
     }
 
-    /// How shares are held.
+    /// Number of partitions, and times of their leases.
     #[derive(Copy, Eq)]
     pub struct TenureSettings {
-        /// Topics that shares are dealt from.
+        /// Number of topics with partitions.
         pub topics: u32,
-        /// Shares in each topic.
+        /// Number of partitions in each topic.
         pub parts: u32,
-        /// Microseconds after which the platform gives a silent member's shares away.
+        /// Time after which the platform reassigns the partitions of an unresponsive member, in
+        /// microseconds.
         pub lifetime_us: u64,
-        /// Microseconds between the last order of one holder and the first of the next.
+        /// Minimum time between the last order of one holder and the first of the next, in
+        /// microseconds.
         pub pause_us: u64,
     }
 }
@@ -51,140 +55,143 @@
 }
 
 value! {
-    /// What a VM held for certain, kept where it outlasts the process.
+    /// Partitions that a VM held for certain, stored so that they are known after a restart.
     #[derive(Eq, Default)]
     pub struct TenureRecord {
-        /// The generation.
+        /// Generation at which they were held.
         pub generation: u64,
-        /// The shares whose servers it could order.
+        /// Partitions whose servers the VM could send orders to.
         pub shares: Vec<FleetShare>,
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldShare {
-    share: FleetShare,
+struct HeldPartition {
+    partition: FleetShare,
     active_from: TimePoint,
 }
 
-/// What other VMs tell of the platform's store.
+/// Reachability of the platform's store, as reported by other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOutage {
-    /// Most VMs were heard of a moment ago, and none of them can reach it.
+    /// Most VMs reported recently, and none of them can reach the store.
     ForAll,
-    /// Some can reach it, or too few were heard of.
+    /// Some VM can reach the store, or too few reported.
     NotKnown,
 }
 
-/// How long ago a VM must have been heard of to count as a witness, in microseconds: a few messages in
-/// small fleets, one in large ones. The next holder's pause is twice as long and more.
-const WITNESS_FRESH_US: u64 = 1_500_000;
-/// For how long a witness must not have reached the store: longer than its usual pause between calls.
-const WITNESS_AWAY_US: u64 = 1_600_000;
+/// Maximum age of the last message from a VM that counts as a witness, in microseconds: a few
+/// messages in small fleets, one in large ones. The next holder waits more than twice as long.
+const WITNESS_TTL_US: u64 = 1_500_000;
+/// Minimum time for which a witness must not have reached the store, in microseconds; longer than
+/// its usual interval between calls.
+const WITNESS_UNREACHED_US: u64 = 1_600_000;
 
-/// A VM as a witness of an outage.
+/// State of another VM, as evidence for an outage of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreWitness {
-    /// When it was last heard of.
+    /// Time of the last message from it.
     pub heard_at: TimePoint,
-    /// When its last successful call to the store was, on this process's clock.
+    /// Time of its last successful call to the store, on this process's clock.
     pub reached_at: TimePoint,
 }
 
-/// Judges an outage by the VMs that were heard of lately, this one not among them.
+/// Determines whether the store is unavailable to all. `witnesses` are all other known VMs.
 #[must_use]
 pub fn judge_outage(witnesses: &[StoreWitness], now: TimePoint) -> StoreOutage {
-    let fresh = |witness: &&StoreWitness| now.since(witness.heard_at) < WITNESS_FRESH_US;
+    let fresh = |witness: &&StoreWitness| now.since(witness.heard_at) < WITNESS_TTL_US;
     let fresh: Vec<&StoreWitness> = witnesses.iter().filter(fresh).collect();
-    let away = fresh.iter().all(|witness| now.since(witness.reached_at) > WITNESS_AWAY_US);
-    // This VM counts too, so half of the others is more than half of all. Without any other VM
-    // nothing tells an outage from a cut.
+    let unreached =
+        fresh.iter().all(|witness| now.since(witness.reached_at) > WITNESS_UNREACHED_US);
+    // This VM counts too, so half of the others is a majority of all. A VM without others can't
+    // tell an outage of the store from its own disconnection.
     let enough = !fresh.is_empty() && 2 * fresh.len() >= witnesses.len();
-    if enough && away { StoreOutage::ForAll } else { StoreOutage::NotKnown }
+    if enough && unreached { StoreOutage::ForAll } else { StoreOutage::NotKnown }
 }
 
-/// Why nobody else can have ordered a gained share's servers.
+/// Evidence that no other VM can have sent orders to the servers of a gained partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GainedSince {
-    /// Nothing is known of the holder before.
+    /// Nothing is known of the previous holder.
     Unknown,
     /// The whole system starts for the first time.
     FirstStart,
-    /// This VM held them before its process started anew.
+    /// This VM held the partitions in this record before its process restarted.
     Restart(TenureRecord),
 }
 
 impl GainedSince {
-    fn covers(&self, generation: u64, share: FleetShare) -> bool {
+    fn covers(&self, generation: u64, partition: FleetShare) -> bool {
         match self {
             Self::Unknown => false,
             Self::FirstStart => true,
             Self::Restart(record) => {
-                record.generation == generation && record.shares.contains(&share)
+                record.generation == generation && record.shares.contains(&partition)
             }
         }
     }
 }
 
-/// The shares that this VM holds.
+/// Partitions that this VM holds, and until when.
 #[derive(Debug)]
 pub struct OrderTenure {
     settings: TenureSettings,
     generation: u64,
     valid_until: TimePoint,
-    /// Sorted by share.
-    held: Vec<HeldShare>,
-    /// The fencing number that a server refused as too old, if any.
+    /// Sorted by partition.
+    held: Vec<HeldPartition>,
+    /// Highest fencing number that a server rejected as too old; 0 if none.
     refused: u64,
 }
 
 impl OrderTenure {
-    /// A tenure of nothing.
+    /// Creates a state without partitions.
     #[must_use]
     pub fn new(settings: TenureSettings) -> Self {
         let valid_until = TimePoint(0);
         Self { settings, generation: 0, valid_until, held: Vec::new(), refused: 0 }
     }
 
-    /// The generation to state in the next renewal.
+    /// Returns the generation to send with the next renewal.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Takes the answer to a renewal that was sent at `sent`. Gained shares need no pause where
-    /// `since` shows that nobody else can have given orders.
+    /// Applies the reply to a renewal that was sent at `sent`. Partitions gained are active at once
+    /// if `since` shows that no other VM can have sent orders, else after the waiting time.
     pub fn renewed(
         &mut self,
         sent: TimePoint,
         now: TimePoint,
         generation: u64,
-        mut shares: Vec<FleetShare>,
+        mut partitions: Vec<FleetShare>,
         since: &GainedSince,
     ) {
-        shares.sort_unstable();
-        let lapsed = now >= self.valid_until;
-        let held = shares.into_iter().map(|share| {
-            let before = self.held.binary_search_by_key(&share, |held| held.share);
+        partitions.sort_unstable();
+        let expired = now >= self.valid_until;
+        let held = partitions.into_iter().map(|partition| {
+            let before = self.held.binary_search_by_key(&partition, |held| held.partition);
             let active_from = match before {
-                Ok(at) if !lapsed => self.held[at].active_from,
-                _ if since.covers(generation, share) => now,
+                Ok(at) if !expired => self.held[at].active_from,
+                _ if since.covers(generation, partition) => now,
                 _ => now.plus(self.settings.pause_us),
             };
-            HeldShare { share, active_from }
+            HeldPartition { partition, active_from }
         });
         self.held = held.collect();
         self.generation = self.generation.max(generation);
         self.valid_until = sent.plus(self.settings.lifetime_us);
     }
 
-    /// Notes that a server refused `fence` since it has seen a higher one.
+    /// Records that a server rejected `fence` because it has seen a higher one.
     pub fn refused(&mut self, fence: u64) {
         self.refused = self.refused.max(fence);
     }
 
-    /// The fencing number for orders to `server`, if this VM may give any now. `other_at` is when
-    /// another VM last told that it orders the server, where lists are enough to go by.
+    /// Returns the fencing number for orders to `server`; `None` if this VM may not send any now.
+    /// `other_at` is the time of the last report from another owner of the server, 0 if that is
+    /// this VM; `None` if lists can't be relied on.
     #[must_use]
     pub fn fence(
         &self,
@@ -193,12 +200,12 @@
         outage: StoreOutage,
         now: TimePoint,
     ) -> Option<u64> {
-        let lapsed = now >= self.valid_until && outage == StoreOutage::NotKnown;
-        if lapsed || self.generation <= self.refused {
+        let expired = now >= self.valid_until && outage == StoreOutage::NotKnown;
+        if expired || self.generation <= self.refused {
             return None;
         }
-        let share = self.share_of(server);
-        let at = self.held.binary_search_by_key(&share, |held| held.share).ok()?;
+        let partition = self.partition_of(server);
+        let at = self.held.binary_search_by_key(&partition, |held| held.partition).ok()?;
         let from = match other_at {
             Some(other) => other.plus(self.settings.pause_us),
             None => self.held[at].active_from,
@@ -206,39 +213,39 @@
         (now >= from).then_some(self.generation)
     }
 
-    /// Whether a server is in a share of this VM, which may not be active yet or any more.
+    /// Returns whether a server is in a partition held by this VM, which need not be active.
     #[must_use]
     pub fn holds(&self, server: &ServerName) -> bool {
-        let share = self.share_of(server);
-        self.held.binary_search_by_key(&share, |held| held.share).is_ok()
+        let partition = self.partition_of(server);
+        self.held.binary_search_by_key(&partition, |held| held.partition).is_ok()
     }
 
-    /// What this VM holds for certain now.
+    /// Returns the partitions that this VM holds for certain now.
     #[must_use]
     pub fn record(&self, now: TimePoint) -> TenureRecord {
-        let settled = self.held.iter().filter(|held| now >= held.active_from);
-        let shares = settled.map(|held| held.share).collect();
+        let active = self.held.iter().filter(|held| now >= held.active_from);
+        let shares = active.map(|held| held.partition).collect();
         TenureRecord { generation: self.generation, shares }
     }
 
-    /// When the first share becomes active, if some are held and none is active yet: until then nobody may order
-    /// the servers of shares that were dealt anew.
+    /// Returns when the first partition becomes active, if some are held and none is active yet.
+    /// Until then the servers of reassigned partitions get no orders.
     #[must_use]
     pub fn first_active(&self, now: TimePoint) -> Option<TimePoint> {
         let first = self.held.iter().map(|held| held.active_from).min()?;
         (first > now).then_some(first)
     }
 
-    /// How many shares are held, whether active or not.
+    /// Returns the number of partitions held, active or not.
     #[must_use]
     pub fn held(&self) -> usize {
         self.held.len()
     }
 
-    fn share_of(&self, server: &ServerName) -> FleetShare {
-        let parts = u64::from(self.settings.parts.max(1));
-        let all = parts * u64::from(self.settings.topics.max(1));
-        let number = stable_hash(&["share", server.as_str()]) % all;
-        FleetShare { topic: (number / parts) as u32, part: (number % parts) as u32 }
+    fn partition_of(&self, server: &ServerName) -> FleetShare {
+        let partitions = u64::from(self.settings.parts.max(1));
+        let total = partitions * u64::from(self.settings.topics.max(1));
+        let number = stable_hash(&["share", server.as_str()]) % total;
+        FleetShare { topic: (number / partitions) as u32, part: (number % partitions) as u32 }
     }
 }
