--- a/decision/benches/route_cost.rs
+++ b/decision/benches/route_cost.rs
@@ -1,4 +1,5 @@
-//! What a routing decision costs: the group of an adapter, then the engine and slot at its owner.
+//! Measures a routing decision: the group of an adapter, then the engine and slot at the group's
+//! owner.
 
 use coltsfoothook_decision::id::{AdapterVersion, OwnerEpoch, ServerIncarnation, TimePoint};
 use coltsfoothook_decision::manifest::{
@@ -50,20 +51,20 @@
     }
 }
 
-/// Owners of all groups, each with its first adapters loaded.
+/// Returns the owners of all groups, with adapters loaded until all slots are filled.
 fn owners(map: &GroupMap, manifest: &ServingManifest, adapters: usize) -> Vec<GroupOwner> {
-    let mut wanted = vec![Vec::new(); map.groups().len()];
+    let mut assigned = vec![Vec::new(); map.groups().len()];
     for number in 0..adapters {
         let ranked = map.route(version(number).adapter.as_str(), REGION).expect("a known adapter");
-        wanted[ranked[0].place()].push(version(number));
+        assigned[ranked[0].place()].push(version(number));
     }
     let mut rng = Pcg64::seed_from_u64(1);
     let mut owners = Vec::new();
-    for (group, wanted) in map.groups().iter().zip(wanted) {
+    for (group, assigned) in map.groups().iter().zip(assigned) {
         let topology = map.topology(group, manifest);
         let settings = OwnerSettings::default();
         let mut owner = GroupOwner::new(settings, topology, OwnerEpoch(1), TimePoint(0));
-        for (server, loaded) in group.servers.iter().zip(wanted.chunks(SLOTS)) {
+        for (server, loaded) in group.servers.iter().zip(assigned.chunks(SLOTS)) {
             let slots = loaded.iter().map(|adapter| SlotReport {
                 slot: slot_name(adapter, OwnerEpoch(1), 1),
                 running: 0,
@@ -100,7 +101,8 @@
         let id = BenchmarkId::from_parameter(format!("{servers}x{adapters}"));
         group.bench_function(id, |bencher| {
             bencher.iter(|| {
-                // A stride that shares no factor with the number visits all, in no near order.
+                // A stride that is coprime to the number of adapters visits all of them in a
+                // scattered order.
                 next = (next + 7_919) % adapters;
                 let adapter = &versions[next];
                 let ranked = map.route(adapter.adapter.as_str(), REGION).expect("known");
--- a/decision/tests/suite/group_routes.rs
+++ b/decision/tests/suite/group_routes.rs
@@ -1,4 +1,4 @@
-//! Groups and routes: the same on every VM, and steady when servers come and go.
+//! Groups and routes are the same on every VM, and change little when servers come and go.
 
 use coltsfoothook_decision::id::VmIdentity;
 use coltsfoothook_decision::manifest::{
@@ -36,7 +36,8 @@
     }
 }
 
-// Requests would wait for loads everywhere if a new server moved many others between groups.
+// An added server must not move many others between groups, since each of them would have to load
+// other adapters.
 #[test]
 fn server_added() {
     let before = GroupMap::new(&manifest(100, 0));
@@ -46,7 +47,7 @@
         let group = |map: &GroupMap| map.group_of_server(server).map(|group| group.name.clone());
         group(&before) != group(&after)
     });
-    assert!(moved.count() <= 15, "too many servers moved");
+    assert!(moved.count() <= 15, "too many servers changed their group");
 }
 
 #[test]
@@ -69,9 +70,9 @@
     assert_eq!(reason("a00000", "elsewhere"), RefusalReason::NoServer);
 }
 
-// A VM that dies hands on its own groups; no other group changes hands.
+// When a VM dies, only its own groups get a new owner.
 #[test]
-fn owner_gone() {
+fn owner_dies() {
     let vms: Vec<VmIdentity> = (0..6).map(vm).collect();
     for number in 0..50 {
         let group = format!("g{number}").as_str().into();
--- a/decision/tests/suite/load_recovery.rs
+++ b/decision/tests/suite/load_recovery.rs
@@ -1,10 +1,9 @@
-//! What is wrongly believed of the weight store's pace does not stay wrong.
+//! A wrong estimate of the weight store's rate is corrected.
 //!
-//! When everything is cold, some VMs order loads for all, each by what it expects of the store and by what
-//! it has heard of the others' loads. If a VM takes the store for slower than it is, it holds loads back,
-//! requests wait for adapters that could have been there, and nothing that was asked for shows it: each
-//! load is met just when it was expected. The pattern is that of a fleet of sixty servers whose store
-//! carries 40 loads of 288 ms at once.
+//! When all adapters are cold, some VMs order loads for all, based on their estimates and on the
+//! loads in flight that the others reported. A VM whose estimate is too slow holds loads back, and
+//! its requests don't show it, since each load is done when it was expected. The simulated fleet
+//! has sixty servers, and its store carries 40 loads of 288 ms at once.
 
 use coltsfoothook_decision::id::TimePoint;
 use coltsfoothook_decision::loadtime::{LoadTimes, OrderedLoad, ToldTimes};
@@ -13,103 +12,106 @@
 
 const MILLI: u64 = 1_000;
 const ALONE: u64 = 288 * MILLI;
-const AT_ONCE: u64 = 40;
-/// Loads that sixty servers can have under way, four each.
+const FULL_SPEED: u64 = 40;
+/// Maximum number of loads in flight to sixty servers, four each.
 const TRANSFERS: usize = 240;
-/// A request that came too early comes again after a quarter of the time so far, or after this.
-const AGAIN: u64 = 45 * MILLI;
-const LOOK: u64 = 2 * MILLI;
-/// A VM looks at its servers at each so many of these.
-const LOOK_EVERY: u64 = 20;
+/// Minimum delay before a request that came too early is sent again; otherwise a quarter of the
+/// time so far.
+const MIN_RETRY_DELAY: u64 = 45 * MILLI;
+const STEP: u64 = 2 * MILLI;
+/// Mean number of steps between two checks of its servers by a VM.
+const CHECK_STEPS: u64 = 20;
 const SECOND: u64 = 1_000 * MILLI;
 
-/// A load on its way, and what the VMs know of it.
+/// Load in flight, and what the VMs know of it.
 struct RunningLoad {
     by: usize,
     load: OrderedLoad,
     done: u64,
-    looked_at: u64,
-    told: ToldTimes,
-    heard_at: u64,
-    is_heard: bool,
+    check_at: u64,
+    report: ToldTimes,
+    received_at: u64,
+    is_received: bool,
 }
 
-fn told(alone_us: u64, each_us: u64) -> ToldTimes {
+fn report(alone_us: u64, each_us: u64) -> ToldTimes {
     ToldTimes { alone_us, each_us, is_proven: false }
 }
 
 struct Fleet {
     vms: Vec<LoadTimes>,
     running: Vec<RunningLoad>,
-    news_us: u64,
+    update_us: u64,
     random: Pcg64,
 }
 
 impl Fleet {
-    /// VMs that all believe in a store whose loads take `factor` times as long as they do.
-    fn new(vms: usize, factor: f64, news_us: u64, seed: u64) -> Self {
+    /// Creates VMs whose estimates are `factor` times the real load times.
+    fn new(vms: usize, factor: f64, update_us: u64, seed: u64) -> Self {
         let mut times = LoadTimes::default();
-        let (alone, each) = (ALONE as f64 * factor, ALONE as f64 / AT_ONCE as f64 * factor);
+        let (alone, each) = (ALONE as f64 * factor, ALONE as f64 / FULL_SPEED as f64 * factor);
         for _ in 0..800 {
-            times.heard(told(alone as u64, each as u64));
+            times.heard(report(alone as u64, each as u64));
         }
         let random = Pcg64::seed_from_u64(seed);
-        Self { vms: vec![times; vms], running: Vec::new(), news_us, random }
+        Self { vms: vec![times; vms], running: Vec::new(), update_us, random }
     }
 
     fn step(&mut self, now: u64) -> usize {
-        self.hear(now);
-        self.meet(now);
-        for load in self.running.iter_mut().filter(|load| load.looked_at < u64::MAX) {
+        self.receive(now);
+        self.send(now);
+        for load in self.running.iter_mut().filter(|load| load.check_at < u64::MAX) {
             let forecast = self.vms[load.by].forecast(0);
             if let Some(shorter) = load.load.shortened(&forecast) {
                 load.load = shorter;
-                load.looked_at = load.looked_at.min(now.max(load.load.at.0 + shorter.look_us));
+                load.check_at = load.check_at.min(now.max(load.load.at.0 + shorter.look_us));
             }
         }
         for vm in 0..self.vms.len() {
-            // VMs look at their servers at times of their own.
-            if self.random.next_u64().is_multiple_of(LOOK_EVERY) {
+            // VMs check their servers at independent random times.
+            if self.random.next_u64().is_multiple_of(CHECK_STEPS) {
                 self.order(vm, now);
             }
         }
         let before = self.running.len();
-        self.running.retain(|load| load.done > now || load.looked_at < u64::MAX);
+        self.running.retain(|load| load.done > now || load.check_at < u64::MAX);
         before - self.running.len()
     }
 
-    fn hear(&mut self, now: u64) {
-        for load in self.running.iter_mut().filter(|load| !load.is_heard && load.heard_at <= now) {
-            load.is_heard = true;
+    fn receive(&mut self, now: u64) {
+        for load in
+            self.running.iter_mut().filter(|load| !load.is_received && load.received_at <= now)
+        {
+            load.is_received = true;
             for times in &mut self.vms {
-                times.heard(load.told);
+                times.heard(load.report);
             }
         }
     }
 
-    /// Requests come as soon as they are told that the adapter is there.
-    fn meet(&mut self, now: u64) {
-        for load in self.running.iter_mut().filter(|load| load.looked_at <= now) {
+    /// Sends the requests whose adapters are expected to be loaded.
+    fn send(&mut self, now: u64) {
+        for load in self.running.iter_mut().filter(|load| load.check_at <= now) {
             let times = &mut self.vms[load.by];
             if load.done > now {
                 let elapsed = now - load.load.at.0;
                 times.too_early(load.load, elapsed);
-                let usual = load.load.at.0 + load.load.expected_us;
-                load.looked_at = usual.max(now + (elapsed / 4).max(AGAIN));
+                let expected = load.load.at.0 + load.load.expected_us;
+                load.check_at = expected.max(now + (elapsed / 4).max(MIN_RETRY_DELAY));
                 load.load.look_us = 0;
             } else {
                 times.in_time(load.load);
-                load.looked_at = u64::MAX;
+                load.check_at = u64::MAX;
             }
         }
     }
 
     /// Orders all loads that the VM's servers take and that it does not hold back.
     fn order(&mut self, vm: usize, now: u64) {
-        let comes = |load: &&RunningLoad| load.looked_at > now && load.looked_at < u64::MAX;
-        let known = self.running.iter().filter(|load| load.by == vm || load.is_heard);
-        let mut known = known.filter(comes).count();
-        let mut own = self.running.iter().filter(|load| load.by == vm).filter(comes).count();
+        let in_flight = |load: &&RunningLoad| load.check_at > now && load.check_at < u64::MAX;
+        let known = self.running.iter().filter(|load| load.by == vm || load.is_received);
+        let mut known = known.filter(in_flight).count();
+        let mut own = self.running.iter().filter(|load| load.by == vm).filter(in_flight).count();
         let mut others = self.running.iter().filter(|load| load.done > now).count() as u64;
         while own < (TRANSFERS / self.vms.len()).max(1) {
             let forecast = self.vms[vm].forecast(known);
@@ -120,46 +122,48 @@
             others += 1;
             known += 1;
             own += 1;
-            let heard_at = now + self.random.next_u64() % self.news_us.max(1);
+            let received_at = now + self.random.next_u64() % self.update_us.max(1);
             self.running.push(RunningLoad {
                 by: vm,
                 load,
-                done: now + ALONE.max(ALONE * others / AT_ONCE),
-                looked_at: now + load.look_us,
-                told: self.vms[vm].told(),
-                heard_at,
-                is_heard: false,
+                done: now + ALONE.max(ALONE * others / FULL_SPEED),
+                check_at: now + load.look_us,
+                report: self.vms[vm].told(),
+                received_at,
+                is_received: false,
             });
         }
     }
 
-    /// Loads done a second, from `from` to `to`.
-    fn pace(&mut self, from: u64, to: u64) -> f64 {
+    /// Returns the loads done per second between `from` and `to`.
+    fn rate(&mut self, from: u64, to: u64) -> f64 {
         let (mut now, mut done) = (0, 0);
         while now < to {
             let ended = self.step(now);
             done += if now >= from { ended } else { 0 };
-            now += LOOK;
+            now += STEP;
         }
         done as f64 * SECOND as f64 / (to - from) as f64
     }
 }
 
-/// Whatever was believed at first, a tenth to ten times of what is true, the store is used for nine tenths
-/// of what it can do within some seconds, by few VMs and by as many as order servers at most, with fresh news
-/// and with old.
+/// From initial estimates between a tenth and ten times the real times, the fleet uses nine tenths
+/// of the store's capacity within some seconds, with few and with many VMs, and with fast and slow
+/// updates.
 #[test]
-fn any_start() {
-    let store = AT_ONCE as f64 * SECOND as f64 / ALONE as f64;
+fn any_initial_estimate() {
+    let store = FULL_SPEED as f64 * SECOND as f64 / ALONE as f64;
     let mut slow = Vec::new();
     for (seed, factor) in [0.1, 0.3, 1.0, 3.0, 10.0].into_iter().enumerate() {
         for vms in [1, 3, 24] {
-            for news_us in [2 * MILLI, 200 * MILLI, SECOND] {
-                let mut fleet = Fleet::new(vms, factor, news_us, seed as u64);
-                let pace = fleet.pace(8 * SECOND, 12 * SECOND);
-                let part = pace / store;
-                if part < 0.9 {
-                    slow.push(format!("{factor} times, {vms} VMs, news in {news_us}: {part:.2}"));
+            for update_us in [2 * MILLI, 200 * MILLI, SECOND] {
+                let mut fleet = Fleet::new(vms, factor, update_us, seed as u64);
+                let rate = fleet.rate(8 * SECOND, 12 * SECOND);
+                let fraction = rate / store;
+                if fraction < 0.9 {
+                    slow.push(format!(
+                        "factor {factor}, {vms} VMs, updates in {update_us} us: {fraction:.2}"
+                    ));
                 }
             }
         }
@@ -167,21 +171,22 @@
     assert!(slow.is_empty(), "{slow:#?}");
 }
 
-/// One VM has learnt a wrong pace, from an old view of what is under way. The fleet is not held back by it.
+/// One VM has a wrong estimate, due to an outdated view of the loads in flight; the fleet is not
+/// slowed down.
 #[test]
-fn one_wrong() {
+fn one_wrong_estimate() {
     let mut fleet = Fleet::new(24, 1.0, 100 * MILLI, 7);
     for _ in 0..800 {
-        fleet.vms[5].heard(told(10 * ALONE, 10 * ALONE / AT_ONCE));
+        fleet.vms[5].heard(report(10 * ALONE, 10 * ALONE / FULL_SPEED));
     }
-    let store = AT_ONCE as f64 * SECOND as f64 / ALONE as f64;
-    let part = fleet.pace(2 * SECOND, 6 * SECOND) / store;
-    assert!(part >= 0.9, "{part:.2} of the store");
+    let store = FULL_SPEED as f64 * SECOND as f64 / ALONE as f64;
+    let fraction = fleet.rate(2 * SECOND, 6 * SECOND) / store;
+    assert!(fraction >= 0.9, "{fraction:.2} of the store's rate");
 }
 
-/// Once the pace is known, few loads are looked at in vain.
+/// Once the rate is known, few early checks fail.
 #[test]
-fn few_in_vain() {
+fn few_failed_checks() {
     let mut times = LoadTimes::default();
     let mut random = Pcg64::seed_from_u64(3);
     let (mut sent, mut refused) = (0, 0);
@@ -189,18 +194,18 @@
         let others = random.random_range(0..30);
         let forecast = times.forecast(others);
         let load = times.early_look(forecast).load(TimePoint(0), false);
-        let takes = ALONE.max(ALONE * u64::from(load.beside) / AT_ONCE);
+        let takes = ALONE.max(ALONE * u64::from(load.beside) / FULL_SPEED);
         let mut elapsed = load.look_us;
         let mut first = load;
         while elapsed < takes {
             times.too_early(first, elapsed);
             first.look_us = 0;
             refused += u32::from(number >= 200);
-            elapsed = (elapsed + (elapsed / 4).max(AGAIN)).max(load.expected_us);
+            elapsed = (elapsed + (elapsed / 4).max(MIN_RETRY_DELAY)).max(load.expected_us);
         }
         times.in_time(first);
         sent += u32::from(number >= 200);
     }
-    // Loads are about one send in five: one send in fifty is one load in ten.
+    // About one send in five needs a load: one failed check per ten loads is one per fifty sends.
     assert!(refused * 10 <= sent * 2, "{refused} refused of {sent} loads");
 }
--- a/decision/tests/suite/load_times.rs
+++ b/decision/tests/suite/load_times.rs
@@ -1,17 +1,17 @@
-//! How long loads are expected to take, with and without others under way.
+//! Estimates of load times, with and without other loads in flight.
 //!
-//! The store of these tests takes 250 ms for a load while eight are under way at most, and longer in
-//! proportion beyond, as the users' stores do (with 8, 16 and 40 at once).
+//! The simulated store takes 250 ms for each load while at most eight are in flight, and beyond
+//! that a time proportional to their number.
 
 use coltsfoothook_decision::id::TimePoint;
 use coltsfoothook_decision::loadtime::{LoadTimes, OrderedLoad};
 
 const MILLI: u64 = 1_000;
 const ALONE: u64 = 250 * MILLI;
-const AT_ONCE: u64 = 8;
+const FULL_SPEED: u64 = 8;
 
 fn takes(beside: u32) -> u64 {
-    ALONE.max(ALONE * u64::from(beside) / AT_ONCE)
+    ALONE.max(ALONE * u64::from(beside) / FULL_SPEED)
 }
 
 fn ordered(times: &mut LoadTimes, others: usize) -> OrderedLoad {
@@ -19,8 +19,8 @@
     times.early_look(forecast).load(TimePoint(0), false)
 }
 
-/// A request waits for a load as long as expected. If it comes too early it tries again after a quarter
-/// of the time so far, as it would at a server. Returns how often it came too early.
+/// Waits for a load as a request does: it checks at the expected time, and after an early attempt
+/// again after a quarter of the time so far. Returns the number of early attempts.
 fn wait_for(times: &mut LoadTimes, others: usize) -> u32 {
     let load = ordered(times, others);
     let mut elapsed = load.look_us;
@@ -36,8 +36,8 @@
     refused
 }
 
-/// Every adapter is cold when traffic begins, and some tens of loads are under way at all times. After a
-/// few tens of loads nearly no request comes too early, and none waits for much longer than its load.
+/// All adapters are cold and some tens of loads are in flight at all times. After a few tens of
+/// loads, few requests come too early, and none waits much longer than its load takes.
 #[test]
 fn crowded_store() {
     let mut times = LoadTimes::default();
@@ -53,8 +53,8 @@
     }
 }
 
-/// Sixty servers start cold. Their store carries 40 loads at once; it is not taken for a small one, which
-/// would hold back half of the loads that could be under way.
+/// The initial estimate for sixty servers must allow their store's 40 concurrent loads; a smaller
+/// one would hold back half of them.
 #[test]
 fn large_fleet() {
     let mut times = LoadTimes::default();
@@ -64,9 +64,9 @@
     assert!(times.forecast(90).is_crowded());
 }
 
-/// Loads are quick again after the store was slow: the expectation comes back.
+/// The estimate decreases again after the store was slow for some time.
 #[test]
-fn quick_again() {
+fn recovers_from_slow_store() {
     let mut times = LoadTimes::default();
     for _ in 0..40 {
         let load = ordered(&mut times, 0);
@@ -80,13 +80,12 @@
     }
     let quick = times.forecast(0).expected_us(false);
     assert!(quick < 250 * MILLI, "{quick}");
-    let again = LoadTimes::default().forecast(0).expected_us(true);
-    assert_eq!(times.forecast(0).expected_us(true), again);
+    let initial = LoadTimes::default().forecast(0).expected_us(true);
+    assert_eq!(times.forecast(0).expected_us(true), initial);
 }
 
-/// Five servers crash with twenty loads under way. Requests that come to them look as if their load
-/// lasted for seconds, again and again. All other loads must not be expected to take three times as
-/// long for it: their requests would wait in vain.
+/// Requests for loads that were lost with crashed servers see them last for seconds. The estimate
+/// for other loads must not rise threefold by that, since their requests would wait needlessly.
 #[test]
 fn lost_loads() {
     let mut times = LoadTimes::default();
--- a/decision/tests/suite/order_tenure.rs
+++ b/decision/tests/suite/order_tenure.rs
@@ -1,4 +1,4 @@
-//! Who may order a server, and that two VMs never do so in turns.
+//! Leases of partitions: which VM may send orders to a server, never two at a time.
 
 use coltsfoothook_decision::id::{ServerName, TimePoint};
 use coltsfoothook_decision::tenure::{
@@ -12,7 +12,7 @@
     TenureSettings { topics: 1, parts: 1, ..TenureSettings::default() }
 }
 
-fn share() -> FleetShare {
+fn partition() -> FleetShare {
     FleetShare { topic: 0, part: 0 }
 }
 
@@ -24,118 +24,121 @@
     TimePoint(seconds * SECOND)
 }
 
-/// A tenure that renewed at `now` and holds the only share.
-fn renewed(tenure: &mut OrderTenure, now: TimePoint, generation: u64, since: &GainedSince) {
-    tenure.renewed(now, now, generation, vec![share()], since);
+/// Renews at `now` and holds the only partition.
+fn renewed(lease: &mut OrderTenure, now: TimePoint, generation: u64, since: &GainedSince) {
+    lease.renewed(now, now, generation, vec![partition()], since);
 }
 
-fn fence(tenure: &OrderTenure, now: TimePoint) -> Option<u64> {
-    tenure.fence(&server(), None, StoreOutage::NotKnown, now)
+fn fence(lease: &OrderTenure, now: TimePoint) -> Option<u64> {
+    lease.fence(&server(), None, StoreOutage::NotKnown, now)
 }
 
-/// A share comes from another holder, whose last orders may still be under way. The new holder waits.
+/// Orders of the previous holder of a partition may still be in flight, so the new holder waits.
 #[test]
 fn gained_waits() {
-    let mut tenure = OrderTenure::new(settings());
+    let mut lease = OrderTenure::new(settings());
     for second in 10..15 {
-        renewed(&mut tenure, at(second), 7, &GainedSince::Unknown);
+        renewed(&mut lease, at(second), 7, &GainedSince::Unknown);
     }
-    assert_eq!(fence(&tenure, at(13)), None);
-    assert_eq!(fence(&tenure, at(14)), Some(7));
+    assert_eq!(fence(&lease, at(13)), None);
+    assert_eq!(fence(&lease, at(14)), Some(7));
 }
 
-/// All shares were dealt anew. Callers whose adapter has to be loaded are told when the first one is active.
+/// After all partitions were reassigned, it is known when the first one becomes active; callers
+/// that need a load are told to retry then.
 #[test]
 fn first_active() {
-    let mut tenure = OrderTenure::new(settings());
-    assert_eq!(tenure.first_active(at(9)), None);
-    renewed(&mut tenure, at(10), 7, &GainedSince::Unknown);
-    renewed(&mut tenure, at(12), 7, &GainedSince::Unknown);
-    assert_eq!(tenure.first_active(at(13)), Some(at(14)));
-    assert_eq!(tenure.first_active(at(14)), None);
+    let mut lease = OrderTenure::new(settings());
+    assert_eq!(lease.first_active(at(9)), None);
+    renewed(&mut lease, at(10), 7, &GainedSince::Unknown);
+    renewed(&mut lease, at(12), 7, &GainedSince::Unknown);
+    assert_eq!(lease.first_active(at(13)), Some(at(14)));
+    assert_eq!(lease.first_active(at(14)), None);
 }
 
-/// The holder before was heard of: its last word counts, not the moment of the gain.
+/// If lists of the previous holder were received, the waiting time counts from the last of them,
+/// not from the gain.
 #[test]
-fn heard_holder() {
-    let mut tenure = OrderTenure::new(settings());
-    renewed(&mut tenure, at(20), 7, &GainedSince::Unknown);
-    let ordered = |last| tenure.fence(&server(), Some(last), StoreOutage::NotKnown, at(21));
-    assert_eq!(ordered(at(16)), Some(7));
-    assert_eq!(ordered(at(18)), None);
+fn known_holder() {
+    let mut lease = OrderTenure::new(settings());
+    renewed(&mut lease, at(20), 7, &GainedSince::Unknown);
+    let fence_at = |last| lease.fence(&server(), Some(last), StoreOutage::NotKnown, at(21));
+    assert_eq!(fence_at(at(16)), Some(7));
+    assert_eq!(fence_at(at(18)), None);
 }
 
-/// A VM is suspended past its lifetime and wakes up. Its shares were given away; it orders nothing
-/// until it has renewed, and then waits like any other that gained them.
+/// A VM that was suspended past its lifetime has lost its partitions. It sends no orders until it
+/// has renewed, and then waits like any other VM that gained them.
 #[test]
 fn suspended_stops() {
-    let mut tenure = OrderTenure::new(settings());
-    renewed(&mut tenure, at(10), 7, &GainedSince::FirstStart);
-    assert_eq!(fence(&tenure, at(12)), Some(7));
-    assert_eq!(fence(&tenure, at(14)), None);
-    renewed(&mut tenure, at(15), 9, &GainedSince::Unknown);
-    assert_eq!(fence(&tenure, at(16)), None);
-    renewed(&mut tenure, at(17), 9, &GainedSince::Unknown);
-    renewed(&mut tenure, at(19), 9, &GainedSince::Unknown);
-    assert_eq!(fence(&tenure, at(19)), Some(9));
+    let mut lease = OrderTenure::new(settings());
+    renewed(&mut lease, at(10), 7, &GainedSince::FirstStart);
+    assert_eq!(fence(&lease, at(12)), Some(7));
+    assert_eq!(fence(&lease, at(14)), None);
+    renewed(&mut lease, at(15), 9, &GainedSince::Unknown);
+    assert_eq!(fence(&lease, at(16)), None);
+    renewed(&mut lease, at(17), 9, &GainedSince::Unknown);
+    renewed(&mut lease, at(19), 9, &GainedSince::Unknown);
+    assert_eq!(fence(&lease, at(19)), Some(9));
 }
 
-/// All VMs lose power and start again within their lifetime. Cold adapters would wait four seconds
-/// for a pause that protects from nobody; the kept record shows that no other VM held the share.
+/// If all VMs restart within their lifetime, the stored record shows that no other VM held the
+/// partition, so that loads need not wait. It is no evidence under another generation.
 #[test]
 fn restart_resumes() {
-    let record = TenureRecord { generation: 7, shares: vec![share()] };
+    let record = TenureRecord { generation: 7, shares: vec![partition()] };
     let since = GainedSince::Restart(record);
     let mut same = OrderTenure::new(settings());
     renewed(&mut same, at(10), 7, &since);
     assert_eq!(fence(&same, at(10)), Some(7));
     let mut changed = OrderTenure::new(settings());
     renewed(&mut changed, at(10), 8, &since);
-    assert_eq!(fence(&changed, at(10)), None, "another VM may have held it in between");
+    assert_eq!(fence(&changed, at(10)), None, "another VM may have held the partition in between");
 }
 
-/// The record names only shares whose pause is over: one that is still waited for may have been
-/// ordered by its holder before a moment ago.
+/// The record contains only active partitions: for others, the previous holder may have sent orders
+/// recently.
 #[test]
-fn record_settled() {
-    let mut tenure = OrderTenure::new(settings());
-    renewed(&mut tenure, at(10), 7, &GainedSince::Unknown);
-    assert_eq!(tenure.record(at(11)).shares, Vec::new());
-    assert_eq!(tenure.record(at(14)).shares, vec![share()]);
+fn record_active_only() {
+    let mut lease = OrderTenure::new(settings());
+    renewed(&mut lease, at(10), 7, &GainedSince::Unknown);
+    assert_eq!(lease.record(at(11)).shares, Vec::new());
+    assert_eq!(lease.record(at(14)).shares, vec![partition()]);
 }
 
-/// A server has seen a higher fencing number. Orders with the old one stop until the generation grows.
+/// After a server rejected the fencing number as too old, no orders are sent until the generation
+/// increases.
 #[test]
 fn refused_stops() {
-    let mut tenure = OrderTenure::new(settings());
-    renewed(&mut tenure, at(10), 7, &GainedSince::FirstStart);
-    tenure.refused(7);
-    assert_eq!(fence(&tenure, at(11)), None);
-    renewed(&mut tenure, at(11), 8, &GainedSince::FirstStart);
-    assert_eq!(fence(&tenure, at(12)), Some(8));
+    let mut lease = OrderTenure::new(settings());
+    renewed(&mut lease, at(10), 7, &GainedSince::FirstStart);
+    lease.refused(7);
+    assert_eq!(fence(&lease, at(11)), None);
+    renewed(&mut lease, at(11), 8, &GainedSince::FirstStart);
+    assert_eq!(fence(&lease, at(12)), Some(8));
 }
 
-/// The store is down for all, for longer than a lifetime: holders go on, since nobody can be dealt
-/// their shares. If the store only turns this VM away, it stops in time.
+/// If the store is unavailable to all for longer than a lifetime, holders continue, since their
+/// partitions can't be reassigned. A VM that alone can't reach the store stops.
 #[test]
 fn store_outage() {
-    let mut tenure = OrderTenure::new(settings());
-    renewed(&mut tenure, at(10), 7, &GainedSince::FirstStart);
-    let ordered = |outage| tenure.fence(&server(), None, outage, at(30));
-    assert_eq!(ordered(StoreOutage::ForAll), Some(7));
-    assert_eq!(ordered(StoreOutage::NotKnown), None);
+    let mut lease = OrderTenure::new(settings());
+    renewed(&mut lease, at(10), 7, &GainedSince::FirstStart);
+    let fence_for = |outage| lease.fence(&server(), None, outage, at(30));
+    assert_eq!(fence_for(StoreOutage::ForAll), Some(7));
+    assert_eq!(fence_for(StoreOutage::NotKnown), None);
 }
 
-/// Whether an outage is one for all is told by the others: one that reached the store a moment ago is
-/// enough against it, and so is silence of most of them, which may be a cut of this VM.
+/// An outage for all is assumed only if most other VMs reported recently and none of them reached
+/// the store. Without reports from most of them, this VM may be disconnected itself.
 #[test]
 fn outage_witnesses() {
     let now = at(100);
-    let away = StoreWitness { heard_at: now, reached_at: at(95) };
+    let unreached = StoreWitness { heard_at: now, reached_at: at(95) };
     let reached = StoreWitness { heard_at: now, reached_at: at(100) };
-    let silent = StoreWitness { heard_at: at(95), reached_at: at(95) };
-    assert_eq!(judge_outage(&[away, away, silent], now), StoreOutage::ForAll);
-    assert_eq!(judge_outage(&[away, reached, away], now), StoreOutage::NotKnown);
-    assert_eq!(judge_outage(&[away, silent, silent], now), StoreOutage::NotKnown);
+    let unresponsive = StoreWitness { heard_at: at(95), reached_at: at(95) };
+    assert_eq!(judge_outage(&[unreached, unreached, unresponsive], now), StoreOutage::ForAll);
+    assert_eq!(judge_outage(&[unreached, reached, unreached], now), StoreOutage::NotKnown);
+    assert_eq!(judge_outage(&[unreached, unresponsive, unresponsive], now), StoreOutage::NotKnown);
     assert_eq!(judge_outage(&[], now), StoreOutage::NotKnown);
 }
--- a/decision/tests/suite/reading_pace.rs
+++ b/decision/tests/suite/reading_pace.rs
@@ -1,8 +1,8 @@
-//! Prompts that are held back while an engine has much to read.
+//! Holding back prompts while an engine has many prompt tokens to process.
 //!
-//! The pattern: long prompts, about 1,200 tokens in the mean and up to 4,500, come at random to engines
-//! that read 19 tokens a millisecond in pieces of 2,048 between the tokens of their other streams. Three
-//! pieces in a row are a pause of 350 ms, and streams there may pause for 300.
+//! The simulated load is long prompts, with a mean of about 1,200 tokens and up to 4,500, at
+//! engines that process 19 tokens per millisecond in pieces of 2,048 between the tokens of their
+//! other streams. Three pieces in a row are a pause of 350 ms, while streams may pause for 300 ms.
 
 use std::time::Duration;
 
@@ -17,16 +17,17 @@
 use crate::fixture::engine_entry;
 
 const GAP: Duration = Duration::from_millis(300);
-const PACE: u64 = 19;
+const TOKENS_PER_MS: u64 = 19;
 
 fn key(name: &str) -> AdapterKey {
     AdapterKey { model: "base".into(), adapter: name.into() }
 }
 
-/// Engines that hold `a1` with the given heat, or not at all; their pace is known.
-fn engines(heats: &[Option<u32>], now: TimePoint) -> BackendTable {
+/// Returns a table of engines that hold `a1` with the given usage score, or not at all. Their rate
+/// is known, and a quarter of the streams pause too long.
+fn engines(scores: &[Option<u32>], now: TimePoint) -> BackendTable {
     let mut table = BackendTable::default();
-    for (number, heat) in heats.iter().enumerate() {
+    for (number, score) in scores.iter().enumerate() {
         let server = format!("s{number}");
         table.entry(BackendEntry { slots: 48, ..engine_entry(&server) }, now);
         let holding = |name: &str, heat| AdapterHolding {
@@ -36,14 +37,14 @@
             ..AdapterHolding::default()
         };
         let mut holdings = vec![holding("other", 5)];
-        holdings.extend(heat.map(|heat| holding("a1", heat)));
+        holdings.extend(score.map(|score| holding("a1", score)));
         let owner = ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free: 4 };
         assert!(table.list(&server, owner, 1, holdings));
     }
     table.sent("s0", 1_900, now);
-    table.read("s0", 1_900, Some(1_900_000 / PACE));
+    table.read("s0", 1_900, Some(1_900_000 / TOKENS_PER_MS));
     table.ended("s0", 0);
-    // Its streams pause for 350 ms now and then.
+    // Every fourth stream pauses for 350 ms.
     for number in 0..100 {
         let pause = if number % 4 == 0 { GAP * 7 / 6 } else { GAP / 2 };
         table.stream_ended(&"engines".into(), pause, GAP);
@@ -76,45 +77,45 @@
     matches!(choice, ServerChoice::Send { server, .. } if server.as_str() == to)
 }
 
-/// The pace comes from prompts that are read alone. Some were kept from before and seem to be read at
-/// once, others met prompts of which this VM did not know; neither moves it far.
+/// The rate is estimated from prompts that are processed alone. Cached prompts, which seem faster,
+/// and prompts processed together with unknown ones of other VMs hardly change it.
 #[test]
-fn learnt_pace() {
-    let mut pace = ReadingPace::default();
-    assert_eq!(pace.bound(GAP), None, "nothing is held back before the pace is known");
+fn estimated_rate() {
+    let mut rate = ReadingPace::default();
+    assert_eq!(rate.bound(GAP), None, "nothing is held back before the rate is known");
     for number in 0..500u64 {
         let tokens = 1_000 + number % 7 * 300;
-        let fair = tokens * 1_000 / PACE;
+        let alone_us = tokens * 1_000 / TOKENS_PER_MS;
         match number % 10 {
-            0 => pace.observe(tokens, fair * 3 / 4),
-            1..=3 => pace.observe(tokens, fair * 2),
-            _ => pace.observe(tokens, fair),
+            0 => rate.observe(tokens, alone_us * 3 / 4),
+            1..=3 => rate.observe(tokens, alone_us * 2),
+            _ => rate.observe(tokens, alone_us),
         }
     }
-    pace.observe(30, 40_000);
-    let in_gap = PACE * 300;
-    let bound = pace.bound(GAP).unwrap();
+    rate.observe(30, 40_000);
+    let in_gap = TOKENS_PER_MS * 300;
+    let bound = rate.bound(GAP).unwrap();
     assert!((in_gap * 2 / 5..in_gap * 3 / 5).contains(&bound), "{bound}");
 }
 
-/// Where streams may pause for longer than three pieces take, hardly any stream is late however much is
-/// read. Nothing is held back there; a few late streams for other reasons change nothing.
+/// Where nearly all streams are on time, nothing is held back, and a few late streams don't change
+/// that. Ten late streams in a row do.
 #[test]
 fn small_pieces() {
-    let mut pace = ReadingPace::default();
+    let mut rate = ReadingPace::default();
     for number in 0..2_000 {
         let pause = if number % 40 == 0 { GAP * 3 } else { GAP * 9 / 10 };
-        pace.stream_ended(pause, GAP);
-        assert!(number < 100 || !pace.holds_back(), "after {number} streams");
+        rate.stream_ended(pause, GAP);
+        assert!(number < 100 || !rate.holds_back(), "after {number} streams");
     }
     for _ in 0..10 {
-        pace.stream_ended(GAP * 7 / 6, GAP);
+        rate.stream_ended(GAP * 7 / 6, GAP);
     }
-    assert!(pace.holds_back(), "ten late streams in a row");
+    assert!(rate.holds_back(), "ten late streams in a row");
 }
 
-/// One holder, and another VM has just sent it two prompts. A third would stop its streams for longer
-/// than they allow: it is held until one is read, and sent then.
+/// A third prompt at the only holder would interrupt its streams for too long; it is held back
+/// until one of the others has been processed.
 #[test]
 fn held_back() {
     let now = TimePoint(1_000_000);
@@ -131,7 +132,7 @@
     assert!(is_sent(&choose(&table, 1_400, Some(GAP), now), "s0"));
 }
 
-/// Two holders, one of which has much to read: the request goes to the other at once.
+/// Of two holders, the one with few prompt tokens to process gets the request at once.
 #[test]
 fn other_holder() {
     let now = TimePoint(1_000_000);
@@ -140,23 +141,23 @@
     assert!(is_sent(&choose(&table, 1_400, Some(GAP), now), "s1"));
 }
 
-/// Another VM told of its prompts a second ago, as in a large fleet. The server has read them since, and
-/// nothing is held back for them.
+/// Prompts that another VM reported a second ago have been processed by now; nothing is held back
+/// for them.
 #[test]
 fn old_counts() {
-    let told = TimePoint(1_000_000);
-    let mut table = engines(&[Some(1)], told);
-    table.peer_load(&"b".into(), "s0", LoadFigure { running: 3, unread: 4_000 }, told);
+    let reported = TimePoint(1_000_000);
+    let mut table = engines(&[Some(1)], reported);
+    table.peer_load(&"b".into(), "s0", LoadFigure { running: 3, unread: 4_000 }, reported);
     let held = |after_ms: u64| {
-        let now = told.plus(after_ms * 1_000);
+        let now = reported.plus(after_ms * 1_000);
         matches!(choose(&table, 1_400, Some(GAP), now), ServerChoice::Hold { .. })
     };
     assert!(held(0) && held(140));
     assert!(!held(1_000));
 }
 
-/// A prompt that is longer than the bound by itself is not held for ever: it goes where nothing else is
-/// to be read. And a request that was held for as long as it can bear is sent in any case.
+/// A prompt longer than the bound is not held for ever: it goes to an engine with no other prompt.
+/// Without an allowed pause it is sent in any case.
 #[test]
 fn longest_prompt() {
     let now = TimePoint(1_000_000);
@@ -167,14 +168,13 @@
     assert!(is_sent(&choose(&table, 4_500, None, now), "s0"));
 }
 
-/// A popular adapter's only holder cannot keep up, and its requests are held back. A copy is asked for
-/// at the server with the least demand, but not of an adapter that brings hardly anything, nor where the
-/// copy would only move the load.
+/// The only holder of a frequently used adapter is overloaded, and a request is held back. A copy
+/// is requested at the server with the least demand, but not of a rarely used adapter.
 #[test]
-fn relief_copy() {
+fn overload_copy() {
     let now = TimePoint(1_000_000);
-    let held_with = |heats: &[Option<u32>]| {
-        let mut table = engines(heats, now);
+    let held_with = |scores: &[Option<u32>]| {
+        let mut table = engines(scores, now);
         table.peer_load(&"b".into(), "s0", LoadFigure { running: 4, unread: 4_000 }, now);
         match choose(&table, 1_400, Some(GAP), now) {
             ServerChoice::Hold { copy, .. } => copy,
--- a/decision/tests/suite/route_table.rs
+++ b/decision/tests/suite/route_table.rs
@@ -1,4 +1,4 @@
-//! Which route and service a request goes to.
+//! Mapping of requests to routes and services.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
     assert_eq!(found("a.example", ""), None);
 }
 
-/// Shares are kept, and one request's id always goes to the same service.
+/// Requests are split by weight, and the same request id always goes to the same service.
 #[test]
 fn split_shares() {
     let mut split = route("split", "a.example", "/");
@@ -61,11 +61,11 @@
     let service = |id: &str| split.service_for(id).map(|service| service.as_str().to_owned());
     let few = (0..10_000).filter(|id| service(&format!("r{id}")).as_deref() == Some("few"));
     let few = few.count();
-    assert!((800..1_200).contains(&few), "{few} of 10000 went to the tenth");
+    assert!((800..1_200).contains(&few), "{few} of 10000 went to the service with weight 10");
     assert_eq!(service("r1"), service("r1"));
 }
 
-/// A split whose weights are all zero names no service, and does not divide by zero.
+/// A split whose weights are all zero has no service, and must not divide by zero.
 #[test]
 fn no_weights() {
     let mut split = route("split", "a.example", "/");
@@ -73,9 +73,10 @@
     assert_eq!(split.service_for("r1"), None);
 }
 
-/// A caller's patience with a silent stream: the longest of two seconds, four targets, eight pauses.
+/// The idle timeout of a stream is the longest of two seconds, four targets and eight allowed
+/// pauses.
 #[test]
-fn silent_stream() {
+fn stream_idle_timeout() {
     let mut stream = route("stream", "a.example", "/");
     stream.repeat = RepeatRule::StreamOnce;
     assert_eq!(stream.silence(), Duration::from_secs(2));
--- a/decision/tests/suite/server_choice.rs
+++ b/decision/tests/suite/server_choice.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to, and where an adapter is loaded.
+//! Choice of a request's server, and of the server for an adapter load.
 
 use std::time::Duration;
 
@@ -21,7 +21,8 @@
     BackendEntry { slots: 64, heartbeat, position: heartbeat, ..engine_entry(server) }
 }
 
-/// A table of `count` servers that one VM orders, each holding the adapters that `held` gives.
+/// Returns a table of `count` servers with one owner, each holding the adapters that `held`
+/// returns.
 fn table(count: usize, held: impl Fn(usize) -> Vec<&'static str>, now: TimePoint) -> BackendTable {
     let mut table = BackendTable::default();
     for number in 0..count {
@@ -42,7 +43,7 @@
     AdapterHolding { key: key(adapter), version: 1, heat, ..AdapterHolding::default() }
 }
 
-/// What a request for `adapter` needs, with the owned parts that it borrows.
+/// Requirements of a request for `adapter`, with the values that [`ServerNeed`] borrows.
 struct Need {
     service: ServiceName,
     model: ModelName,
@@ -90,9 +91,9 @@
     }
 }
 
-/// Requests go where their adapter is held, and to the less loaded of two holders.
+/// A request goes to a holder of its adapter, and of two holders to the less loaded one.
 #[test]
-fn lighter_holder() {
+fn less_loaded_holder() {
     let now = TimePoint(SECOND);
     let mut table = table(4, |number| if number < 2 { vec!["a1"] } else { vec![] }, now);
     let need = Need::new("a1");
@@ -103,10 +104,10 @@
     assert_eq!(sent_to(&need.choose(&table, 7, now)), "s0");
 }
 
-/// An adapter that comes and goes is loaded at the same server each time, whichever VM asks: that
-/// server still has it in its own memory.
+/// An adapter that is evicted and requested again is loaded at the server that recently held it;
+/// without one, all VMs choose the same server.
 #[test]
-fn comes_back() {
+fn same_server_again() {
     let now = TimePoint(SECOND);
     let table_of = |held: bool| {
         let mut table = table(8, |_| vec![], now);
@@ -117,16 +118,16 @@
         table
     };
     let load = |table: &BackendTable, draw| Need::new("a1").choose(table, draw, now);
-    let ServerChoice::Load { server } = load(&table_of(false), 1) else { panic!("it is nowhere") };
-    let again = ServerChoice::Load { server };
-    assert_eq!(load(&table_of(false), 99), again);
+    let ServerChoice::Load { server } = load(&table_of(false), 1) else { panic!("not loaded") };
+    let expected = ServerChoice::Load { server };
+    assert_eq!(load(&table_of(false), 99), expected);
     assert_eq!(load(&table_of(true), 1), ServerChoice::Load { server: "s5".into() });
 }
 
-/// The holder of a popular adapter has far more to do than the others: requests still go there, and a
-/// copy is loaded at the server with the least to do.
+/// The holder of a frequently used adapter is overloaded: requests are still sent there, and a copy
+/// is loaded at the least loaded server, but no second one while the first is in flight.
 #[test]
-fn popular_copy() {
+fn overloaded_copy() {
     let now = TimePoint(SECOND);
     let mut table = table(4, |number| if number == 0 { vec!["a1"] } else { vec![] }, now);
     let busy = |running| LoadFigure { running, unread: 100 * u64::from(running) };
@@ -136,19 +137,18 @@
     let choice = Need::new("a1").choose(&table, 1, now);
     let copy = Some("s3".into());
     assert_eq!(choice, ServerChoice::Send { server: "s0".into(), copy });
-    // A copy on its way is enough.
+    // One copy in flight is enough.
     let owner = ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free: 4 };
-    let coming = AdapterHolding { usable_from: now.plus(SECOND), ..holding("a1", 0) };
-    table.list("s3", owner, now.0 + 1, vec![coming]);
+    let in_flight = AdapterHolding { usable_from: now.plus(SECOND), ..holding("a1", 0) };
+    table.list("s3", owner, now.0 + 1, vec![in_flight]);
     let choice = Need::new("a1").choose(&table, 1, now);
     assert_eq!(choice, ServerChoice::Send { server: "s0".into(), copy: None });
 }
 
-/// A server has far more to do than the others since it holds a popular adapter, and seldom used ones
-/// beside it. Only the popular one is worth a copy: a copy of each of the others, one request at a time,
-/// would fetch them all again and push out what other requests wait for.
+/// An overloaded server holds a frequently used and a rarely used adapter. Only the former is
+/// copied; copies of rarely used ones would evict adapters that other requests need.
 #[test]
-fn seldom_copied() {
+fn rarely_used_not_copied() {
     let now = TimePoint(SECOND);
     let mut table = table(4, |_| vec![], now);
     let owner = ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free: 4 };
@@ -166,15 +166,15 @@
     assert!(!copy("a2"));
 }
 
-/// The only holder of a seldom used adapter says that it is full. Requests wait for it a moment, which is
-/// shorter than a load elsewhere; once it does not answer again and again, the adapter is loaded elsewhere.
+/// The only holder of an adapter is full or failed once: requests wait for it, which takes less
+/// time than a load elsewhere. After repeated failures the adapter is loaded elsewhere.
 #[test]
 fn full_holder() {
     let now = TimePoint(SECOND);
     let mut table = table(3, |number| if number == 0 { vec!["a1"] } else { vec![] }, now);
     let need = Need::new("a1");
     table.full("s0", now);
-    let ServerChoice::Wait { until } = need.choose(&table, 1, now) else { panic!("it waits") };
+    let ServerChoice::Wait { until } = need.choose(&table, 1, now) else { panic!("does not wait") };
     assert!(until.since(now) < SECOND / 5);
     assert_eq!(sent_to(&need.choose(&table, 1, until)), "s0");
     table.unreachable("s0", now);
@@ -183,9 +183,9 @@
     assert!(matches!(need.choose(&table, 1, now), ServerChoice::Load { .. }));
 }
 
-/// One adapter is asked for by a quarter of all requests, and no server is late yet. Copies are loaded
-/// until each holder has half of its fair share by it, one on its way at a time for every two that
-/// serve; all VMs choose the same server.
+/// A quarter of all requests need one adapter, and no server is late yet. Copies are loaded until
+/// each holder gets at most half of its fair share by it, with at most one in flight for two
+/// holders, and all VMs choose the same server.
 #[test]
 fn demanded_copies() {
     let now = TimePoint(SECOND);
@@ -214,10 +214,10 @@
     assert_eq!(held.len(), 5, "{held:?}");
 }
 
-/// A load was not ordered for a while. Where another server could load at once the wish goes there;
-/// where all places are in use it keeps its turn, unless nobody orders that server any more.
+/// A load has not been ordered for some time. The request moves to a server that can load at once;
+/// otherwise it keeps its position, unless the first server has no owner any more.
 #[test]
-fn keeps_turn() {
+fn keeps_position() {
     let now = TimePoint(SECOND);
     let mut table = table(2, |_| vec![], now);
     let other = ServerChoice::Load { server: "s1".into() };
@@ -226,12 +226,12 @@
     assert!(table.list("s1", owner(0), now.0 + 1, vec![]));
     assert_eq!(table.load_elsewhere("s0".into(), &other, now).as_str(), "s0");
     assert_eq!(table.load_elsewhere("s0".into(), &ServerChoice::Nowhere, now).as_str(), "s0");
-    let silent = now.plus(5 * SECOND);
-    assert_eq!(table.load_elsewhere("s0".into(), &other, silent).as_str(), "s1");
+    let expired = now.plus(5 * SECOND);
+    assert_eq!(table.load_elsewhere("s0".into(), &other, expired).as_str(), "s1");
 }
 
-/// Lists can overtake each other. An older one of the same owner, or one of a deposed owner, changes
-/// nothing: requests would go to a server that has dropped the adapter.
+/// Lists can arrive out of order. An older list of the same owner, or one of a deposed owner, is
+/// ignored; it could direct requests to a server without the adapter.
 #[test]
 fn old_lists() {
     let now = TimePoint(SECOND);
@@ -244,8 +244,8 @@
     assert_eq!(sent_to(&Need::new("a2").choose(&table, 1, now)), "s0");
 }
 
-/// A server said that it leaves. A heartbeat from before that comes late, and an entry from a stale
-/// read comes after it was removed: neither brings it work again.
+/// A server that is leaving gets no work again by a delayed heartbeat, nor after its removal by an
+/// entry from a stale read.
 #[test]
 fn leaving_stays() {
     let now = TimePoint(SECOND);
@@ -260,11 +260,11 @@
     assert!(table.get("s0").is_none());
 }
 
-/// A VM hears from another one that a server is gone, and reads the heartbeats from before only later.
-/// They do not bring the server back, and neither does an old heartbeat that was written late. A server
-/// that was cut off from the store does come back, with a new one.
+/// A VM is notified of a removal before it reads the heartbeats that precede it. These, and an old
+/// heartbeat written late, don't add the server again; a new heartbeat does, since the server was
+/// only cut off from the store.
 #[test]
-fn gone_stays() {
+fn removed_stays() {
     let now = TimePoint(SECOND);
     let mut table = table(1, |_| vec!["a1"], now);
     assert_eq!(table.remove("s0", 20), EntryChange::Gone);
@@ -274,11 +274,15 @@
     let late = BackendEntry { position: 25, ..entry("s0", 19) };
     assert_eq!(table.entry(late, now), EntryChange::Nothing);
     assert_eq!(table.entry(entry("s0", 30), now), EntryChange::Appeared);
-    assert_eq!(table.remove("s0", 20), EntryChange::Nothing, "that removal is older");
+    assert_eq!(
+        table.remove("s0", 20),
+        EntryChange::Nothing,
+        "the entry is newer than this removal"
+    );
 }
 
-/// A server that cannot be reached is avoided while there is another, and used again at once where it
-/// is the only one that can serve.
+/// An unreachable server is avoided while there is another, and used at once where it is the only
+/// one that can serve.
 #[test]
 fn unreachable_last() {
     let now = TimePoint(SECOND);
@@ -291,8 +295,7 @@
     assert_eq!(sent_to(&only.choose(&table, 1, now)), "s0");
 }
 
-/// A server answers with good health and fails half of its requests. It costs more than its idle
-/// neighbours and gets little.
+/// A server that fails all its requests costs more than idle ones that don't, and gets no requests.
 #[test]
 fn failing_server() {
     let now = TimePoint(SECOND);
@@ -307,8 +310,8 @@
     assert_eq!(to_failing.count(), 0);
 }
 
-/// Long reports of one client begin alike. They go to the same holder of their adapter, whichever VM
-/// sends them, unless what waits there is more than what reading again costs.
+/// Requests with a long shared prefix go to the same holder at all VMs, unless waiting there costs
+/// more than processing the prefix again.
 #[test]
 fn shared_prompts() {
     let now = TimePoint(SECOND);
--- a/decision/tests/suite/server_lives.rs
+++ b/decision/tests/suite/server_lives.rs
@@ -1,9 +1,9 @@
-//! Servers that start again under the name that they had.
+//! Servers that restart under the same name.
 //!
-//! A crashed server is back within seconds under the same name and address. It holds nothing, has
-//! accepted no orders, and counts its heartbeats from the start. What is known of the life before must
-//! not be used for it: requests would go to adapters that it lacks, orders would state a count that it
-//! never had, and its heartbeats would be dropped for being lower than the last one.
+//! A restarted server has no adapters, has accepted no orders and counts heartbeats from the start.
+//! The state of the earlier incarnation must not be used: requests would be sent to adapters that
+//! it lacks, orders would state a wrong count, and its heartbeats would be dropped for being lower
+//! than the last one.
 
 use coltsfoothook_decision::backend::{BackendTable, EntryChange, ServerOwner};
 use coltsfoothook_decision::holding::AdapterHolding;
@@ -34,8 +34,9 @@
     state.holdings().iter().map(|holding| holding.key.adapter.as_str()).collect()
 }
 
-/// The entry of a later life is taken though its count is lower, also where the life before was leaving;
-/// nothing is left of what that held, and late entries of it change nothing.
+/// An entry of a later incarnation applies although its heartbeat is lower, also if the earlier
+/// incarnation was leaving. It resets the state, and late entries of the earlier incarnation are
+/// ignored.
 #[test]
 fn later_entry() {
     let mut table = BackendTable::default();
@@ -55,10 +56,11 @@
     assert_eq!(table.entry(entry(200, 2, 5), NOW), EntryChange::Nothing);
 }
 
-/// Lists are of one life. A late one of the life before changes nothing, though its revision is higher;
-/// one of a later life than the entry that was read tells that the server started again.
+/// A list belongs to one incarnation. A late list of an earlier incarnation is ignored although its
+/// revision is higher; a list of a later incarnation than that of the entry shows that the server
+/// restarted.
 #[test]
-fn lists_of_lives() {
+fn lists_of_incarnations() {
     let mut table = BackendTable::default();
     table.entry(entry(100, 70, 1), NOW);
     assert!(list(&mut table, 100, 40, &["a1"]));
@@ -66,13 +68,13 @@
     assert_eq!(held(&table), ["a3"]);
     assert!(!list(&mut table, 100, 41, &["a1"]));
     assert_eq!(held(&table), ["a3"]);
-    // Its own entry comes last, and is no further restart.
+    // The entry of the new incarnation is read last, and is not another restart.
     assert_eq!(table.entry(entry(200, 1, 2), NOW), EntryChange::Models);
     assert!(list(&mut table, 200, 2, &["a3", "a4"]));
 }
 
-/// A server's entry was removed, and it is back under its name. Heartbeats of the life before that are
-/// read late do not bring it back, the first one of the later life does, though its count is lower.
+/// After the entry was removed, late heartbeats of the removed incarnation don't add the server
+/// again; the first one of a later incarnation does, although it is lower.
 #[test]
 fn back_after_removal() {
     let mut table = BackendTable::default();
@@ -83,9 +85,9 @@
     assert_eq!(table.entry(entry(100, 90, 27), NOW), EntryChange::Nothing);
 }
 
-/// A report tells of a later life before its entry is read. Told twice, it is one restart.
+/// A report shows a later incarnation before its entry is read. Reported twice, it is one restart.
 #[test]
-fn told_by_report() {
+fn known_by_report() {
     let mut table = BackendTable::default();
     table.entry(entry(100, 70, 1), NOW);
     assert!(list(&mut table, 100, 40, &["a1"]));
--- a/decision/tests/suite/topic_coverage.rs
+++ b/decision/tests/suite/topic_coverage.rs
@@ -1,81 +1,81 @@
-//! VMs that are told of a topic's changes by others.
+//! Detection of missed changes by VMs that receive a topic's changes from others.
 
 use coltsfoothook_decision::coverage::{ToldHistory, TopicCoverage};
 use proptest::prelude::*;
 
-/// How often a look is told.
+/// Number of messages that repeat each change.
 const REPEATS: usize = 3;
 
-/// What happens next in a topic with two VMs that read it and one that is told.
+/// Next event in a topic with two VMs that read it and one that receives their messages.
 #[derive(Clone, Copy, Debug)]
 enum TopicStep {
     /// A record is appended.
     Append,
-    /// A reader looks and tells; its message arrives or not.
-    Look { reader: usize, arrives: bool },
-    /// A reader takes a snapshot and tells nothing of what is new in it.
+    /// A reader reads the topic and sends a message, which arrives or is lost.
+    Read { reader: usize, arrives: bool },
+    /// A reader takes a snapshot and doesn't send the changes in it.
     Snapshot { reader: usize },
-    /// The third VM looks itself.
-    OwnLook,
+    /// The third VM reads the topic itself.
+    OwnRead,
 }
 
 fn step() -> impl Strategy<Value = TopicStep> {
     prop_oneof![
         4 => Just(TopicStep::Append),
         6 => (0..2usize, any::<bool>())
-            .prop_map(|(reader, arrives)| TopicStep::Look { reader, arrives }),
+            .prop_map(|(reader, arrives)| TopicStep::Read { reader, arrives }),
         1 => (0..2usize).prop_map(|reader| TopicStep::Snapshot { reader }),
-        1 => Just(TopicStep::OwnLook),
+        1 => Just(TopicStep::OwnRead),
     ]
 }
 
 proptest! {
-    /// Messages get lost, and readers find changes that they do not tell of. A VM that takes itself to be told
-    /// of all changes up to a place has heard of each: else it would send requests to a server whose removal it
-    /// missed.
+    /// Messages are lost, and readers find changes that they don't send. A VM whose coverage is
+    /// complete must have received every change; otherwise it could send requests to a server whose
+    /// removal it missed.
     #[test]
     fn nothing_missed(steps in prop::collection::vec(step(), 1..200)) {
         let mut end = 0u64;
         let mut readers = [ToldHistory::new(REPEATS), ToldHistory::new(REPEATS)];
         let mut coverage = TopicCoverage::default();
-        let mut heard: Vec<bool> = Vec::new();
+        let mut received: Vec<bool> = Vec::new();
         for step in steps {
             match step {
                 TopicStep::Append => {
                     end += 1;
-                    heard.push(false);
+                    received.push(false);
                 }
-                TopicStep::Look { reader, arrives } => {
+                TopicStep::Read { reader, arrives } => {
                     let from = readers[reader].span().up_to;
                     readers[reader].look(end, (from..end).collect::<Vec<u64>>());
                     if !arrives {
                         continue;
                     }
-                    let told: Vec<u64> = readers[reader].changes().flatten().copied().collect();
-                    told.iter().for_each(|place| heard[*place as usize] = true);
+                    let sent: Vec<u64> = readers[reader].changes().flatten().copied().collect();
+                    sent.iter().for_each(|position| received[*position as usize] = true);
                     if coverage.told(readers[reader].span()) {
-                        prop_assert!(heard.iter().all(|heard| *heard));
+                        prop_assert!(received.iter().all(|known| *known));
                     }
                 }
                 TopicStep::Snapshot { reader } => readers[reader].untold(end),
-                TopicStep::OwnLook => {
+                TopicStep::OwnRead => {
                     coverage.looked(end);
-                    heard.iter_mut().for_each(|heard| *heard = true);
+                    received.iter_mut().for_each(|known| *known = true);
                 }
             }
         }
     }
 }
 
-/// A VM that never looked cannot know what came before it was told.
+/// A VM that never read the topic can't know the changes before a message.
 #[test]
-fn never_looked() {
+fn never_read() {
     let mut reader = ToldHistory::new(REPEATS);
     reader.look(7, ());
     assert!(!TopicCoverage::default().told(reader.span()));
 }
 
-/// Two messages are lost and the third arrives: it repeats what they held.
+/// Two messages are lost and the third one repeats their changes.
 #[test]
 fn repeated() {
     let mut reader = ToldHistory::new(REPEATS);
@@ -88,5 +88,5 @@
     for end in 10..14 {
         reader.look(end, ());
     }
-    assert!(!coverage.told(reader.span()), "what came at 9 is told no more");
+    assert!(!coverage.told(reader.span()), "the changes up to 9 are not repeated any more");
 }
