--- a/decision/tests/suite/order_book.rs
+++ b/decision/tests/suite/order_book.rs
@@ -1,4 +1,4 @@
-//! Orders to one server: what makes way, and that places are never overfilled.
+//! Orders to one server: evictions, lost replies, and never more adapters than slots.
 
 use coltsfoothook_decision::id::{TimePoint, VmName};
 use coltsfoothook_decision::loadtime::{LoadForecast, LoadTimes};
@@ -12,10 +12,10 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-const PLACES: usize = 3;
+const SLOTS: usize = 3;
 const MILLI: u64 = 1_000;
 
-/// What a load is expected to take while no other is under way.
+/// Returns the forecast of a load while no other is in flight.
 fn forecast() -> LoadForecast {
     LoadTimes::default().forecast(0)
 }
@@ -31,148 +31,149 @@
     ServerReport { born: 0, orders, busy: false, models, pending: Vec::new() }
 }
 
-/// A book of a server that reported `adapters`.
-fn known_book(adapters: &[&str], now: TimePoint) -> OrderBook {
-    let mut book = OrderBook::new(BookSettings::default(), PLACES, now);
-    assert_eq!(book.next(None, &forecast(), now), Some(BookAction::Ask));
-    book.reported(Some(&report(0, adapters)), &forecast(), now);
-    book
+/// Returns the tracker of a server that reported `adapters`.
+fn known_tracker(adapters: &[&str], now: TimePoint) -> OrderBook {
+    let mut tracker = OrderBook::new(BookSettings::default(), SLOTS, now);
+    assert_eq!(tracker.next(None, &forecast(), now), Some(BookAction::Ask));
+    tracker.reported(Some(&report(0, adapters)), &forecast(), now);
+    tracker
 }
 
-fn next_order(book: &mut OrderBook, now: TimePoint) -> Option<ServerOrder> {
-    match book.next(None, &forecast(), now) {
+fn next_order(tracker: &mut OrderBook, now: TimePoint) -> Option<ServerOrder> {
+    match tracker.next(None, &forecast(), now) {
         Some(BookAction::Order(order)) => Some(order),
         Some(BookAction::Ask) | None => None,
     }
 }
 
-fn told(vm: &VmName, begun: u32, running: u32) -> ToldUse<'_> {
+fn report_use(vm: &VmName, begun: u32, running: u32) -> ToldUse<'_> {
     ToldUse { vm, begun, running }
 }
 
-/// A full server is asked for a fourth adapter while requests use two of its three. Told to make way,
-/// an adapter in use would stay until its run ends and the server would take no order meanwhile; so
-/// the third one goes, although it was used most.
+/// A fourth adapter is requested at a full server while two of three adapters are in use. The idle
+/// one is evicted, although its usage score is the highest: evicting one in use would block all
+/// orders until its requests end.
 #[test]
-fn used_stay() {
+fn used_not_evicted() {
     let vm = VmName::from("a");
     let begin = TimePoint(0);
-    let mut book = known_book(&["a1", "a2", "a3"], begin);
-    book.used(&key("a3"), &told(&vm, 50, 0), begin);
+    let mut tracker = known_tracker(&["a1", "a2", "a3"], begin);
+    tracker.used(&key("a3"), &report_use(&vm, 50, 0), begin);
     let now = begin.plus(500 * MILLI);
-    book.used(&key("a1"), &told(&vm, 1, 1), now);
-    book.used(&key("a2"), &told(&vm, 1, 1), now);
-    book.wish(&key("a4"), 1, WaitingRequests::default(), now);
-    let order = next_order(&mut book, now).expect("one adapter is idle");
+    tracker.used(&key("a1"), &report_use(&vm, 1, 1), now);
+    tracker.used(&key("a2"), &report_use(&vm, 1, 1), now);
+    tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    let order = next_order(&mut tracker, now).expect("an idle adapter is evicted");
     assert_eq!(order.action, OrderAction::UnloadAdapter { key: key("a3") });
 }
 
-/// All adapters are in use: nothing makes way, and the wish waits or is taken elsewhere.
+/// If all adapters are in use, none is evicted and the load request waits.
 #[test]
 fn all_used() {
     let vm = VmName::from("a");
     let now = TimePoint(500 * MILLI);
-    let mut book = known_book(&["a1", "a2", "a3"], TimePoint(0));
+    let mut tracker = known_tracker(&["a1", "a2", "a3"], TimePoint(0));
     for name in ["a1", "a2", "a3"] {
-        book.used(&key(name), &told(&vm, 1, 1), now);
+        tracker.used(&key(name), &report_use(&vm, 1, 1), now);
     }
-    book.wish(&key("a4"), 1, WaitingRequests::default(), now);
-    assert_eq!(next_order(&mut book, now), None);
-    assert_eq!(book.free(now), 0);
+    tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    assert_eq!(next_order(&mut tracker, now), None);
+    assert_eq!(tracker.free(now), 0);
 }
 
-/// An adapter was loaded for a request that is still on its way when the next wish comes. It is not
-/// taken away before that request could begin.
+/// An adapter that was loaded for a request which has not arrived yet is not evicted for the next
+/// load request.
 #[test]
-fn awaited_stays() {
+fn awaited_not_evicted() {
     let now = TimePoint(0);
-    let mut book = known_book(&["a1", "a2"], now);
-    book.wish(&key("a3"), 1, WaitingRequests::default(), now);
-    let order = next_order(&mut book, now).expect("there is a free place");
-    book.replied(&order, OrderReply::Accepted, &forecast(), now);
+    let mut tracker = known_tracker(&["a1", "a2"], now);
+    tracker.wish(&key("a3"), 1, WaitingRequests::default(), now);
+    let order = next_order(&mut tracker, now).expect("a slot is free");
+    tracker.replied(&order, OrderReply::Accepted, &forecast(), now);
     let loaded = now.plus(forecast().expected_us(false) + 100 * MILLI);
-    book.wish(&key("a4"), 1, WaitingRequests::default(), loaded);
-    let order = next_order(&mut book, loaded).expect("others are idle");
+    tracker.wish(&key("a4"), 1, WaitingRequests::default(), loaded);
+    let order = next_order(&mut tracker, loaded).expect("another adapter is evicted");
     assert_ne!(order.action, OrderAction::UnloadAdapter { key: key("a3") });
 }
 
-/// A server leaves a load unanswered, as a third of them may be for seconds. The next order follows at
-/// once on the same count: if it is accepted, the lost one can never be carried out any more.
+/// After an order without a reply, the next one follows at once with the same count: if it is
+/// accepted, the lost one can't be carried out any more.
 #[test]
 fn lost_order() {
     let now = TimePoint(0);
-    let mut book = known_book(&["a1"], now);
-    book.wish(&key("a2"), 1, WaitingRequests::default(), now);
-    let lost = next_order(&mut book, now).expect("there is a free place");
-    book.replied(&lost, OrderReply::Lost, &forecast(), now);
-    let again = next_order(&mut book, now).expect("it follows at once");
-    assert_eq!(again.expected, lost.expected);
+    let mut tracker = known_tracker(&["a1"], now);
+    tracker.wish(&key("a2"), 1, WaitingRequests::default(), now);
+    let lost = next_order(&mut tracker, now).expect("a slot is free");
+    tracker.replied(&lost, OrderReply::Lost, &forecast(), now);
+    let second = next_order(&mut tracker, now).expect("the next order follows at once");
+    assert_eq!(second.expected, lost.expected);
 }
 
-/// A server leaves three orders in a row unanswered, or cannot be reached: it is down, or silent. Orders
-/// one after the other would fill the wire, and requests would wait for its places. It is asked now and
-/// then, has no free place, and gets orders again once it has answered.
+/// A server that leaves three orders in a row without a reply, or can't be reached, gets no orders
+/// and has no free slots, so that orders don't flood the network and requests don't wait for it. It
+/// is queried at intervals, and gets orders again after a report.
 #[test]
-fn silent_server() {
+fn unresponsive_server() {
     for (reply, orders) in [(OrderReply::Lost, 3), (OrderReply::Unsent, 1)] {
         let now = TimePoint(0);
-        let mut book = known_book(&["a1"], now);
-        book.wish(&key("a2"), 1, WaitingRequests::default(), now);
-        assert!(book.free(now) > 0);
+        let mut tracker = known_tracker(&["a1"], now);
+        tracker.wish(&key("a2"), 1, WaitingRequests::default(), now);
+        assert!(tracker.free(now) > 0);
         for _ in 0..orders {
-            let order = next_order(&mut book, now).expect("it may be one answer that is lost");
-            book.replied(&order, reply, &forecast(), now);
+            let order =
+                next_order(&mut tracker, now).expect("a single lost reply doesn't stop orders");
+            tracker.replied(&order, reply, &forecast(), now);
         }
-        assert_eq!((book.next(None, &forecast(), now), book.free(now)), (None, 0));
+        assert_eq!((tracker.next(None, &forecast(), now), tracker.free(now)), (None, 0));
         let later = now.plus(60 * MILLI);
-        assert_eq!(book.next(None, &forecast(), later), Some(BookAction::Ask));
-        book.reported(None, &forecast(), later);
-        assert_eq!((book.next(None, &forecast(), later), book.free(later)), (None, 0));
+        assert_eq!(tracker.next(None, &forecast(), later), Some(BookAction::Ask));
+        tracker.reported(None, &forecast(), later);
+        assert_eq!((tracker.next(None, &forecast(), later), tracker.free(later)), (None, 0));
         let back = now.plus(700 * MILLI);
-        assert_eq!(book.next(None, &forecast(), back), Some(BookAction::Ask));
-        book.reported(Some(&report(0, &["a1"])), &forecast(), back);
-        book.wish(&key("a2"), 1, WaitingRequests::default(), back);
-        assert!(next_order(&mut book, back).is_some());
+        assert_eq!(tracker.next(None, &forecast(), back), Some(BookAction::Ask));
+        tracker.reported(Some(&report(0, &["a1"])), &forecast(), back);
+        tracker.wish(&key("a2"), 1, WaitingRequests::default(), back);
+        assert!(next_order(&mut tracker, back).is_some());
     }
 }
 
-/// A server that works through runs before an adapter makes way takes no order; the book asks until
-/// the adapter is gone instead of sending orders that are refused.
+/// While an eviction waits for running requests, the server takes no order; it is queried until the
+/// adapter is evicted, and gets no order that it would reject.
 #[test]
 fn slow_unload() {
     let now = TimePoint(500 * MILLI);
-    let mut book = known_book(&["a1", "a2", "a3"], TimePoint(0));
-    book.wish(&key("a4"), 1, WaitingRequests::default(), now);
-    let unload = next_order(&mut book, now).expect("all are idle");
-    book.replied(&unload, OrderReply::Accepted, &forecast(), now);
-    book.wish(&key("a5"), 1, WaitingRequests::default(), now);
-    assert_eq!(next_order(&mut book, now), None);
+    let mut tracker = known_tracker(&["a1", "a2", "a3"], TimePoint(0));
+    tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    let unload = next_order(&mut tracker, now).expect("an idle adapter is evicted");
+    tracker.replied(&unload, OrderReply::Accepted, &forecast(), now);
+    tracker.wish(&key("a5"), 1, WaitingRequests::default(), now);
+    assert_eq!(next_order(&mut tracker, now), None);
     let later = now.plus(450 * MILLI);
-    assert_eq!(book.next(None, &forecast(), later), Some(BookAction::Ask));
-    book.reported(Some(&report(1, &["a2", "a3"])), &forecast(), later);
-    book.wish(&key("a4"), 1, WaitingRequests::default(), later);
-    let load = next_order(&mut book, later).expect("a place is free");
+    assert_eq!(tracker.next(None, &forecast(), later), Some(BookAction::Ask));
+    tracker.reported(Some(&report(1, &["a2", "a3"])), &forecast(), later);
+    tracker.wish(&key("a4"), 1, WaitingRequests::default(), later);
+    let load = next_order(&mut tracker, later).expect("a slot is free");
     assert_eq!(load.action, OrderAction::LoadAdapter { key: key("a4"), version: 1 });
 }
 
-/// A server that lost a model by a restart is empty: its base model comes first.
+/// A restarted server without a base model gets the order to load one first.
 #[test]
 fn empty_server() {
     let now = TimePoint(0);
-    let mut book = OrderBook::new(BookSettings::default(), PLACES, now);
-    assert_eq!(book.next(None, &forecast(), now), Some(BookAction::Ask));
+    let mut tracker = OrderBook::new(BookSettings::default(), SLOTS, now);
+    assert_eq!(tracker.next(None, &forecast(), now), Some(BookAction::Ask));
     let empty =
         ServerReport { born: 0, orders: 0, busy: false, models: Vec::new(), pending: Vec::new() };
-    book.reported(Some(&empty), &forecast(), now);
-    assert!(book.is_empty());
+    tracker.reported(Some(&empty), &forecast(), now);
+    assert!(tracker.is_empty());
     let model = "base".into();
-    let Some(BookAction::Order(order)) = book.next(Some(&model), &forecast(), now) else {
+    let Some(BookAction::Order(order)) = tracker.next(Some(&model), &forecast(), now) else {
         panic!("the base model is to be loaded");
     };
     assert_eq!(order.action, OrderAction::LoadModel { model });
 }
 
-/// A server that counts orders, keeps some unanswered and carries those out late.
+/// Server that counts orders, leaves some without a reply and carries those out late.
 struct LateServer {
     accepted: u64,
     held: Vec<AdapterKey>,
@@ -180,7 +181,7 @@
 }
 
 impl LateServer {
-    /// Carries an order out if its count still stands.
+    /// Carries out an order if its count is still current.
     fn carry_out(&mut self, order: &ServerOrder) -> OrderReply {
         if order.expected != self.accepted {
             return OrderReply::Conflict;
@@ -191,7 +192,7 @@
                 if !self.held.contains(key) {
                     self.held.push(key.clone());
                 }
-                assert!(self.held.len() <= PLACES, "the server was overfilled: {:?}", self.held);
+                assert!(self.held.len() <= SLOTS, "the server was overfilled: {:?}", self.held);
                 OrderReply::Accepted
             }
             OrderAction::UnloadAdapter { key } => {
@@ -213,19 +214,19 @@
     }
 }
 
-/// A third of the orders get no answer, and those are carried out at any later time or never. The
-/// server would crash if it were told to hold more adapters than it has places for; it never is.
+/// A third of the orders get no reply and are carried out at any later time or never. A server
+/// crashes if it is ordered to hold more adapters than it has slots; this must never happen.
 #[test]
 fn never_overfilled() {
     for seed in 0..200 {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut server = LateServer { accepted: 0, held: Vec::new(), late: Vec::new() };
-        let mut book = OrderBook::new(BookSettings::default(), PLACES, TimePoint(0));
+        let mut tracker = OrderBook::new(BookSettings::default(), SLOTS, TimePoint(0));
         let times = forecast();
         let mut now = TimePoint(0);
         for _ in 0..1_000 {
             now = now.plus(u64::from(random.next_u32() % 200) * MILLI);
-            book.wish(
+            tracker.wish(
                 &key(&format!("a{}", random.next_u32() % 9)),
                 1,
                 WaitingRequests::default(),
@@ -235,15 +236,15 @@
                 let late = server.late.remove(0);
                 server.carry_out(&late);
             }
-            match book.next(None, &forecast(), now) {
-                Some(BookAction::Ask) => book.reported(Some(&server.report()), &times, now),
+            match tracker.next(None, &forecast(), now) {
+                Some(BookAction::Ask) => tracker.reported(Some(&server.report()), &times, now),
                 Some(BookAction::Order(order)) if random.next_u32().is_multiple_of(3) => {
                     server.late.push(order.clone());
-                    book.replied(&order, OrderReply::Lost, &times, now);
+                    tracker.replied(&order, OrderReply::Lost, &times, now);
                 }
                 Some(BookAction::Order(order)) => {
                     let reply = server.carry_out(&order);
-                    book.replied(&order, reply, &times, now);
+                    tracker.replied(&order, reply, &times, now);
                 }
                 None => {}
             }
@@ -252,57 +253,55 @@
     }
 }
 
-/// An adapter is told to make way that the server does not have: its load was lost, or is still on its
-/// way. The server answers that this is so, as it does after dropping one, but counts no order. The book
-/// must not take the higher count for certain: each later report would look older than that answer, and
-/// the server would get no order any more.
+/// A server without the adapter replies to its eviction as it does after evicting it, but doesn't
+/// count the order. Taking the higher count as certain would make all later reports look out of
+/// date, and the server would get no more orders.
 #[test]
 fn uncounted_unload() {
     let now = TimePoint(10_000 * MILLI);
-    let mut book = known_book(&["a1", "a2", "a3"], now);
+    let mut tracker = known_tracker(&["a1", "a2", "a3"], now);
     let now = now.plus(500 * MILLI);
-    book.wish(&key("a4"), 1, WaitingRequests::default(), now);
-    let unload = next_order(&mut book, now).unwrap();
-    book.replied(&unload, OrderReply::Done, &forecast(), now);
-    let load = next_order(&mut book, now).unwrap();
+    tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    let unload = next_order(&mut tracker, now).unwrap();
+    tracker.replied(&unload, OrderReply::Done, &forecast(), now);
+    let load = next_order(&mut tracker, now).unwrap();
     assert_eq!(load.expected, 1);
-    book.replied(&load, OrderReply::Conflict, &forecast(), now);
+    tracker.replied(&load, OrderReply::Conflict, &forecast(), now);
     let later = now.plus(1_000 * MILLI);
-    assert_eq!(book.next(None, &forecast(), later), Some(BookAction::Ask));
-    book.reported(Some(&report(0, &["a2", "a3"])), &forecast(), later);
-    book.wish(&key("a4"), 1, WaitingRequests::default(), later);
-    assert_eq!(next_order(&mut book, later).unwrap().expected, 0);
+    assert_eq!(tracker.next(None, &forecast(), later), Some(BookAction::Ask));
+    tracker.reported(Some(&report(0, &["a2", "a3"])), &forecast(), later);
+    tracker.wish(&key("a4"), 1, WaitingRequests::default(), later);
+    assert_eq!(next_order(&mut tracker, later).unwrap().expected, 0);
 }
 
 fn waiting(vm: &str, count: u32, in_time_until: TimePoint) -> WaitingRequests {
     WaitingRequests { vm: vm.into(), count, in_time_until }
 }
 
-/// Many adapters are cold at once, as when traffic begins or demand moves on: more are wished for than the
-/// store brings in time. While so many loads are under way that one more would only slow down all, none is
-/// ordered, but for an adapter that the server has in its own memory. When there is room, the load goes
-/// first that serves the most requests in time; those that are late already count for less.
+/// More adapters are requested than the store can load in time. While one more load would only slow
+/// down those in flight, none is ordered. When there is room, the load that serves the most
+/// requests in time is ordered first; late requests count less.
 #[test]
 fn crowded_store() {
     let now = TimePoint(10_000 * MILLI);
     let crowded = LoadTimes::default().forecast(200);
-    let mut book = known_book(&[], now);
+    let mut tracker = known_tracker(&[], now);
     let soon = now.plus(700 * MILLI);
-    let wish = |book: &mut OrderBook| {
-        book.wish(&key("a1"), 1, waiting("x", 1, soon), now);
-        book.wish(&key("a2"), 1, waiting("x", 2, TimePoint(0)), now);
-        book.wish(&key("a3"), 1, waiting("x", 1, soon), now);
-        book.wish(&key("a3"), 1, waiting("y", 1, soon), now);
-        book.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    let request_loads = |tracker: &mut OrderBook| {
+        tracker.wish(&key("a1"), 1, waiting("x", 1, soon), now);
+        tracker.wish(&key("a2"), 1, waiting("x", 2, TimePoint(0)), now);
+        tracker.wish(&key("a3"), 1, waiting("x", 1, soon), now);
+        tracker.wish(&key("a3"), 1, waiting("y", 1, soon), now);
+        tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
     };
-    wish(&mut book);
-    assert_eq!(book.next(None, &crowded, now), None);
+    request_loads(&mut tracker);
+    assert_eq!(tracker.next(None, &crowded, now), None);
     let mut loaded = Vec::new();
-    for _ in 0..PLACES {
-        let order = next_order(&mut book, now).unwrap();
+    for _ in 0..SLOTS {
+        let order = next_order(&mut tracker, now).unwrap();
         let OrderAction::LoadAdapter { key, .. } = &order.action else { panic!("{order:?}") };
         loaded.push(key.adapter.as_str().to_owned());
-        book.replied(&order, OrderReply::Accepted, &forecast(), now);
+        tracker.replied(&order, OrderReply::Accepted, &forecast(), now);
     }
     assert_eq!(loaded, ["a3", "a1", "a2"]);
 }
