--- a/decision/src/backend.rs
+++ b/decision/src/backend.rs
@@ -58,9 +58,9 @@
 /// Results of this VM's requests at a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerCondition {
-    /// End of the current avoidance period; the field below is its length in microseconds, 0 after
-    /// an answer.
+    /// End of the current avoidance period.
     pub(crate) avoid_until: TimePoint,
+    /// Length of the period after the last failure, in microseconds; 0 since the last answer.
     avoid_us: u64,
     /// Moving average of the fraction of failed answers.
     pub(crate) failures: f64,
--- a/decision/src/choice.rs
+++ b/decision/src/choice.rs
@@ -407,7 +407,7 @@
 }
 
 impl BackendState {
-    /// Sum of the usage scores of its adapters, as its owner counts them.
+    /// Returns the sum of the usage scores of its adapters, as its owner counts them.
     fn demand(&self) -> u64 {
         self.holdings().iter().map(|holding| u64::from(holding.heat)).sum()
     }
@@ -416,13 +416,13 @@
         self.held.find(key).map_or(0, |holding| u64::from(holding.heat))
     }
 
-    /// Rank for an item with this hash; the same at all VMs.
+    /// Returns its rank for an item with this hash; the same at all VMs.
     fn rank(&self, hash: u64) -> u64 {
         mix(self.name_hash ^ hash)
     }
 
-    /// Estimated cost of sending a further request here: prompt tokens to be processed before it,
-    /// scaled up if the server is slower or fails more often than others of its service.
+    /// Returns the estimated cost of sending a further request here: prompt tokens to be processed
+    /// before it, scaled up if the server is slower or fails more often than others of its service.
     fn cost(&self, typical: TypicalCondition, now: TimePoint) -> u64 {
         let load = self.load(now);
         let over = u64::from(load.running.saturating_sub(self.entry.slots));
--- a/decision/src/orderbook.rs
+++ b/decision/src/orderbook.rs
@@ -57,7 +57,7 @@
     Conflict,
     /// The server has seen a higher fencing number.
     Fenced,
-    /// The server rejects it for good.
+    /// The server rejects it for another reason.
     Refused,
     /// No reply: the order may be carried out now or later.
     Lost,
@@ -216,7 +216,7 @@
 /// Maximum number of adapters remembered as recently held.
 const MAX_RECENTLY_HELD: usize = 120;
 /// Interval of queries to a server that is loading a base model, in microseconds.
-const MODEL_QUERY_US: u64 = 250_000;
+const MODEL_QUERY_INTERVAL_US: u64 = 250_000;
 /// Number of orders in a row without a reply from which a server is considered unresponsive. Below
 /// it the next order follows at once, since some servers lose single replies; it states the same
 /// count, so that at most one of the two can be accepted.
@@ -224,9 +224,9 @@
 /// Delay before an unresponsive server is queried, in microseconds; it gets no order until it has
 /// reported. A server that is down refuses connections at once, so that without the delay orders
 /// would flood the network.
-const UNRESPONSIVE_QUERY_US: u64 = 60_000;
+const UNRESPONSIVE_QUERY_DELAY_US: u64 = 60_000;
 /// Delay before the progress of an eviction is queried, in microseconds.
-const EVICTION_QUERY_US: u64 = 400_000;
+const EVICTION_QUERY_DELAY_US: u64 = 400_000;
 
 impl OrderBook {
     /// Creates the tracker of a server whose state is unknown, with a number of adapter slots.
@@ -519,7 +519,7 @@
     /// is rejected, the lost one was. No report has to be awaited in between.
     fn order_lost(&mut self, order: &ServerOrder, now: TimePoint) {
         if self.is_unresponsive() {
-            self.query_at = now.plus(UNRESPONSIVE_QUERY_US);
+            self.query_at = now.plus(UNRESPONSIVE_QUERY_DELAY_US);
         }
         self.restore_slot(order, now);
         if matches!(order.action, OrderAction::LoadModel { .. }) {
@@ -572,11 +572,11 @@
                 self.remember(key);
             }
             OrderAction::UnloadAdapter { .. } => {
-                self.query_at = now.plus(EVICTION_QUERY_US);
+                self.query_at = now.plus(EVICTION_QUERY_DELAY_US);
             }
             OrderAction::LoadModel { .. } => {
                 self.busy = true;
-                self.query_at = now.plus(MODEL_QUERY_US);
+                self.query_at = now.plus(MODEL_QUERY_INTERVAL_US);
             }
         }
         self.revision += 1;
@@ -602,7 +602,8 @@
         self.accepted = Some(report.orders);
         self.min_accepted = report.orders;
         self.busy = report.busy;
-        self.query_at = now.plus(if report.busy { MODEL_QUERY_US } else { EVICTION_QUERY_US });
+        self.query_at =
+            now.plus(if report.busy { MODEL_QUERY_INTERVAL_US } else { EVICTION_QUERY_DELAY_US });
         self.models = report.models.iter().map(|held| held.model.clone()).collect();
         let before = std::mem::take(&mut self.held);
         for held in &report.models {
--- a/decision/src/tenure.rs
+++ b/decision/src/tenure.rs
@@ -191,7 +191,7 @@
 
     /// Returns the fencing number for orders to `server`; `None` if this VM may not send any now.
     /// `other_at` is the time of the last report from another owner of the server, 0 if that is
-    /// this VM; `None` if lists can't be relied on.
+    /// this VM; `None` if there is no list to rely on, so that the time since the gain decides.
     #[must_use]
     pub fn fence(
         &self,
