--- a/decision/src/choice.rs
+++ b/decision/src/choice.rs
@@ -221,9 +221,9 @@
             state.cost(typical, now) + if local { 0 } else { CROSS_DOMAIN_TOKENS }
         };
         if need.shared.tokens >= MIN_SHARED_TOKENS {
-            let home = among.iter().min_by_key(|state| state.rank(mix(need.shared.id)))?.name();
+            let first = among.iter().min_by_key(|state| state.rank(mix(need.shared.id)))?.name();
             let saved =
-                |state: &BackendState| if state.name() == home { need.shared.tokens } else { 0 };
+                |state: &BackendState| if state.name() == first { need.shared.tokens } else { 0 };
             let unread = |state: &&&BackendState| cost(state) + need.shared.tokens - saved(state);
             return among.iter().min_by_key(unread).copied();
         }
@@ -326,11 +326,11 @@
             .map(|state| (state.rank(hash), *state))
             .collect();
         ranked.sort_unstable_by_key(|(rank, _)| *rank);
-        let warm = |(_, state): &&(u64, &BackendState)| state.recently_held.contains(key);
+        let recent = |(_, state): &&(u64, &BackendState)| state.recently_held.contains(key);
         let cost = |(_, state): &&(u64, &'a BackendState)| state.cost(typical, now);
         let total: u64 = ranked.iter().map(|(_, state)| state.cost(typical, now)).sum();
         let mean = total / (ranked.len() as u64).max(1);
-        if let Some((_, state)) = ranked.iter().filter(warm).min_by_key(cost)
+        if let Some((_, state)) = ranked.iter().filter(recent).min_by_key(cost)
             && state.cost(typical, now) <= COPY_TOKENS.max(mean * WARM_PERCENT / 100)
         {
             return Some(state);
--- a/decision/src/loadtime.rs
+++ b/decision/src/loadtime.rs
@@ -350,15 +350,15 @@
 
     /// Applies another VM's report. Each VM sees few loads and all share one store, so their
     /// estimates are averaged; a time that was shown to be shorter has a higher weight.
-    pub fn heard(&mut self, told: ToldTimes) {
-        self.alone.heard(told.alone_us);
-        self.each.heard(told.each_us);
-        if told.is_proven {
-            if (told.alone_us as f64) < self.alone.us * WRONG_RATIO {
+    pub fn heard(&mut self, reported: ToldTimes) {
+        self.alone.heard(reported.alone_us);
+        self.each.heard(reported.each_us);
+        if reported.is_proven {
+            if (reported.alone_us as f64) < self.alone.us * WRONG_RATIO {
                 self.early_check_interval = INITIAL_EARLY_CHECK_INTERVAL;
             }
-            self.alone.lower(told.alone_us as f64, CLEAR_HIT_WEIGHT, MIN_LOAD_US);
-            self.each.lower(told.each_us as f64, CLEAR_HIT_WEIGHT, MIN_EACH_US);
+            self.alone.lower(reported.alone_us as f64, CLEAR_HIT_WEIGHT, MIN_LOAD_US);
+            self.each.lower(reported.each_us as f64, CLEAR_HIT_WEIGHT, MIN_EACH_US);
         }
     }
 
--- a/decision/src/orderbook.rs
+++ b/decision/src/orderbook.rs
@@ -317,16 +317,16 @@
     }
 
     /// Records a VM's report about its requests for an adapter.
-    pub fn used(&mut self, key: &AdapterKey, told: &ToldUse<'_>, now: TimePoint) {
+    pub fn used(&mut self, key: &AdapterKey, reported: &ToldUse<'_>, now: TimePoint) {
         let half_life = self.settings.half_life_us as f64;
         let Some(slot) = self.slot_mut(key) else { return };
         slot.decay_score(half_life, now);
-        slot.usage_score += f64::from(told.begun);
+        slot.usage_score += f64::from(reported.begun);
         slot.used_at = now;
-        slot.was_used |= told.begun > 0;
-        slot.users.retain(|(vm, _)| vm != told.vm);
-        if told.running > 0 {
-            slot.users.push((told.vm.clone(), now));
+        slot.was_used |= reported.begun > 0;
+        slot.users.retain(|(vm, _)| vm != reported.vm);
+        if reported.running > 0 {
+            slot.users.push((reported.vm.clone(), now));
         }
     }
 
--- a/decision/tests/suite/server_choice.rs
+++ b/decision/tests/suite/server_choice.rs
@@ -318,12 +318,12 @@
     let mut table = table(4, |_| vec!["a1"], now);
     let shared = SharedPrompt { id: 77, tokens: 6_000 };
     let need = Need { shared, ..Need::new("a1") };
-    let home = sent_to(&need.choose(&table, 1, now)).to_owned();
+    let preferred = sent_to(&need.choose(&table, 1, now)).to_owned();
     for draw in 0..50 {
-        assert_eq!(sent_to(&need.choose(&table, draw, now)), home);
+        assert_eq!(sent_to(&need.choose(&table, draw, now)), preferred);
     }
-    table.sent(&home, 4_000, now);
-    assert_eq!(sent_to(&need.choose(&table, 1, now)), home);
-    table.sent(&home, 4_000, now);
-    assert_ne!(sent_to(&need.choose(&table, 1, now)), home);
+    table.sent(&preferred, 4_000, now);
+    assert_eq!(sent_to(&need.choose(&table, 1, now)), preferred);
+    table.sent(&preferred, 4_000, now);
+    assert_ne!(sent_to(&need.choose(&table, 1, now)), preferred);
 }
