--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -3,10 +3,10 @@
 use coltsfoothook_decision::id::TimePoint;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Microseconds since the VM started, counted on while it is suspended.
+/// Returns the microseconds since the VM booted, including time for which it was suspended.
 ///
-/// The usual monotonic clock stands still then, and a VM that wakes up would take a lease that ended
-/// long ago for valid and order a server that another VM orders by now.
+/// The usual monotonic clock stops during suspension. A VM that resumes would take an expired lease
+/// for valid, and order a server that another VM orders by then.
 #[must_use]
 pub(crate) fn now() -> TimePoint {
     let time = clock_gettime(ClockId::Boottime);
--- a/gateway/src/confirm.rs
+++ b/gateway/src/confirm.rs
@@ -1,7 +1,8 @@
-//! Keeps it known that the configuration in force is the newest.
+//! Confirmation that the configuration in force is the newest.
 //!
-//! VMs that read the operators' records know it from the store's answers. The others ask them, since a question
-//! of each VM to the store would be most of the calls to it. docs/KEYS.md tells what rests on it.
+//! VMs that read the operators' records derive it from the store's answers. The others query them,
+//! since queries of each VM to the store would be most of the calls to it. docs/KEYS.md describes
+//! what depends on it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,24 +19,25 @@
 use crate::message::{ConfirmationAnswer, ConfirmationQuestion, PeerMessage};
 use crate::state::Gateway;
 
-/// Between two looks whether to ask.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
-/// Other VMs that are asked beside those that read for all, once these did not answer.
-const URGENT_ASKED: usize = 3;
-/// How long a request with an unknown key waits for the store. It answers within some milliseconds or, while it
-/// is slow, within some hundred.
-const DOUBT_PATIENCE: Duration = Duration::from_millis(400);
+/// Interval of the check whether a confirmation is needed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of VMs that are queried in addition to the readers, once these have not answered.
+const URGENT_QUERIED: usize = 3;
+/// How long a request with an unknown key waits for the store's answer, which takes some
+/// milliseconds or, while the store is slow, some hundred.
+const UNKNOWN_KEY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Between two questions to the store for unknown keys, so that a flood of them costs some calls a second.
-const DOUBT_PAUSE: Duration = Duration::from_millis(250);
+/// Minimum interval of queries to the store for unknown keys, so that a flood of them costs a few
+/// calls a second.
+const UNKNOWN_KEY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Asks other VMs whenever the last confirmation grows old, for ever.
+/// Runs for ever, querying other VMs whenever the last confirmation gets old.
 pub(crate) async fn keep(gateway: Arc<Gateway>) {
     let mut valid = true;
     loop {
-        sleep(LOOK_PAUSE).await;
+        sleep(CHECK_INTERVAL).await;
         let now = clock::now();
-        ask(&gateway, now);
+        query_peers(&gateway, now);
         let beliefs = gateway.beliefs();
         let is_valid = beliefs.confirmation.is_valid(now);
         let age_ms = beliefs.confirmation.age(now).map(|age| age.as_millis());
@@ -48,7 +50,7 @@
     }
 }
 
-fn ask(gateway: &Gateway, now: TimePoint) {
+fn query_peers(gateway: &Gateway, now: TimePoint) {
     let mut beliefs = gateway.beliefs();
     let need = beliefs.confirmation.need(now);
     if !beliefs.has_customers() || need == ConfirmationNeed::None {
@@ -62,7 +64,7 @@
     if need == ConfirmationNeed::Urgent {
         let mut others = beliefs.roster.live(now);
         others.shuffle(&mut beliefs.random);
-        to.extend(others.into_iter().take(URGENT_ASKED));
+        to.extend(others.into_iter().take(URGENT_QUERIED));
         to.sort_unstable();
         to.dedup();
     }
@@ -71,20 +73,21 @@
     gateway.peers.send(&PeerMessage::Question(question), &to);
 }
 
-/// Answers another VM, if this one knows its configuration to be the newest.
-pub(crate) fn take_question(gateway: &Gateway, question: ConfirmationQuestion, from: SocketAddr) {
+/// Answers another VM's query with this VM's configuration version and the age of its confirmation;
+/// sends nothing if it was never confirmed.
+pub(crate) fn answer_question(gateway: &Gateway, question: ConfirmationQuestion, from: SocketAddr) {
     let beliefs = gateway.beliefs();
     let Some(age) = beliefs.confirmation.age(clock::now()) else { return };
     let config = beliefs.table.as_ref().map_or(0, |table| table.version.0);
     drop(beliefs);
-    // Rounded up: a confirmation must not become younger on its way.
+    // Rounded up: a confirmation must not get younger by being forwarded.
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX).saturating_add(1);
     let answer = ConfirmationAnswer { question, config, age_ms };
     gateway.peers.send(&PeerMessage::Answer(answer), &[from]);
 }
 
-/// Takes another VM's answer.
-pub(crate) fn take_answer(gateway: &Gateway, answer: &ConfirmationAnswer) {
+/// Applies another VM's answer.
+pub(crate) fn apply_answer(gateway: &Gateway, answer: &ConfirmationAnswer) {
     let now = clock::now();
     if answer.question.incarnation != gateway.incarnation {
         return;
@@ -103,8 +106,9 @@
     }
 }
 
-/// Asks the store whether there is a newer configuration than the one that was in force at `moment`; true if it
-/// is known by then that there was none, or that the one now in force is it.
+/// Has the store queried for a configuration newer than the one in force at `moment`. Returns
+/// whether it is known within the timeout that there was none, or that the one now in force is the
+/// newest.
 pub(crate) async fn confirm_since(gateway: &Gateway, moment: TimePoint) -> bool {
     let wait = async {
         loop {
@@ -112,22 +116,23 @@
             if gateway.beliefs().confirmation.covers(moment) {
                 return;
             }
-            let pause = doubt(gateway, clock::now());
+            let pause = request_query(gateway, clock::now());
             let _ = timeout(pause, confirmed).await;
         }
     };
-    timeout(DOUBT_PATIENCE, wait).await.is_ok()
+    timeout(UNKNOWN_KEY_TIMEOUT, wait).await.is_ok()
 }
 
-/// Has the store asked unless it was a moment ago; gives the time until it may be asked again.
-fn doubt(gateway: &Gateway, now: TimePoint) -> Duration {
+/// Requests a query to the store, unless one was requested within [`UNKNOWN_KEY_INTERVAL`]. Returns the time
+/// until the next may be requested.
+fn request_query(gateway: &Gateway, now: TimePoint) -> Duration {
     let mut beliefs = gateway.beliefs();
-    let since = beliefs.doubted_at.map(|at| Duration::from_micros(now.since(at)));
-    if let Some(since) = since.filter(|since| *since < DOUBT_PAUSE) {
-        return DOUBT_PAUSE - since;
+    let since = beliefs.unknown_key_queried_at.map(|at| Duration::from_micros(now.since(at)));
+    if let Some(since) = since.filter(|since| *since < UNKNOWN_KEY_INTERVAL) {
+        return UNKNOWN_KEY_INTERVAL - since;
     }
-    beliefs.doubted_at = Some(now);
+    beliefs.unknown_key_queried_at = Some(now);
     drop(beliefs);
-    gateway.key_doubted.notify_one();
-    DOUBT_PAUSE
+    gateway.unknown_key_seen.notify_one();
+    UNKNOWN_KEY_INTERVAL
 }
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store: the operators' records, the servers' entries.
+//! Polls the platform's store for the operators' records and the servers' entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,156 +17,164 @@
 
 use crate::clock;
 use crate::link::{StoreCall, StoreLink};
-use crate::message::GoneServer;
+use crate::message::RemovedServer;
 use crate::news::{self, EntryChanges};
 use crate::state::{Beliefs, Gateway, LapsedServer};
 
-/// Between two looks at the servers' entries. A server that leaves gets no new work after this and
-/// one answer of the store, a third of the two seconds that operators allow.
-const SERVER_PAUSE: Duration = Duration::from_millis(600);
-/// VMs that look at the entries for all. Two of them may be gone at once.
+/// Interval of a reader's polls of the servers' entries. A leaving server gets no new work after
+/// this and one answer of the store, which is about a third of the two seconds that operators
+/// allow.
+const ENTRY_POLL_INTERVAL: Duration = Duration::from_millis(600);
+/// VMs that read the store for all others. Two of them may be lost at once.
 pub(crate) const READERS: usize = 3;
-/// Between two looks of the others, which only confirm what they were told; in large fleets, where they
-/// would be most of the calls to the store, less often.
-const OTHERS_PAUSE_US: u64 = 8_000_000;
-const LARGE_OTHERS_PAUSE_US: u64 = 30_000_000;
-/// Between two looks of a VM that others read the operators' records for whether they still do.
-const FED_LOOK: Duration = Duration::from_millis(200);
-/// A VM to which the readers' entries are as old as this looks itself: two messages of each reader may be
-/// lost.
-const NEWS_TRUST_US: u64 = 1_400_000;
-/// Between the starts of two tries after a failure. A question that was lost has taken longer and is asked
-/// again at once.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// The same in large fleets at a VM that does not read for others: when the store is away for all, the
-/// tries of all VMs would be most of a day's calls, and those who read for others tell when it is back.
-const LARGE_RETRY_PAUSE: Duration = Duration::from_millis(2_400);
-/// For so long a VM that hears of a newer configuration lets the store's own answer come first.
-const BEHIND_PAUSE: Duration = Duration::from_millis(40);
-/// For so long after the store was away, a server without entry may still come back: entries lapse
-/// while the store is away and are written again within two seconds.
-const LAPSE_US: u64 = 2_000_000;
+/// Interval of the other VMs' own polls, which only confirm what the readers reported, in
+/// microseconds. It is longer in large fleets, where these polls would be most of the calls to the
+/// store.
+const OTHERS_POLL_INTERVAL_US: u64 = 8_000_000;
+const LARGE_OTHERS_POLL_INTERVAL_US: u64 = 30_000_000;
+/// Interval of the check whether readers still read the operators' records for this VM.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// A VM polls the entries itself once the readers' knowledge is older than this, in microseconds.
+/// Two messages of each reader may be lost within it.
+const READER_TTL_US: u64 = 1_400_000;
+/// Minimum time between the starts of a failed call and its retry. A query that was lost has taken
+/// longer and is retried at once.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// The same in large fleets at VMs that do not read for others. During an outage the retries of all
+/// VMs would be most of a day's calls, and the readers report when the store is back.
+const LARGE_RETRY_INTERVAL: Duration = Duration::from_millis(2_400);
+/// How long a VM that is told of a newer configuration waits for the store's own answer to arrive
+/// first.
+const BEHIND_DELAY: Duration = Duration::from_millis(40);
+/// How long after an outage of the store a server without an entry is kept, in microseconds.
+/// Entries lapse during the outage and are written again within two seconds.
+const LAPSE_GRACE_US: u64 = 2_000_000;
 
-/// Follows the operators' records for ever.
+/// Runs for ever, keeping the operators' records up to date.
 pub(crate) async fn operators(gateway: Arc<Gateway>) {
     let mut link = StoreLink::new(StoreCall::Operators);
-    let mut pacer = QuestionPacer::new(promise(&gateway));
+    let mut pacer = QuestionPacer::new(config_limit(&gateway));
     loop {
-        let asked = clock::now();
+        let sent_at = clock::now();
         let mut next = match gateway.store.newest(KeyedTopic::Operators).await {
             Ok(page) => {
-                link.good(&gateway);
-                apply_operators(&gateway, &page, asked)
+                link.record_answer(&gateway);
+                apply_operators(&gateway, &page, sent_at)
             }
             Err(error) => {
-                link.bad(&gateway, &error);
-                pause_since(&gateway, asked).await;
+                link.record_failure(&gateway, &error);
+                wait_for_retry(&gateway, sent_at).await;
                 continue;
             }
         };
         loop {
-            let question = match wait_while_fed(&gateway).await {
-                FedWait::Over => break,
-                FedWait::Doubt => None,
-                FedWait::NotFed => pacer.next(),
+            let query = match wait_while_read_for(&gateway).await {
+                ReaderWait::Over => break,
+                ReaderWait::UnknownKey => None,
+                ReaderWait::NoReaders => pacer.next(),
             };
-            let asked = clock::now();
-            match ask_operators(&gateway, next, question, asked).await {
-                Ok((page, asked)) => {
-                    link.good(&gateway);
+            let sent_at = clock::now();
+            match query_operators(&gateway, next, query, sent_at).await {
+                Ok((page, sent_at)) => {
+                    link.record_answer(&gateway);
                     pacer.answered();
-                    next = apply_operators(&gateway, &page, asked);
+                    next = apply_operators(&gateway, &page, sent_at);
                 }
                 Err(MetadataError::Compacted { first }) => {
                     event!(LogGap, topic = "operators", first = first, next = next);
                     break;
                 }
                 Err(error) => {
-                    link.bad(&gateway, &error);
+                    link.record_failure(&gateway, &error);
                     pacer.failed();
-                    pause_since(&gateway, asked).await;
+                    wait_for_retry(&gateway, sent_at).await;
                 }
             }
         }
     }
 }
 
-/// Within which time an accepted configuration must be in force.
-fn promise(gateway: &Gateway) -> Duration {
+/// Returns the time within which an accepted configuration must be in force.
+fn config_limit(gateway: &Gateway) -> Duration {
     Duration::from_millis(gateway.settings.promises.config_ms)
 }
 
-/// Asks for the operators' records from an offset on. Each VM relies on the answer alone: where the store
-/// loses the questions of all, no other VM has anything newer to tell.
-async fn ask_operators(
+/// Queries the store for the operators' records from an offset on, and returns them with the time
+/// of the query that was answered. A held query can be lost for all VMs at once, and then no other
+/// VM has a newer configuration to report.
+async fn query_operators(
     gateway: &Gateway,
     from: u64,
-    question: Option<HeldQuestion>,
-    asked: TimePoint,
+    query: Option<HeldQuestion>,
+    sent_at: TimePoint,
 ) -> Result<(RecordPage, TimePoint), MetadataError> {
     tokio::select! {
-        page = gateway.store.read(KeyedTopic::Operators, from, question) => {
-            return Ok((page?, asked));
+        page = gateway.store.read(KeyedTopic::Operators, from, query) => {
+            return Ok((page?, sent_at));
         }
-        // A peer with a newer configuration shows that this question was missed.
-        () = gateway.config_behind.notified() => sleep(BEHIND_PAUSE).await,
-        () = gateway.key_doubted.notified() => {}
+        // A peer with a newer configuration shows that this query missed it.
+        () = gateway.config_behind.notified() => sleep(BEHIND_DELAY).await,
+        () = gateway.unknown_key_seen.notified() => {}
     }
-    let asked = clock::now();
+    let sent_at = clock::now();
     let page = gateway.store.read(KeyedTopic::Operators, from, None).await?;
-    Ok((page, asked))
+    Ok((page, sent_at))
 }
 
-/// Whether other VMs read the operators' records for this one: in large fleets, while the store answers
-/// them for these records. That it answers them for the servers' entries is no sign of it: with their
-/// questions lost, all VMs would keep an old configuration. A question of each VM that each record answers
-/// would be most of the calls to the store.
-pub(crate) fn is_fed(beliefs: &Beliefs, gateway: &Gateway, now: TimePoint) -> bool {
+/// Returns whether readers read the operators' records for this VM. This holds in large fleets
+/// while the store answers the readers for these records; answers for the servers' entries do not
+/// count, since with only the queries for records lost, all VMs would keep an old configuration.
+/// Held queries of every VM would be most of the calls to the store.
+pub(crate) fn has_record_readers(beliefs: &Beliefs, gateway: &Gateway, now: TimePoint) -> bool {
     beliefs.table.is_some()
         && beliefs.roster.is_large(now)
-        && beliefs.roster.before(&gateway.settings.vm, now) >= READERS
-        && is_current(Duration::from_micros(now.since(beliefs.operators_told_at)), promise(gateway))
+        && beliefs.roster.readers_ahead(&gateway.settings.vm, now) >= READERS
+        && is_current(
+            Duration::from_micros(now.since(beliefs.operators_known_at)),
+            config_limit(gateway),
+        )
         && (!beliefs.has_customers() || beliefs.confirmation.need(now) < ConfirmationNeed::Urgent)
 }
 
-/// How a wait for others to read the operators' records ended.
-enum FedWait {
-    /// Nobody reads them for this VM.
-    NotFed,
-    /// Others did for a while, so that what came meanwhile has to be read.
+/// How a wait while readers read the operators' records ended.
+enum ReaderWait {
+    /// There was no wait: no readers read them for this VM.
+    NoReaders,
+    /// Readers read them for a while, so that the records of that time have to be read.
     Over,
-    /// They still do, and a request needs to know now whether there is something newer.
-    Doubt,
+    /// Readers still read them, but a request has a key that the configuration in force does not
+    /// know.
+    UnknownKey,
 }
 
-/// Waits while others read the operators' records for this VM.
-async fn wait_while_fed(gateway: &Gateway) -> FedWait {
+/// Waits while readers read the operators' records for this VM.
+async fn wait_while_read_for(gateway: &Gateway) -> ReaderWait {
     let from = clock::now();
     let mut waited = false;
     loop {
         let now = clock::now();
-        let fed = is_fed(&gateway.beliefs(), gateway, now);
-        if !fed || now.since(from) > LARGE_OTHERS_PAUSE_US {
-            return if waited { FedWait::Over } else { FedWait::NotFed };
+        let fed = has_record_readers(&gateway.beliefs(), gateway, now);
+        if !fed || now.since(from) > LARGE_OTHERS_POLL_INTERVAL_US {
+            return if waited { ReaderWait::Over } else { ReaderWait::NoReaders };
         }
         waited = true;
-        if timeout(FED_LOOK, gateway.key_doubted.notified()).await.is_ok() {
-            return FedWait::Doubt;
+        if timeout(READER_CHECK_INTERVAL, gateway.unknown_key_seen.notified()).await.is_ok() {
+            return ReaderWait::UnknownKey;
         }
     }
 }
 
-/// Takes the answer to a question that was sent at `asked`.
-fn apply_operators(gateway: &Arc<Gateway>, page: &RecordPage, asked: TimePoint) -> u64 {
+/// Applies the answer to a query that was sent at `sent_at`, and returns the next offset to read.
+fn apply_operators(gateway: &Arc<Gateway>, page: &RecordPage, sent_at: TimePoint) -> u64 {
     let before = gateway.beliefs().table.as_ref().map(|table| table.version);
     let reads = reads_for_others(gateway);
     let (mut named, mut understood) = (false, page.whole);
     for record in &page.records {
         let Some(value) = &record.value else { continue };
         match read_operator_record(&record.key, value) {
-            Ok(OperatorRecord::Configuration(table)) => take_table(gateway, *table),
+            Ok(OperatorRecord::Configuration(table)) => put_in_force(gateway, *table),
             Ok(OperatorRecord::Adapter { key, version }) => {
-                named |= news::take_version(gateway, key, version, reads);
+                named |= news::record_version(gateway, key, version, reads);
             }
             Ok(OperatorRecord::Other) => {}
             Err(error) => {
@@ -176,19 +184,19 @@
         }
     }
     if understood {
-        gateway.beliefs().confirmation.confirmed(asked);
+        gateway.beliefs().confirmation.confirmed(sent_at);
         gateway.confirmed.notify_waiters();
     }
     let changed = gateway.beliefs().table.as_ref().map(|table| table.version) != before;
     if (named || changed) && reads {
-        news::tell(gateway);
+        news::report(gateway);
     }
     page.next
 }
 
-/// Puts a configuration into force unless a newer one is. Old ones come from stale reads and from
-/// records that are read twice; going back would undo what callers have seen.
-pub(crate) fn take_table(gateway: &Arc<Gateway>, table: RouteTable) {
+/// Puts a configuration into force unless the present one is as new. Older ones come from stale
+/// reads and from records that are read twice; applying them would revert what callers have seen.
+pub(crate) fn put_in_force(gateway: &Arc<Gateway>, table: RouteTable) {
     let mut beliefs = gateway.beliefs();
     let before = beliefs.table.as_ref().map(|table| table.version);
     if before.is_some_and(|before| before >= table.version) {
@@ -207,47 +215,47 @@
     gateway.changed.notify_waiters();
 }
 
-/// Follows the servers' entries for ever.
+/// Runs for ever, keeping the servers' entries up to date.
 pub(crate) async fn servers(gateway: Arc<Gateway>) {
     let mut link = StoreLink::new(StoreCall::Servers);
     loop {
-        let asked = clock::now();
+        let sent_at = clock::now();
         let mut next = match gateway.store.newest(KeyedTopic::Servers).await {
             Ok(page) => {
-                let was_away = link.good(&gateway);
-                apply_snapshot(&gateway, &page, was_away);
-                gateway.beliefs().looked_at_entries(page.next, None);
+                let after_outage = link.record_answer(&gateway);
+                apply_snapshot(&gateway, &page, after_outage);
+                gateway.beliefs().record_entry_read(page.next, None);
                 page.next
             }
             Err(error) => {
-                link.bad(&gateway, &error);
-                pause_since(&gateway, asked).await;
+                link.record_failure(&gateway, &error);
+                wait_for_retry(&gateway, sent_at).await;
                 continue;
             }
         };
-        let mut looked_at = clock::now();
+        let mut read_at = clock::now();
         loop {
             tokio::select! {
-                () = sleep(SERVER_PAUSE) => {}
+                () = sleep(ENTRY_POLL_INTERVAL) => {}
                 () = gateway.entries_missed.notified() => {}
             }
             let reads = reads_for_others(&gateway);
-            if !reads && is_told(&gateway, looked_at) {
+            if !reads && has_entry_readers(&gateway, read_at) {
                 remove_lapsed(&gateway);
                 continue;
             }
-            looked_at = clock::now();
+            read_at = clock::now();
             match gateway.store.read(KeyedTopic::Servers, next, None).await {
                 Ok(page) => {
-                    let was_away = link.good(&gateway);
-                    let changes = apply_servers(&gateway, &page.records, was_away);
+                    let after_outage = link.record_answer(&gateway);
+                    let changes = apply_servers(&gateway, &page.records, after_outage);
                     next = page.next;
-                    // Which entries come back after an outage each VM sees by itself.
-                    let few = changes.entries.len() <= news::MOST_TOLD_ENTRIES;
-                    let told = (!was_away && few).then_some(changes);
-                    gateway.beliefs().looked_at_entries(next, told);
+                    // Each VM determines by its own reads which entries return after an outage.
+                    let few = changes.entries.len() <= news::MAX_REPORTED_ENTRIES;
+                    let reported = (!after_outage && few).then_some(changes);
+                    gateway.beliefs().record_entry_read(next, reported);
                     if reads {
-                        news::tell(&gateway);
+                        news::report(&gateway);
                     }
                 }
                 Err(MetadataError::Compacted { first }) => {
@@ -255,9 +263,9 @@
                     break;
                 }
                 Err(error) => {
-                    link.bad(&gateway, &error);
+                    link.record_failure(&gateway, &error);
                     if !reads {
-                        pause_since(&gateway, looked_at).await;
+                        wait_for_retry(&gateway, read_at).await;
                     }
                 }
             }
@@ -266,57 +274,60 @@
     }
 }
 
-/// Takes all entries; servers without one are treated as if it was removed.
-fn apply_snapshot(gateway: &Arc<Gateway>, page: &RecordPage, was_away: bool) {
-    apply_servers(gateway, &page.records, was_away);
+/// Applies a snapshot of all entries. Servers without an entry in it are treated as if it was
+/// removed.
+fn apply_snapshot(gateway: &Arc<Gateway>, page: &RecordPage, after_outage: bool) {
+    apply_servers(gateway, &page.records, after_outage);
     let mut beliefs = gateway.beliefs();
-    beliefs.servers_read = true;
+    beliefs.entries_read = true;
     let now = clock::now();
-    let gone: Vec<String> = beliefs
+    let removed: Vec<String> = beliefs
         .backends
         .servers()
         .iter()
         .map(|state| state.name().to_owned())
         .filter(|name| !page.records.iter().any(|record| record.key == *name))
         .collect();
-    for server in gone {
-        beliefs.lapse(&server, page.next, was_away, now);
+    for server in removed {
+        beliefs.lapse(&server, page.next, after_outage, now);
     }
     drop(beliefs);
     remove_lapsed(gateway);
 }
 
-/// Takes changes of entries. Those of the first look after an outage may have lapsed in it.
+/// Applies changes of entries, and returns those to be reported. With `after_outage`, the first read
+/// after an outage, removals may be lapses that are undone.
 pub(crate) fn apply_servers(
     gateway: &Arc<Gateway>,
     records: &[KeyedRecord],
-    was_away: bool,
+    after_outage: bool,
 ) -> EntryChanges {
     let now = clock::now();
     let mut changes = EntryChanges::default();
     let mut beliefs = gateway.beliefs();
     for record in records {
         let Some(value) = &record.value else {
-            beliefs.lapse(&record.key, record.position, was_away, now);
+            beliefs.lapse(&record.key, record.position, after_outage, now);
             let (server, position) = (record.key.as_str().into(), record.position);
-            changes.gone.push(GoneServer { server, position });
+            changes.removed.push(RemovedServer { server, position });
             continue;
         };
         let entry = match read_registration(&record.key, value, record.position) {
             Ok(entry) => entry,
             Err(error) => {
-                if beliefs.skipped.is_new(&record.key) {
+                if beliefs.skipped.record(&record.key) {
                     event!(RecordSkipped, topic = "servers", cause = error);
                 }
                 continue;
             }
         };
-        beliefs.skipped.readable(&record.key);
-        // A server that leaves is told of by each VM that reads it, whether or not another one told this VM first.
-        // Told by the first reader alone, a VM that this one had lost sight of for three seconds, and which
-        // heard the others, went on sending to the server for more than four.
+        beliefs.skipped.clear(&record.key);
+        // Each reader reports a leaving server, even if another reader reported it first. With only
+        // the first reader's report, a VM that this reader had lost for three seconds, but that
+        // received the other readers' reports, kept sending to the server for more than four
+        // seconds.
         let leaves = !entry.ready;
-        if beliefs.take_entry(&entry, now) || leaves {
+        if beliefs.apply_entry(&entry, now) || leaves {
             changes.entries.push(news::without_adapters(entry));
         }
         beliefs.unlapse(&record.key, record.position);
@@ -324,39 +335,41 @@
     beliefs.expect_fleet();
     drop(beliefs);
     remove_lapsed(gateway);
-    changes.look(gateway);
+    changes.wake(gateway);
     changes
 }
 
-/// Waits until a call that failed may be tried again.
-async fn pause_since(gateway: &Gateway, asked: TimePoint) {
+/// Waits until a failed call that started at `sent_at` may be retried.
+async fn wait_for_retry(gateway: &Gateway, sent_at: TimePoint) {
     let now = clock::now();
     let large = gateway.beliefs().roster.is_large(now);
-    let pause = if large && !reads_for_others(gateway) { LARGE_RETRY_PAUSE } else { RETRY_PAUSE };
-    sleep(pause.saturating_sub(Duration::from_micros(now.since(asked)))).await;
+    let pause =
+        if large && !reads_for_others(gateway) { LARGE_RETRY_INTERVAL } else { RETRY_INTERVAL };
+    sleep(pause.saturating_sub(Duration::from_micros(now.since(sent_at)))).await;
 }
 
-/// Whether this VM looks at the entries for all: it is among the first of those that live, in an
-/// order that does not follow failure domains.
+/// Returns whether this VM reads the store for all: it is among the first live VMs in an order that
+/// is independent of failure domains.
 pub(crate) fn reads_for_others(gateway: &Gateway) -> bool {
     let beliefs = gateway.beliefs();
-    !gateway.leaving() && beliefs.roster.before(&gateway.settings.vm, clock::now()) < READERS
+    !gateway.leaving() && beliefs.roster.readers_ahead(&gateway.settings.vm, clock::now()) < READERS
 }
 
-/// Whether another VM tells this one of changes, so that it need not look itself yet.
-pub(crate) fn is_told(gateway: &Gateway, looked_at: TimePoint) -> bool {
+/// Returns whether readers keep this VM up to date, so that it need not poll the entries itself
+/// yet.
+pub(crate) fn has_entry_readers(gateway: &Gateway, read_at: TimePoint) -> bool {
     let now = clock::now();
     let beliefs = gateway.beliefs();
-    // An entry that is written again after it lapsed is no change that others tell of. Told of the rest alone,
-    // this VM would drop a server that came back in time.
+    // Readers do not report an entry that is written again after it lapsed as a change. Relying on
+    // their reports, this VM would drop a server that came back in time.
     let complete = !beliefs.missed_entries && beliefs.lapsed.is_empty();
-    let told = complete && now.since(beliefs.servers_told_at) < NEWS_TRUST_US;
+    let up_to_date = complete && now.since(beliefs.entries_known_at) < READER_TTL_US;
     let large = beliefs.roster.is_large(now);
-    let pause_us = if large { LARGE_OTHERS_PAUSE_US } else { OTHERS_PAUSE_US };
-    told && now.since(looked_at) < pause_us
+    let pause_us = if large { LARGE_OTHERS_POLL_INTERVAL_US } else { OTHERS_POLL_INTERVAL_US };
+    up_to_date && now.since(read_at) < pause_us
 }
 
-/// Removes servers whose entry is gone and does not come back.
+/// Removes servers whose entry was removed and not written again in time.
 pub(crate) fn remove_lapsed(gateway: &Arc<Gateway>) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
@@ -371,19 +384,19 @@
 }
 
 impl Beliefs {
-    /// This VM looked at the entries itself, up to a place. Changes are told on by those who read for
-    /// others; none where they are not told.
-    fn looked_at_entries(&mut self, up_to: u64, told: Option<EntryChanges>) {
+    /// Records an own read of the entries up to an offset. `told` are the changes to report if this
+    /// VM reads for others, `None` if they are not to be reported.
+    fn record_entry_read(&mut self, up_to: u64, reported: Option<EntryChanges>) {
         self.coverage.looked(up_to);
         self.missed_entries = false;
-        match told {
+        match reported {
             Some(changes) => self.entry_history.look(up_to, changes),
             None => self.entry_history.untold(up_to),
         }
     }
 
-    /// Takes an entry; true if it changes where requests can go.
-    pub(crate) fn take_entry(&mut self, entry: &BackendEntry, now: TimePoint) -> bool {
+    /// Applies an entry and returns whether it changes where requests can go.
+    pub(crate) fn apply_entry(&mut self, entry: &BackendEntry, now: TimePoint) -> bool {
         match self.backends.entry(entry.clone(), now) {
             EntryChange::Appeared => {
                 event!(
@@ -415,18 +428,25 @@
         }
     }
 
-    /// Takes the store to be sized for the engines that are known, at each VM whichever way it heard of
-    /// them: the VMs that order most servers do not read the entries themselves.
+    /// Sizes the expected capacity of the weight store by the number of known engines. Called on
+    /// every VM, since those that order most servers do not read the entries themselves.
     pub(crate) fn expect_fleet(&mut self) {
         let servers = self.backends.servers().iter();
         let engines = servers.filter(|state| !state.entry.models.is_empty()).count();
         self.times.expect_fleet(engines);
     }
 
-    /// A server's entry was removed. One that lapsed while the store was away gets two seconds to come
-    /// back. All others are gone at once: held longer, a leaving server would get new work.
-    pub(crate) fn lapse(&mut self, server: &str, position: u64, was_away: bool, now: TimePoint) {
-        let until = if was_away { now.plus(LAPSE_US) } else { now };
+    /// Records the removal of a server's entry. An entry that lapsed during an outage of the store
+    /// gets two seconds to return. All other servers are removed at once, since a leaving server
+    /// would otherwise get new work.
+    pub(crate) fn lapse(
+        &mut self,
+        server: &str,
+        position: u64,
+        after_outage: bool,
+        now: TimePoint,
+    ) {
+        let until = if after_outage { now.plus(LAPSE_GRACE_US) } else { now };
         let lapsed = LapsedServer { server: server.to_owned(), position, until };
         match self.lapsed.binary_search_by(|lapsed| lapsed.server.as_str().cmp(server)) {
             Ok(at) => {
@@ -437,7 +457,7 @@
         }
     }
 
-    /// A server wrote its entry again after it lapsed.
+    /// Cancels the removal of a server that wrote its entry again after it lapsed.
     fn unlapse(&mut self, server: &str, position: u64) {
         let found = self.lapsed.binary_search_by(|lapsed| lapsed.server.as_str().cmp(server));
         if let Ok(at) = found
--- a/gateway/src/group.rs
+++ b/gateway/src/group.rs
@@ -1,4 +1,4 @@
-//! Keeps this VM in the group that orders servers.
+//! Membership of this VM in the group that orders servers.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -13,42 +13,46 @@
 use crate::clock;
 use crate::link::{StoreCall, StoreLink};
 use crate::order;
-use crate::state::{Gateway, LIFETIMES, SHARE_TOPICS};
+use crate::state::{Gateway, PARTITION_TOPICS, RENEWALS_PER_LIFETIME};
 
-/// Between two looks at the group's members. VMs find each other without it; it joins two halves of a
-/// fleet that lost sight of each other.
-const MEMBER_PAUSE_US: u64 = 30_000_000;
-/// For so long after its start a whole new system needs no pause before the first orders.
+/// Interval of reads of the group's members, in microseconds. VMs discover each other without it;
+/// it rejoins two halves of a fleet that lost contact.
+const MEMBER_READ_INTERVAL_US: u64 = 30_000_000;
+/// Time after the start of a whole new system during which the first orders need no pause, in
+/// microseconds.
 const FIRST_START_US: u64 = 8_000_000;
-/// What parts a member's VM from its IP number.
-const MEMBER_MARK: char = '|';
-/// For how long a VM that starts among others that order all servers keeps out of the group. Each
-/// change of the group moves shares, and servers whose share moves take no loads for seconds.
-const LATE_JOIN_US: u64 = 20_000_000;
-/// VMs that order servers, in the order by hash of those that live. Each renews its shares every second,
-/// and each that comes or goes moves shares; this many lose a few servers each when one goes.
+/// Separates the VM's name from its IP address in a member's name.
+const MEMBER_SEPARATOR: char = '|';
+/// How long a starting VM stays out of the group while others order all servers, in microseconds.
+/// Each change of the group moves partitions, and servers whose partition moves accept no loads for
+/// seconds.
+const LATE_JOIN_DELAY_US: u64 = 20_000_000;
+/// Maximum number of VMs that order servers: the first live ones by hash. Each renews its
+/// membership every second and moves partitions when it joins or leaves; with this many, the loss
+/// of one affects a few servers.
 const ORDERERS: usize = 24;
-/// Between two looks whether to join.
-const JOIN_LOOK: Duration = Duration::from_millis(250);
-/// VMs that are so many times those known before are still becoming known, and after so long without such growth
-/// a VM goes by those that it knows; at the latest after the longest time.
-const GROWN: f64 = 1.1;
+/// Interval of the check whether to join.
+const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// A starting VM's list of other VMs counts as growing while it grows by this factor.
+const GROWTH_FACTOR: f64 = 1.1;
 const SETTLED_US: u64 = 800_000;
-const MOST_LISTEN_US: u64 = 6_000_000;
-/// For so long a starting VM listens whether others order all servers.
+const MAX_LISTEN_US: u64 = 6_000_000;
+/// How long a starting VM waits for the owners' lists before it decides whether to join, in
+/// microseconds.
 const LISTEN_US: u64 = 1_200_000;
 
-/// Keeps this VM in the group for ever.
+/// Runs for ever, keeping this VM in the group.
 pub(crate) async fn keep(gateway: Arc<Gateway>) {
     let mut link = StoreLink::new(StoreCall::Group);
     let mut since = gained_since(&gateway, &mut link).await;
     if !matches!(since, GainedSince::Restart(_)) {
-        wait_for_turn(&gateway, &since).await;
-        // A first start is over by the time at which a VM has waited for long.
-        since = later(&gateway);
+        wait_until_needed(&gateway, &since).await;
+        // The wait may outlast the period of a first start.
+        since = gained_later(&gateway);
     }
     gateway.beliefs().calls_store = true;
-    let lifetime = Duration::from_millis(gateway.settings.store.least_lifetime_ms * LIFETIMES);
+    let lifetime =
+        Duration::from_millis(gateway.settings.store.least_lifetime_ms * RENEWALS_PER_LIFETIME);
     let mut members_at: Option<TimePoint> = None;
     let mut written = TenureRecord::default();
     let mut seen = TenureRecord::default();
@@ -56,39 +60,40 @@
         let sent = clock::now();
         let member = GroupMember {
             member: member_name(&gateway),
-            topics: SHARE_TOPICS,
+            topics: PARTITION_TOPICS,
             lifetime,
             generation: gateway.beliefs().tenure.generation(),
         };
         match gateway.store.join(&member).await {
             Ok(membership) => {
-                link.good(&gateway);
+                link.record_answer(&gateway);
                 renewed(&gateway, sent, membership, &since);
-                since = later(&gateway);
+                since = gained_later(&gateway);
             }
-            Err(error) => link.bad(&gateway, &error),
+            Err(error) => link.record_failure(&gateway, &error),
         }
-        // While VMs come and go the generation changes with each; only one that stays is worth a call.
+        // While VMs join and leave, the generation changes with each. Only a record that is stable
+        // for one round is worth a write.
         let record = gateway.beliefs().tenure.record(clock::now());
         if record == seen {
             write_record(&gateway, &record, &mut written, &mut link).await;
         }
         seen = record;
         let now = clock::now();
-        if members_at.is_none_or(|at| now.since(at) > MEMBER_PAUSE_US) {
+        if members_at.is_none_or(|at| now.since(at) > MEMBER_READ_INTERVAL_US) {
             match gateway.store.members().await {
                 Ok(members) => {
                     members_at = Some(now);
                     hint_members(&gateway, &members);
                 }
-                Err(error) => link.bad(&gateway, &error),
+                Err(error) => link.record_failure(&gateway, &error),
             }
         }
-        sleep(lifetime / LIFETIMES as u32).await;
+        sleep(lifetime / RENEWALS_PER_LIFETIME as u32).await;
     }
 }
 
-/// What this process knows of its shares before its first renewal.
+/// Returns what this process knows of its partitions before its first renewal.
 async fn gained_since(gateway: &Arc<Gateway>, link: &mut StoreLink) -> GainedSince {
     if gateway.settings.first_start {
         return GainedSince::FirstStart;
@@ -96,7 +101,7 @@
     let page = match gateway.store.newest(KeyedTopic::Tenures).await {
         Ok(page) => page,
         Err(error) => {
-            link.bad(gateway, &error);
+            link.record_failure(gateway, &error);
             return GainedSince::Unknown;
         }
     };
@@ -113,18 +118,19 @@
     }
 }
 
-/// What holds after the first renewal.
-fn later(gateway: &Gateway) -> GainedSince {
-    let young = clock::now().since(gateway.started) < FIRST_START_US;
-    if gateway.settings.first_start && young {
+/// Returns what this process knows of its partitions after the first renewal.
+fn gained_later(gateway: &Gateway) -> GainedSince {
+    let is_young = clock::now().since(gateway.started) < FIRST_START_US;
+    if gateway.settings.first_start && is_young {
         GainedSince::FirstStart
     } else {
         GainedSince::Unknown
     }
 }
 
-/// Whether a VM that starts has heard of nearly all others. Until then each of a large fleet that starts at once
-/// takes itself for one of the first: all join, and the shares are dealt anew with each.
+/// Detects when a starting VM knows nearly all others. Before that, each VM of a large fleet that
+/// starts at once ranks itself among the first: all would join, and the partitions would be
+/// reassigned with each.
 #[derive(Debug, Default)]
 struct RosterGrowth {
     known: usize,
@@ -132,51 +138,53 @@
 }
 
 impl RosterGrowth {
-    /// Takes how many others are known now; true once they have hardly grown for a while.
+    /// Records the number of other VMs known now. Returns true once it has hardly grown for a
+    /// while.
     fn is_settled(&mut self, known: usize, now: TimePoint) -> bool {
-        if known as f64 > self.known as f64 * GROWN {
+        if known as f64 > self.known as f64 * GROWTH_FACTOR {
             *self = Self { known, since: now };
         }
         now.since(self.since) >= SETTLED_US
     }
 }
 
-/// Waits until this VM should order servers: among the first of those that live, and at the system's first
-/// start, or once a server has no owner, or after a while.
-async fn wait_for_turn(gateway: &Arc<Gateway>, since: &GainedSince) {
-    // At the system's first start nobody orders servers yet; those that others ask first begin.
-    if *since == GainedSince::FirstStart && is_asked_first(gateway) {
+/// Waits until this VM should order servers. It must be among the first live VMs; also, the system
+/// starts for the first time, a server has no owner, or `LATE_JOIN_DELAY_US` have passed.
+async fn wait_until_needed(gateway: &Arc<Gateway>, since: &GainedSince) {
+    // At the system's first start no VM orders servers yet; the seeds begin.
+    if *since == GainedSince::FirstStart && is_seed(gateway) {
         return;
     }
-    let mut settled = RosterGrowth::default();
+    let mut growth = RosterGrowth::default();
     loop {
-        sleep(JOIN_LOOK).await;
+        sleep(JOIN_CHECK_INTERVAL).await;
         let now = clock::now();
         let age = now.since(gateway.started);
         let beliefs = gateway.beliefs();
         let known = beliefs.roster.live_count(now);
-        if age < LISTEN_US || (!settled.is_settled(known, now) && age < MOST_LISTEN_US) {
+        if age < LISTEN_US || (!growth.is_settled(known, now) && age < MAX_LISTEN_US) {
             continue;
         }
-        if beliefs.roster.before(&gateway.settings.vm, now) >= ORDERERS {
+        if beliefs.roster.readers_ahead(&gateway.settings.vm, now) >= ORDERERS {
             continue;
         }
-        // The first configuration may come just ahead of the first requests.
+        // The first configuration may arrive just before the first requests, too late to wait for
+        // it.
         if *since == GainedSince::FirstStart {
             return;
         }
         let Some(table) = &beliefs.table else { continue };
         let engines = table.services().iter().filter(|plan| plan.engine.is_some());
-        let lacks = |service| beliefs.backends.any_without_owner(service, now);
-        let lacks = engines.map(|plan| &plan.service).any(lacks);
-        if lacks || age > LATE_JOIN_US {
+        let lacks_owner = |service| beliefs.backends.any_without_owner(service, now);
+        let lacks_owner = engines.map(|plan| &plan.service).any(lacks_owner);
+        if lacks_owner || age > LATE_JOIN_DELAY_US {
             return;
         }
     }
 }
 
-/// Whether this VM is among the seeds, or knows of no others.
-fn is_asked_first(gateway: &Gateway) -> bool {
+/// Returns whether this VM is one of the seeds, or no seeds are configured.
+fn is_seed(gateway: &Gateway) -> bool {
     let (seeds, own) = (&gateway.settings.seeds, gateway.settings.listen.peers.ip());
     seeds.is_empty() || seeds.iter().any(|seed| seed.ip() == own)
 }
@@ -199,7 +207,7 @@
     order::drive_all(gateway);
 }
 
-/// Keeps what this VM holds for certain where the next life of its process finds it.
+/// Stores the partitions that this VM holds for certain, for the next incarnation of its process.
 async fn write_record(
     gateway: &Arc<Gateway>,
     record: &TenureRecord,
@@ -218,20 +226,20 @@
     };
     match gateway.store.write(KeyedTopic::Tenures, gateway.settings.vm.as_str(), &value).await {
         Ok(()) => *written = record.clone(),
-        Err(error) => link.bad(gateway, &error),
+        Err(error) => link.record_failure(gateway, &error),
     }
 }
 
 fn member_name(gateway: &Gateway) -> String {
     let ip = gateway.settings.listen.peers.ip();
-    format!("{}{MEMBER_MARK}{ip}", gateway.settings.vm)
+    format!("{}{MEMBER_SEPARATOR}{ip}", gateway.settings.vm)
 }
 
 fn hint_members(gateway: &Arc<Gateway>, members: &[String]) {
     let port = gateway.settings.listen.peers.port();
     let mut beliefs = gateway.beliefs();
     for member in members {
-        let ip = member.rsplit_once(MEMBER_MARK).and_then(|(_, ip)| ip.parse::<IpAddr>().ok());
+        let ip = member.rsplit_once(MEMBER_SEPARATOR).and_then(|(_, ip)| ip.parse::<IpAddr>().ok());
         if let Some(ip) = ip {
             beliefs.roster.hint(SocketAddr::new(ip, port));
         }
--- a/gateway/src/link.rs
+++ b/gateway/src/link.rs
@@ -1,4 +1,4 @@
-//! Whether the platform's store answers, by kind of call.
+//! Record of whether the platform's store answers, by kind of call.
 
 use std::time::Duration;
 
@@ -13,18 +13,18 @@
 /// answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoreCall {
-    /// For the operators' records.
+    /// Reads of the operators' records.
     Operators,
-    /// For the servers' entries.
+    /// Reads of the servers' entries.
     Servers,
-    /// To the group that orders servers.
+    /// Calls for the group that orders servers.
     Group,
 }
 
 impl StoreCall {
     pub(crate) const ALL: [Self; 3] = [Self::Operators, Self::Servers, Self::Group];
 
-    /// Its name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Operators => "operators",
@@ -41,12 +41,12 @@
 }
 
 impl AnswerTimes {
-    /// How long ago that was; none before the first answer.
+    /// Returns the time since the last answer to a kind of call, `None` before the first.
     pub(crate) fn age(&self, call: StoreCall, now: TimePoint) -> Option<Duration> {
         self.at[call as usize].map(|at| Duration::from_micros(now.since(at)))
     }
 
-    /// When it last answered a call of any kind; the beginning of time before the first answer.
+    /// Returns the time of the last answer to a call of any kind, zero before the first.
     pub(crate) fn last(&self) -> TimePoint {
         self.at.iter().flatten().copied().max().unwrap_or_default()
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// Whether the store answered one task's last call, for the log.
+/// Tracks whether the store answered one task's last call, and logs changes.
 pub(crate) struct StoreLink {
     call: StoreCall,
     down_since: Option<TimePoint>,
@@ -67,8 +67,8 @@
         Self { call, down_since: None }
     }
 
-    /// The store answered; true if it had been away.
-    pub(crate) fn good(&mut self, gateway: &Gateway) -> bool {
+    /// Records an answer of the store. Returns whether the previous call had failed.
+    pub(crate) fn record_answer(&mut self, gateway: &Gateway) -> bool {
         gateway.metrics.store_call(self.call.name(), "ok");
         let now = clock::now();
         let mut beliefs = gateway.beliefs();
@@ -79,8 +79,8 @@
         true
     }
 
-    /// The store did not answer, or refused the call.
-    pub(crate) fn bad(&mut self, gateway: &Gateway, error: &MetadataError) {
+    /// Records a call that failed or was refused.
+    pub(crate) fn record_failure(&mut self, gateway: &Gateway, error: &MetadataError) {
         gateway.metrics.store_call(self.call.name(), "failed");
         if self.down_since.is_none() {
             event!(LogDown, topic = self.call.name(), cause = error);
--- a/gateway/src/message.rs
+++ b/gateway/src/message.rs
@@ -1,7 +1,7 @@
-//! What VMs tell each other.
+//! Messages between VMs.
 //!
-//! Each message is one datagram and repeats a whole state, so that one that is lost or comes twice or
-//! late does no harm: what matters is repeated within a second. Times in messages are durations,
+//! Each message is one datagram and carries a whole state, so that losing, repeating or delaying
+//! one does no harm: what matters is repeated within a second. Times in messages are durations,
 //! since the VMs' clocks differ.
 
 use std::net::SocketAddr;
@@ -15,20 +15,19 @@
 use coltsfoothook_decision::usage::ToldUses;
 use coltsfoothook_decision::value;
 
-/// The first byte of each datagram. Another release with other messages takes another number, and
-/// datagrams of a strange number are dropped.
+/// First byte of each datagram. Releases with other messages use other numbers, and datagrams with
+/// an unknown number are dropped.
 const FORMAT: u8 = 6;
-/// The most bytes of a datagram that is read.
-pub(crate) const MOST_BYTES: usize = 60_000;
+/// Maximum size of a received datagram, in bytes.
+pub(crate) const MAX_BYTES: usize = 60_000;
 
 value! {
-    /// A VM's state, sent to all others a few times a second.
+    /// A VM's state, sent to other VMs a few times a second.
     pub(crate) struct VmState {
-        /// The VM.
         pub vm: VmName,
-        /// The life of its process.
+        /// Incarnation of its process.
         pub incarnation: u64,
-        /// Counts its messages, so that an older one is known.
+        /// Number of its state messages, which shows older ones.
         pub sequence: u64,
         /// Where it takes callers' requests.
         pub requests: SocketAddr,
@@ -36,219 +35,209 @@
         pub ready: bool,
         /// Whether its process is ending.
         pub leaving: bool,
-        /// The version of the configuration in force there.
+        /// Version of the configuration in force at the VM, 0 if none is.
         pub config: u64,
-        /// Milliseconds since its last successful call to the platform's store; none from a VM that
-        /// seldom calls it, whose silence tells nothing of the store.
+        /// Milliseconds since its last successful call to the platform's store. `None` from a VM
+        /// that seldom calls the store, so that the lack of calls says nothing about the store.
         pub store_age_ms: Option<u32>,
         /// Its failure domain.
         pub domain: DomainName,
-        /// Whether it has the processor and the link to aggregate for its domain.
+        /// Whether it has the processor and the link to be eligible to aggregate for its domain.
         pub strong: bool,
-        /// Whether it does so now.
+        /// Whether it aggregates now.
         pub aggregates: bool,
-        /// Its requests at servers. None for a VM of a large fleet that does not aggregate them.
+        /// Its requests at servers. `None` in large fleets if the receiver does not aggregate them.
         pub loads: Option<Vec<ServerLoad>>,
-        /// Its customers' uses, where its loads are told too.
+        /// Its customers' use, sent to the same VMs as `loads`.
         pub uses: Option<ToldUses>,
-        /// Other VMs that it hears of.
+        /// Addresses of some other live VMs, for discovery.
         pub others: Vec<SocketAddr>,
     }
 
     /// A VM's requests at one server.
     pub(crate) struct ServerLoad {
-        /// The server.
         pub server: ServerName,
         /// Requests that have not ended.
         pub running: u32,
-        /// Prompt tokens of those without a first event.
+        /// Prompt tokens of those requests that have had no first event.
         pub unread: u64,
     }
 
-    /// A VM's requests at servers where they changed a moment ago, between two messages of its state.
-    pub(crate) struct LoadNews {
-        /// The VM.
+    /// A VM's requests at servers where they changed recently, sent between two state messages.
+    pub(crate) struct LoadUpdate {
         pub vm: VmName,
-        /// The life of its process.
+        /// Incarnation of its process.
         pub incarnation: u64,
-        /// The last state that it sent before.
+        /// Number of the last state message sent before.
         pub sequence: u64,
         /// Its requests at these servers.
         pub loads: Vec<ServerLoad>,
-        /// Its customers' uses, if they changed.
+        /// Its customers' use, if it changed.
         pub uses: Option<ToldUses>,
     }
 
-    /// What a VM that orders servers tells of one, or an aggregator of several.
+    /// Lists of what servers hold: of one from the VM that orders it, or of several from an
+    /// aggregator.
     pub(crate) struct ServerLists {
-        /// The lists, or what changed in them.
+        /// The lists, complete or with changes only.
         pub lists: Vec<ListChange>,
-        /// How long the VM expects the load of an adapter from the weight store to take, in
-        /// microseconds, while few are under way.
+        /// Expected duration of loading an adapter from the weight store, in microseconds, while
+        /// few loads are in flight.
         pub load_us: u32,
-        /// The same for each load under way, where many are.
+        /// The same per load in flight, in microseconds, while many are.
         pub each_us: u32,
-        /// Whether a load was shown to be shorter than the VM expected since it last told.
+        /// Whether a load was shown to be shorter than the VM expected since its last report.
         pub shorter: bool,
     }
 
-    /// What an aggregator tells the VMs of its failure domain.
-    pub(crate) struct DomainNews {
-        /// The aggregator.
+    /// An update from an aggregator to the VMs of its failure domain.
+    pub(crate) struct DomainUpdate {
         pub vm: VmName,
         /// The requests of all VMs at servers.
         pub loads: Vec<ServerLoad>,
-        /// What is new of what servers hold.
+        /// Changes of what servers hold.
         pub lists: ServerLists,
-        /// Customers that have not much left of their limits.
+        /// Bucket states of the customers that have little left of their limits.
         pub standings: Vec<FleetStanding>,
-        /// How many VMs told of their use a moment ago, over all domains.
+        /// How many VMs of all domains reported their customers' use recently.
         pub in_touch: usize,
     }
 
-    /// What an aggregator tells those of the other domains: the requests of the VMs of its own.
+    /// Sums over the VMs of a failure domain, from its aggregator to those of the other domains.
     pub(crate) struct DomainSums {
-        /// The aggregator.
         pub vm: VmName,
-        /// The requests, sorted by server.
+        /// The requests of the domain's VMs at servers, sorted by server.
         pub loads: Vec<ServerLoad>,
-        /// The uses of its domain's VMs.
+        /// The use of customers over the domain's VMs.
         pub uses: ToldUses,
-        /// How many of them told of theirs a moment ago.
+        /// How many of these VMs reported their use recently.
         pub members: usize,
     }
 
-    /// A question whether a VM's configuration is the newest.
+    /// A query whether the sender's configuration is the newest.
     pub(crate) struct ConfirmationQuestion {
-        /// The life of the process that asks.
+        /// Incarnation of the sender's process.
         pub incarnation: u64,
-        /// When it asked, by its own clock, which the answer repeats.
+        /// Time of the query by the sender's clock, which the answer repeats.
         pub asked: TimePoint,
     }
 
-    /// An answer to a [`ConfirmationQuestion`].
+    /// The answer to a [`ConfirmationQuestion`].
     pub(crate) struct ConfirmationAnswer {
-        /// What was asked.
+        /// The query that is answered.
         pub question: ConfirmationQuestion,
-        /// The version of the configuration in force at the VM that answers.
+        /// Version of the configuration in force at the VM that answers.
         pub config: u64,
         /// Milliseconds since that version was known to be the newest.
         pub age_ms: u64,
     }
 
-    /// A wish that an adapter be loaded at a server, sent to the VM that orders it.
+    /// A request to load an adapter at a server, sent to the VM that orders it.
     pub(crate) struct AdapterWish {
-        /// The server.
         pub server: ServerName,
-        /// The adapter.
         pub key: AdapterKey,
-        /// The version.
+        /// The version to load.
         pub version: u64,
-        /// The VM whose requests wait for it.
+        /// The VM whose requests wait for the load.
         pub vm: VmName,
-        /// How many of them do; none where a copy is wished for.
+        /// How many of its requests wait; 0 if a further copy is requested.
         pub waiting: u32,
-        /// Milliseconds within which the load must be done for the newest to be served in time.
+        /// Milliseconds within which the load must be done for the newest of them to be served in
+        /// time.
         pub in_time_ms: u32,
     }
 
-    /// How an adapter was met at a server, sent to the VM that orders it.
+    /// Use of an adapter at a server, sent to the VM that orders the server.
     pub(crate) struct AdapterUse {
-        /// The server.
         pub server: ServerName,
-        /// The life of the server.
+        /// Start time of the server's incarnation.
         pub born: u64,
-        /// The adapter.
         pub key: AdapterKey,
         /// Requests that began since the last message.
         pub count: u32,
         /// Requests that run now.
         pub running: u32,
-        /// Whether a request found that it was still loading.
+        /// Whether a request found the adapter still loading.
         pub too_early: bool,
-        /// Whether a request found that it was not held.
+        /// Whether a request found the adapter not loaded.
         pub missing: bool,
-        /// Whether a request was the first after its load, and found it loaded.
+        /// Whether a request was the first after the load, and found it done.
         pub in_time: bool,
     }
 
-    /// What a VM that cannot read the platform's store takes from another one.
+    /// The platform's records as held by one VM, for another that cannot read the store.
     pub(crate) struct SharedState {
-        /// The configuration in force there.
+        /// The configuration in force at that VM.
         pub table: Option<RouteTable>,
-        /// Named versions of adapters.
+        /// Versions of adapters that the operators named.
         pub versions: Vec<SharedVersion>,
         /// The servers' entries.
         pub entries: Vec<BackendEntry>,
     }
 
-    /// A named version of an adapter.
+    /// A version of an adapter that the operators named.
     pub(crate) struct SharedVersion {
-        /// The adapter.
         pub key: AdapterKey,
-        /// The version.
         pub version: u64,
     }
 
     /// Changes of records in the platform's store, from a VM that reads them for others.
-    pub(crate) struct RecordNews {
-        /// The VM.
+    pub(crate) struct RecordUpdate {
         pub vm: VmName,
-        /// The version of the configuration in force there.
+        /// Version of the configuration in force at the VM, 0 if none is.
         pub config: u64,
-        /// Milliseconds since the store last answered it for the operators' records.
+        /// Milliseconds since the store last answered its query for the operators' records.
         pub operators_age_ms: u32,
-        /// The same for the servers' entries.
+        /// Milliseconds since the store last answered its query for the servers' entries.
         pub servers_age_ms: u32,
-        /// The span of the entries' topic whose changes stand here.
+        /// Offsets of the entries' topic whose changes the message carries.
         pub span: ToldSpan,
-        /// Versions of adapters that were named.
+        /// Newly named versions of adapters.
         pub versions: Vec<SharedVersion>,
-        /// Servers that appeared, began to leave, or hold other base models.
+        /// Servers that appeared, began to leave, or changed their base models.
         pub entries: Vec<BackendEntry>,
         /// Servers whose entry was removed.
-        pub gone: Vec<GoneServer>,
+        pub gone: Vec<RemovedServer>,
     }
 
     /// A server whose entry was removed.
-    pub(crate) struct GoneServer {
-        /// The server.
+    pub(crate) struct RemovedServer {
         pub server: ServerName,
-        /// The place of the removal in the entries' topic.
+        /// Offset of the removal in the entries' topic.
         pub position: u64,
     }
 
-    /// A datagram.
+    /// The content of a datagram.
     pub(crate) enum PeerMessage {
         /// A VM's state.
         State(VmState),
         /// What servers hold.
         Lists(ServerLists),
-        /// A wish.
+        /// A load request for an adapter.
         Wish(AdapterWish),
-        /// Uses of the VM that is named.
+        /// Adapter use by the requests of the VM.
         Uses(VmName, Vec<AdapterUse>),
         /// Changes of records.
-        News(RecordNews),
-        /// Requests that changed.
-        Loads(LoadNews),
-        /// What is new in the fleet, from the aggregator of this domain.
-        Domain(DomainNews),
-        /// The requests of another domain.
+        News(RecordUpdate),
+        /// Changes of a VM's requests.
+        Loads(LoadUpdate),
+        /// An update from the aggregator of the receiver's domain.
+        Domain(DomainUpdate),
+        /// The sums of another domain.
         Sums(DomainSums),
-        /// Whether the configuration is the newest.
+        /// A query whether the configuration is the newest.
         Question(ConfirmationQuestion),
-        /// The answer.
+        /// The answer to such a query.
         Answer(ConfirmationAnswer),
     }
 }
 
 impl PeerMessage {
-    /// The kinds of messages, for metrics.
+    /// Names of the kinds of messages in metrics.
     pub(crate) const KINDS: [&str; 10] =
         ["state", "lists", "wish", "uses", "news", "loads", "domain", "sums", "question", "answer"];
 
-    /// The place of its kind among [`Self::KINDS`].
+    /// Returns the index of the message's kind in [`Self::KINDS`].
     pub(crate) fn kind(&self) -> usize {
         match self {
             Self::State(_) => 0,
@@ -266,25 +255,26 @@
 }
 
 impl ServerLoad {
-    /// A count as it is told.
+    /// Converts a count to its form in messages.
     pub(crate) fn of((server, figure): (ServerName, LoadFigure)) -> Self {
         Self { server, running: figure.running, unread: figure.unread }
     }
 
-    /// The count that was told.
+    /// Returns the reported count.
     pub(crate) fn figure(&self) -> LoadFigure {
         LoadFigure { running: self.running, unread: self.unread }
     }
 }
 
 impl AdapterUse {
-    /// What is to be told now; only the running requests are told again later.
+    /// Returns what is to be reported now, and resets all but the server, the adapter and the
+    /// running requests.
     pub(crate) fn take(&mut self) -> Self {
         let later = Self { running: self.running, ..Self::of(&self.server, self.born, &self.key) };
         std::mem::replace(self, later)
     }
 
-    /// A use of which nothing was noted yet.
+    /// Returns a use with nothing recorded yet.
     pub(crate) fn of(server: &ServerName, born: u64, key: &AdapterKey) -> Self {
         Self {
             server: server.clone(),
@@ -299,14 +289,14 @@
     }
 }
 
-/// A datagram's bytes; empty if the message cannot be written, which is logged by the sender.
+/// Encodes a message as a datagram.
 pub(crate) fn encode(message: &PeerMessage) -> Result<Vec<u8>, rmp_serde::encode::Error> {
     let mut bytes = vec![FORMAT];
     rmp_serde::encode::write(&mut bytes, message)?;
     Ok(bytes)
 }
 
-/// Reads a datagram; none if it is not one of this format.
+/// Decodes a datagram; `None` if it has another format or cannot be parsed.
 pub(crate) fn decode(bytes: &[u8]) -> Option<PeerMessage> {
     let (format, rest) = bytes.split_first()?;
     if *format != FORMAT {
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -6,15 +6,16 @@
     GaugeVec, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// Routes, and customers, that are told apart; requests of further ones are counted together, so that a
-/// configuration with thousands of them does not make thousands of time series.
-const MOST_NAMES: usize = 64;
-/// The name under which they are counted.
+/// Routes, and customers, with time series of their own. Further ones are counted together, so that
+/// a configuration with thousands of them does not create thousands of time series.
+const MAX_NAMES: usize = 64;
+/// The label under which further names are counted.
 const OTHER_NAMES: &str = "other";
-/// Bounds of the histograms' buckets, in seconds: from a local answer to the longest deadlines.
+/// Upper bounds of the histograms' buckets, in seconds: from a local answer to the longest
+/// deadlines.
 const BUCKETS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 2.0, 5.0, 10.0];
 
-/// The metrics.
+/// The metrics of a process.
 pub(crate) struct GatewayMetrics {
     registry: Registry,
     requests: IntCounterVec,
@@ -34,17 +35,17 @@
     customer_names: NameList,
 }
 
-/// The names that are told apart, sorted.
+/// Names with time series of their own, sorted.
 #[derive(Debug, Default)]
 struct NameList(std::sync::Mutex<Vec<String>>);
 
 impl NameList {
-    /// The name under which something is counted.
-    fn bounded(&self, name: &str) -> String {
+    /// Returns the label for a name: itself while there is room, else [`OTHER_NAMES`].
+    fn label(&self, name: &str) -> String {
         let mut names = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         match names.binary_search_by(|known| known.as_str().cmp(name)) {
             Ok(_) => name.to_owned(),
-            Err(at) if names.len() < MOST_NAMES => {
+            Err(at) if names.len() < MAX_NAMES => {
                 names.insert(at, name.to_owned());
                 name.to_owned()
             }
@@ -146,15 +147,15 @@
         }
     }
 
-    /// Bytes sent to other VMs in messages of a kind.
+    /// Sets the bytes sent to other VMs in messages of a kind.
     pub(crate) fn sent_bytes(&self, kind: &str, bytes: u64) {
         let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
         self.peer_bytes.with_label_values(&[kind]).set(bytes);
     }
 
-    /// A request ended.
+    /// Counts a request that ended.
     pub(crate) fn request(&self, route: &str, outcome: &str, timing: &RequestTiming) {
-        let route = self.route_names.bounded(route);
+        let route = self.route_names.label(route);
         self.requests.with_label_values(&[route.as_str(), outcome]).inc();
         if let Some(first) = timing.first {
             self.first.with_label_values(&[&route]).observe(first.as_secs_f64());
@@ -171,28 +172,28 @@
         }
     }
 
-    /// A request of a customer ended, or was refused.
+    /// Counts a customer's request that ended or was refused.
     pub(crate) fn customer(&self, customer: &str, outcome: &str) {
-        let customer = self.customer_names.bounded(customer);
+        let customer = self.customer_names.label(customer);
         self.customers.with_label_values(&[customer.as_str(), outcome]).inc();
     }
 
-    /// A request was sent to a server.
+    /// Counts a request sent to a server.
     pub(crate) fn sent(&self, result: &str) {
         self.sends.with_label_values(&[result]).inc();
     }
 
-    /// The store was called.
+    /// Counts a call to the store.
     pub(crate) fn store_call(&self, call: &str, result: &str) {
         self.store.with_label_values(&[call, result]).inc();
     }
 
-    /// A server was given an order or asked.
+    /// Counts an order or a query sent to a server.
     pub(crate) fn server_call(&self, call: &str, result: &str) {
         self.servers.with_label_values(&[call, result]).inc();
     }
 
-    /// How long ago the store last answered such a call.
+    /// Sets the time since the store last answered a kind of call.
     pub(crate) fn answer_age(&self, call: &str, age: Duration) {
         self.ages.with_label_values(&[call]).set(age.as_secs_f64());
     }
@@ -202,23 +203,23 @@
         self.gauges.with_label_values(&[what]).set(i64::try_from(value).unwrap_or(i64::MAX));
     }
 
-    /// The text format.
+    /// Returns all metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
 
-/// How long the parts of a request took.
+/// Durations of the phases of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RequestTiming {
-    /// To the first event, or to a plain answer.
+    /// Time to the first event, or to a plain answer. `None` if there was none.
     pub(crate) first: Option<Duration>,
-    /// To the end.
+    /// Time to the end.
     pub(crate) whole: Duration,
-    /// Waiting for the adapter.
+    /// Time waiting for the adapter.
     pub(crate) stall: Duration,
-    /// The longest between two events.
+    /// Longest time between two events; zero if it was not a stream.
     pub(crate) pause: Duration,
-    /// Why the answer came late, if it did.
+    /// What took longest, if the answer came late.
     pub(crate) late: Option<&'static str>,
 }
--- a/gateway/src/news.rs
+++ b/gateway/src/news.rs
@@ -1,4 +1,4 @@
-//! What VMs that read the store's records for all tell the others.
+//! Updates from the readers, the VMs that read the store's records for all, to the other VMs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,40 +10,43 @@
 use crate::clock;
 use crate::follow::{reads_for_others, remove_lapsed};
 use crate::link::StoreCall;
-use crate::message::{GoneServer, PeerMessage, RecordNews, SharedVersion};
+use crate::message::{PeerMessage, RecordUpdate, RemovedServer, SharedVersion};
 use crate::order;
 use crate::state::Gateway;
 
-/// Named versions that one message tells of at most. A VM that starts reads thousands, which all others
-/// have read too; in one datagram they would be too large to send, and hold back news of servers.
-const MOST_TOLD_VERSIONS: usize = 256;
-/// Entries that one look is told of at most. At a start thousands of servers register themselves; told of all of
-/// them, five times, each VM would be sent megabytes. Beyond it the others are told of none, and look themselves.
-pub(crate) const MOST_TOLD_ENTRIES: usize = 200;
-/// How many messages repeat a change.
-pub(crate) const NEWS_REPEATS: usize = 5;
+/// Maximum number of named versions in one message. A starting VM reads thousands that all others
+/// have read too; in one datagram they would be too large to send, and would delay updates of
+/// servers.
+const MAX_REPORTED_VERSIONS: usize = 256;
+/// Maximum number of changed entries per read that are reported. At a system's start thousands of
+/// servers register; reporting all of them five times would send megabytes to each VM. With more
+/// changes nothing is reported, and the other VMs read the store themselves.
+pub(crate) const MAX_REPORTED_ENTRIES: usize = 200;
+/// Number of messages that repeat a change.
+pub(crate) const UPDATE_REPEATS: usize = 5;
 
-/// An entry as other VMs are told of it. What a server holds they learn from the VM that orders it; with
-/// the adapters of some tens of servers a message would be larger than links carry at once.
+/// Returns an entry in the form in which it is reported. Other VMs learn what a server holds from
+/// the VM that orders it; with the adapters of dozens of servers a message would be larger than
+/// links carry at once.
 pub(crate) fn without_adapters(mut entry: BackendEntry) -> BackendEntry {
     if !entry.ready {
-        // A server that leaves gets no new work, whatever it holds.
+        // A leaving server gets no new work, whatever it holds.
         entry.models.clear();
     }
     entry.models.iter_mut().for_each(|held| held.adapters.clear());
     entry
 }
 
-/// What was new in a look at the entries.
+/// Changes found by one read of the entries.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EntryChanges {
     pub(crate) entries: Vec<BackendEntry>,
-    pub(crate) gone: Vec<GoneServer>,
+    pub(crate) removed: Vec<RemovedServer>,
 }
 
 impl EntryChanges {
-    /// Servers that appeared may need orders, and requests may wait for them.
-    pub(crate) fn look(&self, gateway: &Arc<Gateway>) {
+    /// Sends orders to servers that appeared, and wakes requests that may wait for them.
+    pub(crate) fn wake(&self, gateway: &Arc<Gateway>) {
         for entry in &self.entries {
             order::drive(gateway, &entry.server);
         }
@@ -51,8 +54,9 @@
     }
 }
 
-/// Tells all others what this VM read, and how far it knows the store's records.
-pub(crate) fn tell(gateway: &Arc<Gateway>) {
+/// Reports to all other VMs what this VM read, and how recent its knowledge of the store's records
+/// is.
+pub(crate) fn report(gateway: &Arc<Gateway>) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
     let age_ms = |call| {
@@ -61,75 +65,81 @@
     };
     let operators_age_ms = age_ms(StoreCall::Operators);
     let servers_age_ms = age_ms(StoreCall::Servers);
-    let versions = beliefs.told_versions.iter().map(|(version, _)| version.clone()).collect();
-    beliefs.told_versions.iter_mut().for_each(|(_, left)| *left -= 1);
-    beliefs.told_versions.retain(|(_, left)| *left > 0);
-    let told = || beliefs.entry_history.changes();
-    let news = RecordNews {
+    let versions = beliefs.unreported_versions.iter().map(|(version, _)| version.clone()).collect();
+    beliefs.unreported_versions.iter_mut().for_each(|(_, left)| *left -= 1);
+    beliefs.unreported_versions.retain(|(_, left)| *left > 0);
+    let changes = || beliefs.entry_history.changes();
+    let update = RecordUpdate {
         vm: gateway.settings.vm.clone(),
         config: beliefs.table.as_ref().map_or(0, |table| table.version.0),
         operators_age_ms,
         servers_age_ms,
         versions,
         span: beliefs.entry_history.span(),
-        entries: told().flat_map(|changes| changes.entries.clone()).collect(),
-        gone: told().flat_map(|changes| changes.gone.clone()).collect(),
+        entries: changes().flat_map(|changes| changes.entries.clone()).collect(),
+        gone: changes().flat_map(|changes| changes.removed.clone()).collect(),
     };
     let peers = beliefs.roster.live(now);
     drop(beliefs);
-    gateway.peers.send(&PeerMessage::News(news), &peers);
+    gateway.peers.send(&PeerMessage::News(update), &peers);
 }
 
-/// Takes changes that another VM read.
-pub(crate) fn take(gateway: &Arc<Gateway>, news: RecordNews) {
+/// Applies the changes that a reader reported.
+pub(crate) fn apply(gateway: &Arc<Gateway>, update: RecordUpdate) {
     let now = clock::now();
     let mut changes = EntryChanges::default();
-    for named in news.versions {
-        take_version(gateway, named.key, named.version, false);
+    for named in update.versions {
+        record_version(gateway, named.key, named.version, false);
     }
     let reads = reads_for_others(gateway);
     let mut beliefs = gateway.beliefs();
     let known_at = |age_ms: u32| TimePoint(now.0.saturating_sub(u64::from(age_ms) * 1_000));
-    beliefs.operators_told_at = beliefs.operators_told_at.max(known_at(news.operators_age_ms));
-    if beliefs.coverage.told(news.span) {
-        beliefs.servers_told_at = beliefs.servers_told_at.max(known_at(news.servers_age_ms));
+    beliefs.operators_known_at = beliefs.operators_known_at.max(known_at(update.operators_age_ms));
+    if beliefs.coverage.told(update.span) {
+        beliefs.entries_known_at = beliefs.entries_known_at.max(known_at(update.servers_age_ms));
     } else if !reads && !beliefs.missed_entries {
-        // Without a look of its own this VM would go on sending to a server that is gone.
-        event!(EntriesMissed, told_by = news.vm, since = news.span.since);
+        // Without an own read this VM would go on sending to a removed server.
+        event!(EntriesMissed, told_by = update.vm, since = update.span.since);
         beliefs.missed_entries = true;
         gateway.entries_missed.notify_one();
     }
-    beliefs.roster.told_config(&news.vm, news.config);
-    if beliefs.table.as_ref().is_some_and(|table| table.version.0 < news.config) {
+    beliefs.roster.record_config(&update.vm, update.config);
+    if beliefs.table.as_ref().is_some_and(|table| table.version.0 < update.config) {
         gateway.config_behind.notify_waiters();
     }
-    for entry in news.entries {
-        if beliefs.take_entry(&entry, now) {
+    for entry in update.entries {
+        if beliefs.apply_entry(&entry, now) {
             changes.entries.push(entry);
         }
     }
     if !changes.entries.is_empty() {
         beliefs.expect_fleet();
     }
-    for gone in &news.gone {
+    for gone in &update.gone {
         beliefs.lapse(gone.server.as_str(), gone.position, false, now);
     }
     drop(beliefs);
     remove_lapsed(gateway);
     if !changes.entries.is_empty() {
-        changes.look(gateway);
+        changes.wake(gateway);
     }
 }
 
-/// Takes a version of an adapter that was named, and tells others of it if it was read here.
-pub(crate) fn take_version(gateway: &Gateway, key: AdapterKey, version: u64, read: bool) -> bool {
+/// Records the named version of an adapter, and schedules its report to others if this VM `read` it
+/// for them. Returns whether the version is new.
+pub(crate) fn record_version(
+    gateway: &Gateway,
+    key: AdapterKey,
+    version: u64,
+    is_reader: bool,
+) -> bool {
     let mut beliefs = gateway.beliefs();
     if !beliefs.name_version(key.clone(), version, clock::now()) {
         return false;
     }
     event!(AdapterVersionNamed, adapter = key.adapter, version = version);
-    if read && beliefs.told_versions.len() < MOST_TOLD_VERSIONS {
-        beliefs.told_versions.push((SharedVersion { key, version }, NEWS_REPEATS));
+    if is_reader && beliefs.unreported_versions.len() < MAX_REPORTED_VERSIONS {
+        beliefs.unreported_versions.push((SharedVersion { key, version }, UPDATE_REPEATS));
     }
     true
 }
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to the servers that this VM holds the tenure of.
+//! Orders to the servers whose lease this VM holds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,63 +20,64 @@
 use crate::message::{AdapterUse, PeerMessage, ServerLists};
 use crate::state::{Beliefs, Gateway};
 
-/// After how long a server's list is spread again without a change: VMs that missed a datagram and
-/// VMs that started since get it so, and all learn that the server has an owner.
-const REPEAT_LIST_US: u64 = 500_000;
-/// The same in large fleets, where aggregators tell of each server once a second.
-const LARGE_REPEAT_LIST_US: u64 = 1_500_000;
-/// How much less often base models are loaded than the weight store allows: VMs do not know each
-/// other's loads.
+/// Interval at which an unchanged list of a server is sent again, in microseconds. It reaches VMs
+/// that missed a datagram or started since, and shows that the server has an owner.
+const LIST_REPEAT_INTERVAL_US: u64 = 500_000;
+/// The same interval in large fleets, where aggregators report each server once a second.
+const LARGE_LIST_REPEAT_INTERVAL_US: u64 = 1_500_000;
+/// Factor by which the rate of base model loads stays below what the weight store allows, since VMs
+/// do not know of each other's loads.
 const MODEL_LOAD_MARGIN: f64 = 1.3;
 
-/// The book of a server and what was told of it.
+/// The order tracker of a server, and what was last reported of it.
 #[derive(Debug)]
-struct ServerBook {
+struct ServerTracker {
     server: ServerName,
-    /// The life that the book is of. A later one has accepted no orders and holds nothing.
+    /// Start time of the incarnation that the tracker is for. A later incarnation has accepted no
+    /// orders and holds nothing.
     born: u64,
     fence: u64,
-    book: OrderBook,
-    told_revision: u64,
-    told_free: u32,
+    tracker: OrderBook,
+    reported_revision: u64,
+    reported_free: u32,
     told_at: TimePoint,
-    /// VMs that wished for adapters here, and when they last did.
-    wishers: Vec<(VmName, TimePoint)>,
+    /// VMs that requested loads here, and when they last did.
+    requesters: Vec<(VmName, TimePoint)>,
 }
 
-/// For how long a VM that wished for an adapter at a server is told of its list at once: a load from a crowded
-/// store and the looks at it take less.
-const WISHER_US: u64 = 1_500_000;
+/// For how long after a load request the requesting VM gets changed lists directly, in
+/// microseconds. Loading from a busy store and polling for the result take less.
+const REQUESTER_TTL_US: u64 = 1_500_000;
 
-impl ServerBook {
-    /// VMs whose requests wait for an adapter here, or did a moment ago. In large fleets they would else hear
-    /// from their aggregator, some times a second, that a load was ordered, was lost or takes longer, and
-    /// send to the server in vain until then.
-    fn wishers(&mut self, now: TimePoint) -> Vec<VmName> {
-        self.wishers.retain(|(_, at)| now.since(*at) < WISHER_US);
-        self.wishers.iter().map(|(vm, _)| vm.clone()).collect()
+impl ServerTracker {
+    /// Returns the VMs that recently requested a load here. In large fleets their aggregator would
+    /// report only a few times a second that a load was ordered, was lost or takes longer, and
+    /// until then they would send requests to the server in vain.
+    fn requesters(&mut self, now: TimePoint) -> Vec<VmName> {
+        self.requesters.retain(|(_, at)| now.since(*at) < REQUESTER_TTL_US);
+        self.requesters.iter().map(|(vm, _)| vm.clone()).collect()
     }
 }
 
-/// The books of all servers that this VM orders, sorted by server.
+/// The trackers of all servers that this VM orders, sorted by server.
 #[derive(Debug, Default)]
-pub(crate) struct ServerBooks {
-    books: Vec<ServerBook>,
+pub(crate) struct ServerTrackers {
+    trackers: Vec<ServerTracker>,
     model_load_at: Option<TimePoint>,
 }
 
-impl ServerBooks {
+impl ServerTrackers {
     fn find(&self, server: &ServerName) -> Result<usize, usize> {
-        self.books.binary_search_by(|book| book.server.cmp(server))
+        self.trackers.binary_search_by(|tracker| tracker.server.cmp(server))
     }
 
-    /// The book of a server, if this VM orders it.
+    /// Returns the tracker of a server, if this VM orders it.
     pub(crate) fn get(&mut self, server: &ServerName) -> Option<&mut OrderBook> {
         let at = self.find(server).ok()?;
-        Some(&mut self.books[at].book)
+        Some(&mut self.trackers[at].tracker)
     }
 
-    /// Takes a wish for an adapter at a server, if this VM orders it.
+    /// Records a load request for an adapter at a server; ignored if this VM does not order it.
     pub(crate) fn wish(
         &mut self,
         server: &ServerName,
@@ -86,74 +87,74 @@
         now: TimePoint,
     ) {
         let Ok(at) = self.find(server) else { return };
-        let entry = &mut self.books[at];
-        entry.wishers.retain(|(vm, _)| *vm != waiting.vm);
-        entry.wishers.push((waiting.vm.clone(), now));
-        entry.book.wish(key, version, waiting, now);
+        let entry = &mut self.trackers[at];
+        entry.requesters.retain(|(vm, _)| *vm != waiting.vm);
+        entry.requesters.push((waiting.vm.clone(), now));
+        entry.tracker.wish(key, version, waiting, now);
     }
 
-    /// The book of a server's life, if this VM orders it and knows of no later one.
-    fn of_life(&mut self, server: &ServerName, born: u64) -> Option<&mut OrderBook> {
+    /// Returns the tracker of a server, if it is for the incarnation that started at `born`.
+    fn of_incarnation(&mut self, server: &ServerName, born: u64) -> Option<&mut OrderBook> {
         let at = self.find(server).ok()?;
-        let entry = &mut self.books[at];
-        (entry.born == born).then_some(&mut entry.book)
+        let entry = &mut self.trackers[at];
+        (entry.born == born).then_some(&mut entry.tracker)
     }
 
     fn close(&mut self, server: &ServerName) -> bool {
         let found = self.find(server);
-        found.map(|at| self.books.remove(at)).is_ok()
+        found.map(|at| self.trackers.remove(at)).is_ok()
     }
 
     fn open(&mut self, server: &ServerName, terms: &OrderTerms, now: TimePoint) -> usize {
-        let OrderTerms { born, fence, places, .. } = *terms;
-        if self.find(server).is_ok_and(|at| self.books[at].born != born) {
+        let OrderTerms { born, fence, slots, .. } = *terms;
+        if self.find(server).is_ok_and(|at| self.trackers[at].born != born) {
             self.close(server);
         }
         let at = self.find(server).unwrap_or_else(|at| {
-            event!(OwnerTaken, server = server, born = born, fence = fence, places = places);
-            let book = OrderBook::new(BookSettings::default(), places, now);
+            event!(OwnerTaken, server = server, born = born, fence = fence, places = slots);
+            let tracker = OrderBook::new(BookSettings::default(), slots, now);
             let server = server.clone();
-            let entry = ServerBook {
+            let entry = ServerTracker {
                 server,
                 born,
                 fence,
-                book,
-                told_revision: 0,
-                told_free: 0,
+                tracker,
+                reported_revision: 0,
+                reported_free: 0,
                 told_at: TimePoint(0),
-                wishers: Vec::new(),
+                requesters: Vec::new(),
             };
-            self.books.insert(at, entry);
+            self.trackers.insert(at, entry);
             at
         });
-        self.books[at].fence = fence;
-        self.books[at].book.set_places(places);
+        self.trackers[at].fence = fence;
+        self.trackers[at].tracker.set_places(slots);
         at
     }
 
-    /// Servers at which adapters are wished for.
-    fn with_wishes(&self) -> Vec<ServerName> {
-        let wished = self.books.iter().filter(|entry| entry.book.has_wishes());
+    /// Returns the servers at which adapter loads are requested.
+    fn with_load_requests(&self) -> Vec<ServerName> {
+        let wished = self.trackers.iter().filter(|entry| entry.tracker.has_wishes());
         wished.map(|entry| entry.server.clone()).collect()
     }
 
-    /// Servers with a book.
+    /// Returns the servers that have a tracker.
     pub(crate) fn servers(&self) -> Vec<ServerName> {
-        self.books.iter().map(|book| book.server.clone()).collect()
+        self.trackers.iter().map(|tracker| tracker.server.clone()).collect()
     }
 }
 
-/// Under which terms a server may be ordered.
+/// Parameters for ordering a server.
 struct OrderTerms {
     address: SocketAddr,
     born: u64,
     fence: u64,
-    places: usize,
+    slots: usize,
     /// The base model to load if it holds none.
     model: Option<ModelName>,
 }
 
-/// What is to be sent to a server.
+/// A call to be sent to a server.
 struct ServerCall {
     address: SocketAddr,
     born: u64,
@@ -161,19 +162,19 @@
     action: BookAction,
 }
 
-/// A server's list that is to be told.
+/// A server's list that is due to be reported.
 struct DueList {
     lists: ServerLists,
-    /// VMs that are told at once in large fleets.
-    wishers: Vec<VmName>,
+    /// VMs that get the list directly in large fleets.
+    requesters: Vec<VmName>,
 }
 
-/// Looks at every server that this VM may order.
+/// Sends the next order to every server that this VM may order.
 pub(crate) fn drive_all(gateway: &Arc<Gateway>) {
     {
         // Most VMs of a large fleet order no server.
         let beliefs = gateway.beliefs();
-        if beliefs.tenure.held() == 0 && beliefs.books.books.is_empty() {
+        if beliefs.tenure.held() == 0 && beliefs.books.trackers.is_empty() {
             return;
         }
     }
@@ -188,39 +189,40 @@
     }
 }
 
-/// The longest that a VM lets others go first when the store has room for a load, in microseconds: about
-/// what the word of a load takes to reach the others.
-const TURN_US: u64 = 6_000;
-/// Between two looks whether loads wait for others to be done.
-const TURN_LOOK: Duration = Duration::from_millis(125);
+/// Upper bound of the random delay before a VM orders the next load after one has finished, in
+/// microseconds: about what a list takes to reach the other VMs.
+const LOAD_JITTER_US: u64 = 6_000;
+/// Interval of the check whether loads wait for others to finish.
+const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(125);
 
-/// Orders the loads that wait for others to be done, for ever.
+/// Runs for ever, ordering loads that wait for other loads to finish.
 ///
-/// Each VM hears of all loads and knows when they will be done. Without a turn all would order their next
-/// load in the same moment.
+/// Every VM receives the lists with all loads and computes the same finish times. Without a random
+/// delay all would order their next load at the same moment.
 pub(crate) async fn take_turns(gateway: Arc<Gateway>) {
     loop {
-        let pause = next_turn(&gateway).unwrap_or(TURN_LOOK);
+        let pause = next_load_delay(&gateway).unwrap_or(LOAD_CHECK_INTERVAL);
         tokio::time::sleep(pause).await;
-        let waits = gateway.beliefs().books.with_wishes();
+        let waits = gateway.beliefs().books.with_load_requests();
         for server in &waits {
             drive(&gateway, server);
         }
     }
 }
 
-/// The time until this VM may order a load that waits for others to be done.
-fn next_turn(gateway: &Gateway) -> Option<Duration> {
+/// Returns the time until this VM may order a load that waits for others, `None` if none waits or
+/// no load is under way.
+fn next_load_delay(gateway: &Gateway) -> Option<Duration> {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
-    if beliefs.books.with_wishes().is_empty() {
+    if beliefs.books.with_load_requests().is_empty() {
         return None;
     }
     let done = beliefs.backends.next_load_done(now)?;
-    Some(Duration::from_micros(done.since(now) + beliefs.draw() % TURN_US))
+    Some(Duration::from_micros(done.since(now) + beliefs.draw() % LOAD_JITTER_US))
 }
 
-/// Gives a server its next order, if there is one, and tells the other VMs what changed.
+/// Sends a server its next order, if there is one, and reports changes of its list.
 pub(crate) fn drive(gateway: &Arc<Gateway>, server: &ServerName) {
     if let Some(call) = next_call(gateway, server) {
         let (gateway, server) = (Arc::clone(gateway), server.clone());
@@ -240,7 +242,7 @@
     let (call, list) = beliefs.next_call(gateway, server, now)?;
     drop(beliefs);
     if let Some(list) = list {
-        spread(gateway, list);
+        send_list(gateway, list);
     }
     call
 }
@@ -261,9 +263,9 @@
         let at = self.books.open(server, &terms, now);
         let OrderTerms { address, born, fence, model, .. } = terms;
         let forecast = self.forecast(now);
-        let may_load = model.is_some() && self.books.books[at].book.is_empty();
-        let book = &mut self.books.books[at];
-        let action = book.book.next(model.as_ref().filter(|_| may_load), &forecast, now);
+        let may_load = model.is_some() && self.books.trackers[at].tracker.is_empty();
+        let tracker = &mut self.books.trackers[at];
+        let action = tracker.tracker.next(model.as_ref().filter(|_| may_load), &forecast, now);
         if let Some(BookAction::Order(order)) = &action
             && matches!(order.action, OrderAction::LoadModel { .. })
         {
@@ -274,12 +276,12 @@
         Some((call, list))
     }
 
-    /// What a load that is ordered now is expected to take.
+    /// Returns the expected duration of a load that is ordered now.
     pub(crate) fn forecast(&self, now: TimePoint) -> LoadForecast {
         self.times.forecast(self.backends.loads_under_way(now))
     }
 
-    /// Under which terms this VM may order a server now.
+    /// Returns the parameters for ordering a server, `None` if this VM may not order it now.
     fn order_terms(
         &self,
         gateway: &Gateway,
@@ -290,14 +292,14 @@
         let table = self.table.as_ref()?;
         let plan = table.service(state.entry.service.as_str())?.engine.as_ref()?;
         let fence = self.fence(&gateway.settings, server, now)?;
-        let places = places(plan, &state.entry.models);
+        let slots = adapter_slots(plan, &state.entry.models);
         let model = self.model_to_load(plan, now);
         let (address, born) = (state.entry.address, state.entry.born);
-        Some(OrderTerms { address, born, fence, places, model })
+        Some(OrderTerms { address, born, fence, slots, model })
     }
 
-    /// The base model that an empty server should load: the one that the fewest servers hold. None
-    /// while the weight store's rate does not allow a load.
+    /// Returns the base model that an empty server should load, which is the one that the fewest
+    /// servers hold. `None` while the weight store's rate allows no load.
     fn model_to_load(&self, plan: &EnginePlan, now: TimePoint) -> Option<ModelName> {
         let rate = plan.loads_per_second.max(0.01);
         let pause_s = MODEL_LOAD_MARGIN * self.vm_count(now) as f64 / rate;
@@ -315,27 +317,27 @@
 
     fn due_list(&mut self, gateway: &Gateway, at: usize, now: TimePoint) -> Option<DueList> {
         let large = self.roster.is_large(now);
-        let repeat_us = if large { LARGE_REPEAT_LIST_US } else { REPEAT_LIST_US };
-        let entry = &mut self.books.books[at];
-        let free = entry.book.free(now) as u32;
-        let changed =
-            entry.book.revision() != entry.told_revision || (free == 0) != (entry.told_free == 0);
+        let repeat_us = if large { LARGE_LIST_REPEAT_INTERVAL_US } else { LIST_REPEAT_INTERVAL_US };
+        let entry = &mut self.books.trackers[at];
+        let free = entry.tracker.free(now) as u32;
+        let changed = entry.tracker.revision() != entry.reported_revision
+            || (free == 0) != (entry.reported_free == 0);
         let due = changed || now.since(entry.told_at) >= repeat_us;
-        if !due || !entry.book.is_known() {
+        if !due || !entry.tracker.is_known() {
             return None;
         }
         let times = self.times.told();
-        let wishers = if changed { entry.wishers(now) } else { Vec::new() };
-        entry.told_revision = entry.book.revision();
+        let requesters = if changed { entry.requesters(now) } else { Vec::new() };
+        entry.reported_revision = entry.tracker.revision();
         entry.told_at = now;
-        entry.told_free = free;
-        let holdings = entry.book.adapters(now);
+        entry.reported_free = free;
+        let holdings = entry.tracker.adapters(now);
         let change = ListChange {
             server: entry.server.clone(),
             born: entry.born,
             vm: gateway.settings.vm.clone(),
             fence: entry.fence,
-            revision: entry.told_revision,
+            revision: entry.reported_revision,
             base: None,
             free,
             adapters: holdings.iter().map(|held| ListedHolding::of(held, now)).collect(),
@@ -349,11 +351,11 @@
             free,
         };
         self.backends.list(change.server.as_str(), owner, change.revision, holdings);
-        Some(DueList { lists: server_lists(vec![change], times), wishers })
+        Some(DueList { lists: server_lists(vec![change], times), requesters })
     }
 }
 
-/// Lists as they are told, with what the VM expects of loads.
+/// Builds the message with lists and the expected load times.
 pub(crate) fn server_lists(lists: Vec<ListChange>, times: ToldTimes) -> ServerLists {
     ServerLists {
         lists,
@@ -363,8 +365,9 @@
     }
 }
 
-/// Places for adapters at a server: as many as are allowed, and as fit beside its base models.
-fn places(plan: &EnginePlan, held: &[HeldModel]) -> usize {
+/// Returns the adapter slots of a server: the configured number, or fewer if fewer fit beside its
+/// base models.
+fn adapter_slots(plan: &EnginePlan, held: &[HeldModel]) -> usize {
     let weights = |model: &ModelName| {
         plan.models.iter().find(|planned| planned.model == *model).map_or(0.0, |m| m.weights_mb)
     };
@@ -377,14 +380,15 @@
     plan.adapter_places.min(room)
 }
 
-/// Tells of a server's list: all VMs, or in large fleets those that tell the others and those that wait for it.
-fn spread(gateway: &Arc<Gateway>, list: DueList) {
+/// Sends a server's list to all VMs; in large fleets to the aggregators and the VMs that wait for
+/// it.
+fn send_list(gateway: &Arc<Gateway>, list: DueList) {
     let now = clock::now();
     let peers = {
         let beliefs = gateway.beliefs();
         if beliefs.roster.is_large(now) {
             let mut to = beliefs.roster.aggregators(now);
-            to.extend(list.wishers.iter().filter_map(|vm| beliefs.roster.address(vm)));
+            to.extend(list.requesters.iter().filter_map(|vm| beliefs.roster.address(vm)));
             to.sort_unstable();
             to.dedup();
             to
@@ -409,29 +413,35 @@
             {
                 event!(ServerRestarted, server = server, born = report.born, told_by = "report");
             }
-            // What another life says of itself tells nothing of this one.
-            if let Some(book) = beliefs.books.of_life(server, call.born) {
-                let of_life = report.as_ref().filter(|report| report.born == call.born);
-                book.reported(of_life, &forecast, now);
+            // The report of another incarnation says nothing about this one.
+            if let Some(tracker) = beliefs.books.of_incarnation(server, call.born) {
+                let of_incarnation = report.as_ref().filter(|report| report.born == call.born);
+                tracker.reported(of_incarnation, &forecast, now);
             }
             let held = report.as_ref().map(|r| r.models.iter().map(|m| m.adapters.len()).sum());
             let held: Option<usize> = held;
             let orders = report.as_ref().map(|report| report.orders);
             event!(ServerReported, server = server, orders? = orders, adapters? = held);
         }
-        BookAction::Order(order) => give(gateway, server, &call, order).await,
+        BookAction::Order(order) => send_order(gateway, server, &call, order).await,
     }
 }
 
-async fn give(gateway: &Arc<Gateway>, server: &ServerName, call: &ServerCall, order: &ServerOrder) {
+async fn send_order(
+    gateway: &Arc<Gateway>,
+    server: &ServerName,
+    call: &ServerCall,
+    order: &ServerOrder,
+) {
     let (address, born, fence) = (call.address, call.born, call.fence);
-    if !may_give(gateway, server, born, order) {
-        // Nothing was sent: the book looks at the server anew instead of waiting for a reply.
+    if !may_send(gateway, server, born, order) {
+        // Nothing was sent. With a conflict the tracker polls the server instead of waiting for a
+        // reply.
         let now = clock::now();
         let mut beliefs = gateway.beliefs();
         let forecast = beliefs.forecast(now);
-        if let Some(book) = beliefs.books.of_life(server, born) {
-            book.replied(order, OrderReply::Conflict, &forecast, now);
+        if let Some(tracker) = beliefs.books.of_incarnation(server, born) {
+            tracker.replied(order, OrderReply::Conflict, &forecast, now);
         }
         return;
     }
@@ -458,13 +468,13 @@
     {
         beliefs.backends.unreachable(server.as_str(), now);
     }
-    let Some(book) = beliefs.books.of_life(server, born) else { return };
-    book.replied(order, reply, &forecast, now);
+    let Some(tracker) = beliefs.books.of_incarnation(server, born) else { return };
+    tracker.replied(order, reply, &forecast, now);
     let load = match &order.action {
-        OrderAction::LoadAdapter { key, .. } => book.ordered(key),
+        OrderAction::LoadAdapter { key, .. } => tracker.ordered(key),
         _ => None,
     };
-    let (held, places) = book.fill();
+    let (held, slots) = tracker.fill();
     event!(
         OrderGiven,
         server = server,
@@ -476,7 +486,7 @@
         outcome = reply_name(reply),
         answer = text,
         held = held,
-        places = places,
+        places = slots,
         beside = forecast.beside,
         expected_ms? = load.map(|load| load.expected_us / 1_000),
         look_ms? = load.map(|load| load.look_us / 1_000),
@@ -484,17 +494,18 @@
     );
 }
 
-/// Looks at an order once more before it is sent.
-fn may_give(gateway: &Gateway, server: &ServerName, born: u64, order: &ServerOrder) -> bool {
-    // The count that the order states is that of one life; another may have come to the same.
+/// Checks the preconditions of an order again just before it is sent.
+fn may_send(gateway: &Gateway, server: &ServerName, born: u64, order: &ServerOrder) -> bool {
+    // The count of accepted orders that the order states belongs to one incarnation. Another one
+    // may have reached the same count.
     if !gateway.beliefs().backends.is_life(server.as_str(), born) {
         return false;
     }
-    // The tenure may have ended since the order was decided on: the VM may have been suspended.
+    // The lease may have ended since the decision, for example while the VM was suspended.
     if gateway.beliefs().fence(&gateway.settings, server, clock::now()).is_none() {
         return false;
     }
-    if overfills(gateway, server, order) {
+    if exceeds_slots(gateway, server, order) {
         event!(
             InvariantBroken,
             server = server,
@@ -505,13 +516,13 @@
     true
 }
 
-/// Whether a load would pass the server's places, which would crash it.
-fn overfills(gateway: &Gateway, server: &ServerName, order: &ServerOrder) -> bool {
+/// Returns whether a load would exceed the server's slots, which would crash the server.
+fn exceeds_slots(gateway: &Gateway, server: &ServerName, order: &ServerOrder) -> bool {
     let OrderAction::LoadAdapter { key, .. } = &order.action else { return false };
     let mut beliefs = gateway.beliefs();
-    let Some(book) = beliefs.books.get(server) else { return true };
-    let (held, places) = book.fill();
-    book.ordered(key).is_none() && held >= places
+    let Some(tracker) = beliefs.books.get(server) else { return true };
+    let (held, slots) = tracker.fill();
+    tracker.ordered(key).is_none() && held >= slots
 }
 
 fn reply_name(reply: OrderReply) -> &'static str {
@@ -526,18 +537,18 @@
     }
 }
 
-/// Takes what requests met at servers that this VM orders.
-pub(crate) fn take_uses(gateway: &Arc<Gateway>, vm: &VmName, uses: &[AdapterUse]) {
+/// Records reported adapter use at servers that this VM orders.
+pub(crate) fn record_uses(gateway: &Arc<Gateway>, vm: &VmName, uses: &[AdapterUse]) {
     let now = clock::now();
     for used in uses {
         let mut beliefs = gateway.beliefs();
         let beliefs = &mut *beliefs;
-        let Some(book) = beliefs.books.of_life(&used.server, used.born) else { continue };
+        let Some(tracker) = beliefs.books.of_incarnation(&used.server, used.born) else { continue };
         let told = ToldUse { vm, begun: used.count, running: used.running };
-        book.used(&used.key, &told, now);
-        let ordered = book.ordered(&used.key);
+        tracker.used(&used.key, &told, now);
+        let ordered = tracker.ordered(&used.key);
         if used.too_early {
-            book.too_early(&used.key, now);
+            tracker.too_early(&used.key, now);
         }
         match ordered {
             Some(load) if used.too_early => beliefs.times.too_early(load, now.since(load.at)),
@@ -545,18 +556,18 @@
             _ => {}
         }
         if used.missing {
-            book.missing(&used.key, now);
+            tracker.missing(&used.key, now);
         }
     }
-    // An adapter that is idle now may make way for one that is wished for.
+    // An adapter that is idle now may be evicted in favour of a requested one.
     for used in uses.iter().filter(|used| used.running == 0) {
         let (gateway, server) = (Arc::clone(gateway), used.server.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(IDLE_LOOK).await;
+            tokio::time::sleep(IDLE_DELAY).await;
             drive(&gateway, &server);
         });
     }
 }
 
-/// After a last use, the time until its adapter is idle and a little more.
-const IDLE_LOOK: Duration = Duration::from_millis(62);
+/// Delay after an adapter's last use until it counts as idle, with a small margin.
+const IDLE_DELAY: Duration = Duration::from_millis(62);
--- a/gateway/src/peer.rs
+++ b/gateway/src/peer.rs
@@ -21,40 +21,42 @@
 use crate::clock;
 use crate::confirm;
 use crate::message::{
-    AdapterUse, LoadNews, MOST_BYTES, PeerMessage, ServerLists, ServerLoad, VmState, decode, encode,
+    AdapterUse, LoadUpdate, MAX_BYTES, PeerMessage, ServerLists, ServerLoad, VmState, decode,
+    encode,
 };
 use crate::news;
 use crate::order;
 use crate::roster::{PeerChange, SMALL_FLEET};
 use crate::state::{Beliefs, Gateway};
 
-/// Between two messages of a VM's state.
-const STATE_PAUSE: Duration = Duration::from_millis(125);
-/// How long a change of this VM's requests waits for others, to be told with them in one message.
-const LOAD_PAUSE: Duration = Duration::from_millis(3);
-/// The same in large fleets, where the aggregator that is told tells on some times a second.
-const LARGE_LOAD_PAUSE: Duration = Duration::from_millis(20);
-/// Every so many of them go to silent VMs too, which may have come back.
-const SILENT_EVERY: u64 = 8;
-/// The VMs that a state goes to at once in fleets of more than [`SMALL_FLEET`]. They take turns, which
-/// bounds what a VM sends whatever the fleet's size.
-pub(crate) const AT_ONCE: usize = 16;
-/// Between two such messages, in microseconds: each other time is enough where many tell, and saves half of the
-/// bytes.
-pub(crate) const STATE_TURN_US: u64 = 250_000;
-/// Other VMs that a state tells of.
-const TOLD_OF: usize = 4;
+/// Interval of a VM's state messages.
+const STATE_INTERVAL: Duration = Duration::from_millis(125);
+/// How long a change of this VM's requests is delayed to be reported with others in one message.
+const LOAD_REPORT_DELAY: Duration = Duration::from_millis(3);
+/// The same in large fleets, where the aggregator that receives the report forwards it a few times
+/// a second.
+const LARGE_LOAD_REPORT_DELAY: Duration = Duration::from_millis(20);
+/// Every n-th state message also goes to unresponsive VMs, which may have come back.
+const UNRESPONSIVE_INTERVAL: u64 = 8;
+/// VMs that one state message goes to in fleets of more than [`SMALL_FLEET`]. The recipients
+/// rotate, which bounds what a VM sends regardless of the fleet's size.
+pub(crate) const ROTATION_SIZE: usize = 16;
+/// Interval of state messages in such fleets, in microseconds: twice [`STATE_INTERVAL`], which halves
+/// the bytes sent.
+pub(crate) const ROTATION_INTERVAL_US: u64 = 250_000;
+/// Addresses of other VMs that a state message carries.
+const SHARED_PEERS: usize = 4;
 
-/// Datagrams that may wait until the kernel takes more: one message to each VM of a large fleet. What
-/// comes beyond is dropped, and repeated by a later message.
-const MOST_WAITING: usize = 1_024;
+/// Datagrams that may be queued until the kernel accepts more: one message to each VM of a large
+/// fleet. Further ones are dropped, and a later message repeats their content.
+const MAX_QUEUED: usize = 1_024;
 
-/// The socket, and a count of the states sent.
+/// The socket, its send queue and the counters of messages sent.
 pub(crate) struct PeerSocket {
     socket: UdpSocket,
     sequence: AtomicU64,
     sends: AtomicU64,
-    /// Bytes sent by kind of message.
+    /// Bytes sent, by kind of message.
     sent_bytes: [AtomicU64; PeerMessage::KINDS.len()],
     waiting: mpsc::Sender<(Bytes, SocketAddr)>,
     queue: Mutex<Option<mpsc::Receiver<(Bytes, SocketAddr)>>>,
@@ -63,15 +65,16 @@
 impl PeerSocket {
     pub(crate) async fn bind(address: SocketAddr) -> io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
-        let (waiting, queue) = mpsc::channel(MOST_WAITING);
+        let (waiting, queue) = mpsc::channel(MAX_QUEUED);
         let queue = Mutex::new(Some(queue));
         let (sequence, sends) = (AtomicU64::new(0), AtomicU64::new(0));
         let sent_bytes = std::array::from_fn(|_| AtomicU64::new(0));
         Ok(Self { socket, sequence, sends, sent_bytes, waiting, queue })
     }
 
-    /// Sends without waiting. What the socket does not take at once goes out as soon as there is room;
-    /// what the queue cannot hold either is repeated by a later message, which begins at another VM.
+    /// Sends a message without blocking. Datagrams that the socket does not accept at once are
+    /// queued; those that do not fit into the queue are dropped, and a later message, which starts
+    /// at another VM, repeats their content.
     pub(crate) fn send(&self, message: &PeerMessage, to: &[SocketAddr]) {
         let bytes = match encode(message) {
             Ok(bytes) => Bytes::from(bytes),
@@ -82,7 +85,7 @@
         };
         let sent = (bytes.len() * to.len()) as u64;
         self.sent_bytes[message.kind()].fetch_add(sent, Ordering::Relaxed);
-        let first = first_told(self.sends.fetch_add(1, Ordering::Relaxed), to.len());
+        let first = first_recipient(self.sends.fetch_add(1, Ordering::Relaxed), to.len());
         let (later, sooner) = to.split_at(first);
         for address in sooner.iter().chain(later) {
             if let Err(error) = self.try_send(&bytes, *address) {
@@ -91,14 +94,14 @@
         }
     }
 
-    /// Bytes sent so far, by kind of message.
+    /// Returns the bytes sent so far, by kind of message.
     pub(crate) fn sent_bytes(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let sent = self.sent_bytes.iter().map(|bytes| bytes.load(Ordering::Relaxed));
         PeerMessage::KINDS.into_iter().zip(sent)
     }
 
     fn try_send(&self, bytes: &Bytes, to: SocketAddr) -> io::Result<()> {
-        if self.waiting.capacity() == MOST_WAITING {
+        if self.waiting.capacity() == MAX_QUEUED {
             match self.socket.try_send_to(bytes, to) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 ended => return ended.map(drop),
@@ -109,18 +112,19 @@
     }
 }
 
-/// The golden ratio as a part of 2^64: its multiples spread evenly over any count.
+/// The fractional part of the golden ratio, scaled to 2^64. Its multiples are spread evenly over
+/// any range.
 const GOLDEN_RATIO: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Which of `count` VMs a message goes to first. A VM with a narrow link cannot carry a message to some tens
-/// of others at once: the link drops what comes last. In the same order each time, the same VMs would miss
-/// the message and each of its repeats, for seconds.
-pub(crate) fn first_told(sends: u64, count: usize) -> usize {
+/// Returns which of `count` VMs a message goes to first. A VM with a narrow link cannot send a
+/// message to dozens of others at once: the link drops the last ones. With a fixed order, the same
+/// VMs would miss the message and each of its repeats, for seconds.
+pub(crate) fn first_recipient(sends: u64, count: usize) -> usize {
     let spread = sends.wrapping_mul(GOLDEN_RATIO) >> 32;
     (spread as usize) % count.max(1)
 }
 
-/// Sends the datagrams that waited for room in the socket's buffer, for ever.
+/// Runs for ever, sending the datagrams that are queued for room in the socket's buffer.
 pub(crate) async fn send_waiting(peers: Arc<PeerSocket>) {
     let queue = peers.queue.lock().unwrap_or_else(PoisonError::into_inner).take();
     let Some(mut queue) = queue else { return };
@@ -131,16 +135,17 @@
     }
 }
 
-/// Reads datagrams for ever.
+/// Runs for ever, receiving datagrams.
 pub(crate) async fn listen(gateway: Arc<Gateway>) {
-    let mut bytes = vec![0; MOST_BYTES];
+    let mut bytes = vec![0; MAX_BYTES];
     loop {
         match gateway.peers.socket.recv_from(&mut bytes).await {
             Ok((length, from)) => match decode(&bytes[..length]) {
-                Some(message) => take(&gateway, message, from),
+                Some(message) => dispatch(&gateway, message, from),
                 None => event!(PeerRefused, address = from, bytes = length, direction = "in"),
             },
-            // A VM that is gone shows as a refused datagram; the others go on.
+            // A VM that is down causes an error for its refused datagram; others are still
+            // received.
             Err(error) => {
                 event!(PeerUnsent, cause = error);
                 tokio::task::yield_now().await;
@@ -149,43 +154,45 @@
     }
 }
 
-/// Tells the other VMs of this one, for ever.
+/// Runs for ever, reporting this VM's state to the other VMs.
 pub(crate) async fn tell(gateway: Arc<Gateway>) {
     loop {
         tell_once(&gateway);
         order::drive_all(&gateway);
         send_uses(&gateway);
-        tokio::time::sleep(STATE_PAUSE).await;
+        tokio::time::sleep(STATE_INTERVAL).await;
     }
 }
 
-/// Tells the other VMs at once where this VM's requests changed, for ever.
+/// Runs for ever, reporting changes of this VM's requests to the other VMs shortly after they
+/// happen.
 ///
-/// An engine reads a usual prompt in less time than lies between two states. With those alone several
-/// VMs send to a server that just got a prompt, and its streams stop for all of them.
+/// An engine reads a typical prompt in less than the interval of state messages. With those alone,
+/// several VMs would send to a server that just got a prompt, and its streams would stall for all
+/// of them.
 pub(crate) async fn tell_loads(gateway: Arc<Gateway>) {
     loop {
         gateway.loads_changed.notified().await;
         let large = gateway.beliefs().roster.is_large(clock::now());
-        tokio::time::sleep(if large { LARGE_LOAD_PAUSE } else { LOAD_PAUSE }).await;
-        tell_changed_loads(&gateway);
+        tokio::time::sleep(if large { LARGE_LOAD_REPORT_DELAY } else { LOAD_REPORT_DELAY }).await;
+        report_changed_loads(&gateway);
     }
 }
 
-/// Tells the other VMs at once where this VM's requests changed. In large fleets its aggregator is told in a
-/// moment, with what else changed until then: it tells on in its turn anyway.
+/// Reports changes of this VM's requests to the other VMs at once. In large fleets they go to the
+/// aggregator with the next batch instead, which it forwards at its own interval anyway.
 pub(crate) fn tell_loads_now(gateway: &Arc<Gateway>) {
     if gateway.beliefs().roster.is_large(clock::now()) {
         gateway.loads_changed.notify_one();
     } else {
-        tell_changed_loads(gateway);
+        report_changed_loads(gateway);
     }
 }
 
-fn tell_changed_loads(gateway: &Arc<Gateway>) {
+fn report_changed_loads(gateway: &Arc<Gateway>) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
-    let servers = std::mem::take(&mut beliefs.untold_loads);
+    let servers = std::mem::take(&mut beliefs.unreported_loads);
     let untold_uses = std::mem::take(&mut beliefs.untold_uses);
     if servers.is_empty() && !untold_uses {
         return;
@@ -205,7 +212,7 @@
     } else {
         beliefs.roster.live(now)
     };
-    let news = LoadNews {
+    let update = LoadUpdate {
         vm: gateway.settings.vm.clone(),
         incarnation: gateway.incarnation,
         sequence: gateway.peers.sequence.load(Ordering::Relaxed),
@@ -213,47 +220,47 @@
         uses,
     };
     drop(beliefs);
-    gateway.peers.send(&PeerMessage::Loads(news), &to);
+    gateway.peers.send(&PeerMessage::Loads(update), &to);
 }
 
-fn take_loads(gateway: &Arc<Gateway>, news: &LoadNews) {
+fn apply_loads(gateway: &Arc<Gateway>, update: &LoadUpdate) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
-    if !beliefs.roster.is_current(&news.vm, news.incarnation, news.sequence) {
+    if !beliefs.roster.is_current(&update.vm, update.incarnation, update.sequence) {
         return;
     }
-    for load in &news.loads {
-        beliefs.backends.peer_load(&news.vm, load.server.as_str(), load.figure(), now);
+    for load in &update.loads {
+        beliefs.backends.peer_load(&update.vm, load.server.as_str(), load.figure(), now);
     }
-    if let Some(uses) = &news.uses {
-        beliefs.limiter.member_use(now, &news.vm, uses);
+    if let Some(uses) = &update.uses {
+        beliefs.limiter.member_use(now, &update.vm, uses);
     }
     drop(beliefs);
     gateway.others_read.notify_waiters();
 }
 
-/// Tells the other VMs of this one now.
+/// Sends this VM's state to the other VMs now.
 pub(crate) fn tell_once(gateway: &Arc<Gateway>) {
     let sequence = gateway.peers.sequence.fetch_add(1, Ordering::Relaxed) + 1;
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
-    beliefs.roster.forget(now);
-    beliefs.wishes.forget(now);
-    let (seen, known) = beliefs.in_touch(gateway, now);
+    beliefs.roster.drop_expired(now);
+    beliefs.wishes.drop_expired(now);
+    let (seen, known) = beliefs.reporting_counts(gateway, now);
     beliefs.limiter.in_touch(now, seen, known);
     let mut to = beliefs.roster.live(now);
-    let others = draw(&to, TOLD_OF, &mut beliefs.random);
+    let others = sample(&to, SHARED_PEERS, &mut beliefs.random);
     let large = to.len() > SMALL_FLEET;
     if large {
         if !sequence.is_multiple_of(2) && !gateway.leaving() {
             return;
         }
-        let first = (sequence as usize / 2 * AT_ONCE) % to.len();
+        let first = (sequence as usize / 2 * ROTATION_SIZE) % to.len();
         to.rotate_left(first);
-        to.truncate(AT_ONCE);
+        to.truncate(ROTATION_SIZE);
     }
-    if sequence.is_multiple_of(SILENT_EVERY) || sequence < SILENT_EVERY {
-        to.extend(beliefs.roster.silent(now));
+    if sequence.is_multiple_of(UNRESPONSIVE_INTERVAL) || sequence < UNRESPONSIVE_INTERVAL {
+        to.extend(beliefs.roster.unresponsive(now));
     }
     let own = gateway.settings.listen.peers;
     to.retain(|address| *address != own);
@@ -280,8 +287,8 @@
     }
 }
 
-/// Tells all VMs that live that this one aggregates for its domain now, or does so no more.
-pub(crate) fn tell_all(gateway: &Arc<Gateway>) {
+/// Reports to all live VMs that this one started or stopped aggregating for its domain.
+pub(crate) fn report_to_all(gateway: &Arc<Gateway>) {
     let sequence = gateway.peers.sequence.fetch_add(1, Ordering::Relaxed) + 1;
     let beliefs = gateway.beliefs();
     let to = beliefs.roster.live(clock::now());
@@ -308,7 +315,7 @@
             u32::try_from(clock::now().since(beliefs.answers.last()) / 1_000).unwrap_or(u32::MAX)
         }),
         domain: gateway.settings.domain.clone(),
-        strong: beliefs.domain.strong,
+        strong: beliefs.domain.eligible,
         aggregates: beliefs.domain.aggregates,
         loads: None,
         uses: None,
@@ -316,40 +323,40 @@
     }
 }
 
-fn draw(from: &[SocketAddr], count: usize, random: &mut Pcg64) -> Vec<SocketAddr> {
-    let mut drawn = from.to_vec();
-    drawn.shuffle(random);
-    drawn.truncate(count);
-    drawn
+fn sample(from: &[SocketAddr], count: usize, random: &mut Pcg64) -> Vec<SocketAddr> {
+    let mut sampled = from.to_vec();
+    sampled.shuffle(random);
+    sampled.truncate(count);
+    sampled
 }
 
-fn take(gateway: &Arc<Gateway>, message: PeerMessage, from: SocketAddr) {
+fn dispatch(gateway: &Arc<Gateway>, message: PeerMessage, from: SocketAddr) {
     match message {
-        PeerMessage::State(state) => take_state(gateway, &state, from),
-        PeerMessage::Lists(lists) => take_lists(gateway, lists),
-        PeerMessage::Wish(wish) => {
+        PeerMessage::State(state) => apply_state(gateway, &state, from),
+        PeerMessage::Lists(lists) => apply_lists(gateway, lists),
+        PeerMessage::Wish(request) => {
             let now = clock::now();
             let mut beliefs = gateway.beliefs();
-            let in_time_until = now.plus(u64::from(wish.in_time_ms) * 1_000);
-            let waiting = WaitingRequests { vm: wish.vm, count: wish.waiting, in_time_until };
-            beliefs.books.wish(&wish.server, &wish.key, wish.version, waiting, now);
+            let in_time_until = now.plus(u64::from(request.in_time_ms) * 1_000);
+            let waiting = WaitingRequests { vm: request.vm, count: request.waiting, in_time_until };
+            beliefs.books.wish(&request.server, &request.key, request.version, waiting, now);
             drop(beliefs);
-            order::drive(gateway, &wish.server);
+            order::drive(gateway, &request.server);
         }
-        PeerMessage::News(news) => news::take(gateway, news),
-        PeerMessage::Loads(news) => take_loads(gateway, &news),
-        PeerMessage::Uses(vm, uses) => order::take_uses(gateway, &vm, &uses),
-        PeerMessage::Domain(news) => aggregate::take_news(gateway, news),
-        PeerMessage::Sums(sums) => aggregate::take_sums(gateway, &sums),
-        PeerMessage::Question(question) => confirm::take_question(gateway, question, from),
-        PeerMessage::Answer(answer) => confirm::take_answer(gateway, &answer),
+        PeerMessage::News(update) => news::apply(gateway, update),
+        PeerMessage::Loads(update) => apply_loads(gateway, &update),
+        PeerMessage::Uses(vm, uses) => order::record_uses(gateway, &vm, &uses),
+        PeerMessage::Domain(update) => aggregate::apply_update(gateway, update),
+        PeerMessage::Sums(sums) => aggregate::apply_sums(gateway, &sums),
+        PeerMessage::Question(question) => confirm::answer_question(gateway, question, from),
+        PeerMessage::Answer(answer) => confirm::apply_answer(gateway, &answer),
     }
 }
 
-fn take_state(gateway: &Arc<Gateway>, state: &VmState, from: SocketAddr) {
+fn apply_state(gateway: &Arc<Gateway>, state: &VmState, from: SocketAddr) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
-    let change = beliefs.roster.heard(state, from, now);
+    let change = beliefs.roster.apply(state, from, now);
     if change == PeerChange::Old {
         return;
     }
@@ -357,7 +364,7 @@
         beliefs.roster.hint(*other);
     }
     if let Some(loads) = &state.loads {
-        // A server that is not named has none of that VM's requests any more.
+        // The VM has no requests at servers that are not named.
         beliefs.backends.peer_gone(&state.vm);
         for load in loads {
             beliefs.backends.peer_load(&state.vm, load.server.as_str(), load.figure(), now);
@@ -379,8 +386,8 @@
     }
 }
 
-/// Takes what servers hold, from the VM that orders one or from an aggregator.
-pub(crate) fn take_lists(gateway: &Arc<Gateway>, lists: ServerLists) {
+/// Applies lists of what servers hold, from the VM that orders a server or from an aggregator.
+pub(crate) fn apply_lists(gateway: &Arc<Gateway>, lists: ServerLists) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
     let (mut taken, mut awaited) = (false, false);
@@ -404,7 +411,7 @@
         });
     }
     drop(beliefs);
-    // Hundreds of lists come in a second; requests look again only for what they wait for.
+    // Hundreds of lists arrive in a second; requests check again only for adapters they wait for.
     if awaited {
         gateway.changed.notify_waiters();
     }
@@ -431,24 +438,25 @@
     }
     drop(beliefs);
     let vm = &gateway.settings.vm;
-    order::take_uses(gateway, vm, &own);
+    order::record_uses(gateway, vm, &own);
     for (address, uses) in by_owner {
         gateway.peers.send(&PeerMessage::Uses(vm.clone(), uses), &[address]);
     }
 }
 
-/// Tells the VM that orders a server at once how an adapter is used there.
+/// Reports the use of an adapter at a server to the VM that orders it, without waiting for the next
+/// batch.
 pub(crate) fn tell_use(gateway: &Arc<Gateway>, server: &ServerName, born: u64, key: &AdapterKey) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
     let Some(owner) = beliefs.backends.owner(server.as_str(), now).cloned() else { return };
-    let told = beliefs.uses.take_one(server, born, key);
+    let used = beliefs.uses.take_one(server, born, key);
     let address = beliefs.roster.address(&owner.vm);
     drop(beliefs);
     let vm = &gateway.settings.vm;
     if owner.vm == *vm {
-        order::take_uses(gateway, vm, &[told]);
+        order::record_uses(gateway, vm, &[used]);
     } else if let Some(address) = address {
-        gateway.peers.send(&PeerMessage::Uses(vm.clone(), vec![told]), &[address]);
+        gateway.peers.send(&PeerMessage::Uses(vm.clone(), vec![used]), &[address]);
     }
 }
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -9,30 +9,30 @@
 use coltsfoothook_settings::settings_struct;
 use coltsfoothook_telemetry::{LogOutput, LogSettings};
 
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+const UNSPECIFIED: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 settings_struct! {
-    /// Where the process listens.
+    /// Addresses that the process listens on.
     pub struct ListenSettings {
         /// For callers' requests.
-        pub requests: SocketAddr = NOWHERE;
-        /// For the platform's question whether the VM is ready.
-        pub ready: SocketAddr = NOWHERE;
-        /// For callers that ask which addresses to use.
-        pub addresses: SocketAddr = NOWHERE;
+        pub requests: SocketAddr = UNSPECIFIED;
+        /// For the platform's check whether the VM is ready.
+        pub ready: SocketAddr = UNSPECIFIED;
+        /// For callers that query which addresses to use.
+        pub addresses: SocketAddr = UNSPECIFIED;
         /// For other VMs of the system, over UDP and TCP; the port is the same on all VMs.
-        pub peers: SocketAddr = NOWHERE;
+        pub peers: SocketAddr = UNSPECIFIED;
         /// For metrics.
-        pub metrics: SocketAddr = NOWHERE;
+        pub metrics: SocketAddr = UNSPECIFIED;
     }
 }
 
 settings_struct! {
-    /// What the VM has.
+    /// Capacity of the VM.
     pub struct CapacitySettings {
-        /// Its part of a core.
+        /// Fraction of a core that the VM has; above 1 for several cores.
         pub core_part: f64 = 1.0;
-        /// Its link, in megabits a second.
+        /// Bandwidth of its network link, in megabits per second.
         pub link_mbps: f64 = 1_000.0;
     }
 }
@@ -40,46 +40,48 @@
 settings_struct! {
     /// The platform's store.
     pub struct StoreSettings {
-        /// Where it is reached.
-        pub address: SocketAddr = NOWHERE;
-        /// Partitions of a topic.
+        /// Address of the store.
+        pub address: SocketAddr = UNSPECIFIED;
+        /// Partitions per topic.
         pub parts: u32 = 12, in 1..=100_000;
-        /// The shortest lifetime of a group's member, in milliseconds.
+        /// Shortest lifetime that the store accepts for a group's member, in milliseconds.
         pub least_lifetime_ms: u64 = 1_000, in 1..=600_000;
     }
 }
 
 settings_struct! {
-    /// What the operators hold the system to. Times are in milliseconds unless the name says seconds.
+    /// Limits that the operators require the system to keep. Times are in milliseconds unless the
+    /// name says seconds.
     pub struct PromiseSettings {
-        /// From a stop signal to the end of the process, in seconds.
+        /// Maximum time from a stop signal to the end of the process, in seconds.
         pub grace_s: u64 = 8, in 1..=86_400;
-        /// The least pause between orders of two VMs to one server.
+        /// Minimum pause between orders of two VMs to one server.
         pub order_pause_ms: u64 = 3_000, in 0..=600_000;
         /// Whether servers refuse orders with an old fencing number.
         pub servers_check_fences: bool = false;
-        /// Repeats that are allowed for each request, over all VMs.
+        /// Retries allowed for each request, over all VMs.
         pub repeat_ratio: f64 = 0.2;
-        /// Repeats that are allowed on top in each window, over all VMs.
+        /// Retries allowed in addition in each window, over all VMs.
         pub repeat_slack: f64 = 10.0;
-        /// The window of repeats, in seconds.
+        /// Length of the window in which retries are counted, in seconds.
         pub repeat_window_s: u64 = 10, in 1..=3_600;
-        /// How long callers may keep the addresses that they were told, in seconds.
+        /// How long callers may keep the addresses that they got, in seconds.
         pub address_lifetime_s: u64 = 5, in 1..=3_600;
-        /// Within which time an accepted configuration must be in force.
+        /// Time within which an accepted configuration must be in force.
         pub config_ms: u64 = 2_000, in 100..=3_600_000;
-        /// Within which time a new version of an adapter must be in use.
+        /// Time within which a new version of an adapter must be in use.
         pub version_ms: u64 = 5_000, in 100..=3_600_000;
-        /// Whether a key that was taken away opens nothing at any VM, in touch or not, once `key_removal_ms`
-        /// is over. VMs that cannot tell whether their configuration is the newest then refuse keys.
+        /// Whether a removed key must be refused by every VM, reachable or not, once
+        /// `key_removal_ms` is over. VMs that cannot tell whether their configuration is the newest
+        /// then refuse keys.
         pub strict_key_removal: bool = false;
-        /// Within which time a key that was taken away must open nothing.
+        /// Time within which a removed key must be refused.
         pub key_removal_ms: u64 = 5_000, in 500..=3_600_000;
-        /// The window in which a customer's use is held against its limit, in seconds.
+        /// Window in which a customer's use is compared with its limit, in seconds.
         pub limit_window_s: f64 = 8.0;
-        /// By which part of what it allows in a window a limit may be exceeded, over all VMs.
+        /// Fraction of what a limit allows in a window by which it may be exceeded, over all VMs.
         pub limit_excess_part: f64 = 0.1;
-        /// What is allowed on top in each window, in the limit's unit.
+        /// Amount allowed in addition in each window, in the limit's unit.
         pub limit_slack: f64 = 0.0;
     }
 }
@@ -90,7 +92,7 @@
         RemovalPromise { within, strict: self.strict_key_removal }
     }
 
-    /// By how much customers' limits may be exceeded.
+    /// Returns by how much customers' limits may be exceeded.
     pub(crate) fn limit_excess(&self) -> LimitExcess {
         LimitExcess {
             window_s: self.limit_window_s,
@@ -109,17 +111,18 @@
         pub domain: DomainName = DomainName::default(), required;
         /// Where it listens.
         pub listen: ListenSettings = ListenSettings::default();
-        /// What the VM has. In large fleets those with more tell the others what is new.
+        /// Capacity of the VM. In large fleets VMs with more capacity send updates to the others.
         pub capacity: CapacitySettings = CapacitySettings::default();
-        /// VMs to ask first for others; their ports are not used.
+        /// VMs that are contacted first to discover the others; their ports are not used.
         pub seeds: Vec<SocketAddr> = Vec::new();
-        /// Whether the whole system starts for the first time.
+        /// Whether the whole system starts for the first time. It then gives its first orders
+        /// without a pause.
         pub first_start: bool = false;
         /// The platform's store.
         pub store: StoreSettings = StoreSettings::default();
-        /// What the operators hold the system to.
+        /// Limits that the operators require the system to keep.
         pub promises: PromiseSettings = PromiseSettings::default();
-        /// What is logged.
+        /// What is logged, and where.
         pub logs: LogSettings = LogSettings { output: LogOutput::Stdout, ..LogSettings::default() };
     }
 }
--- a/gateway/src/share.rs
+++ b/gateway/src/share.rs
@@ -1,7 +1,7 @@
-//! Gives the platform's records to VMs that the platform's store turns away, and takes them from others.
+//! Exchange of the platform's records between VMs, for those that cannot read them from the store.
 //!
-//! The store may be down for all when a VM starts, or refuse one VM while it serves the others. Without
-//! this a VM would stay without configuration, or behind the others, for as long.
+//! The store may be down for all when a VM starts, or refuse one VM while it serves the others. The
+//! VM would otherwise have no configuration or an old one until the store answers again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 use crate::message::{SharedState, SharedVersion};
 use crate::state::Gateway;
 
-/// The path under which a VM gives its records.
+/// The path under which a VM serves its records.
 pub(crate) const SHARED_PATH: &str = "/shared";
-/// Between two looks whether records are missing.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
-/// For how long the store must have been away before others are asked: it is the source, and a VM that
-/// is merely a moment behind reads it itself.
-const AWAY_US: u64 = 700_000;
-/// The time for another VM's answer.
-const ANSWER_TIME: Duration = Duration::from_millis(800);
-/// The most bytes of its answer.
-const MOST_BYTES: usize = 16 << 20;
+/// Interval of the check whether records are missing.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the store must have been unreachable before another VM is queried, in microseconds. A
+/// VM that is only briefly behind reads the store itself.
+const MIN_OUTAGE_US: u64 = 700_000;
+/// Timeout of another VM's answer, for its head and for each part of its body.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum size of the answer, in bytes.
+const MAX_BYTES: usize = 16 << 20;
 
-/// The query that asks for the configuration alone.
+/// The query parameter that limits the answer to the configuration.
 pub(crate) const TABLE_QUERY: &str = "table";
 
-/// This VM's records, or its configuration alone.
+/// Returns this VM's records in MessagePack, or its configuration alone.
 pub(crate) fn shared_body(gateway: &Gateway, table_only: bool) -> Vec<u8> {
     let beliefs = gateway.beliefs();
     if table_only {
@@ -50,26 +50,27 @@
         versions: beliefs.versions.iter().map(version).collect(),
         entries: entries.collect(),
     };
-    // Only a type without a MessagePack form could fail, and these have one.
+    // Encoding fails only for types without a MessagePack form, and these have one.
     rmp_serde::to_vec(&state).unwrap_or_default()
 }
 
-/// Takes records from other VMs while the store is away and they are ahead, for ever.
+/// Runs for ever, fetching records from other VMs while the store is unreachable and they have a
+/// newer configuration.
 pub(crate) async fn take_missing(gateway: Arc<Gateway>) {
     loop {
-        // A VM that others read the store for hears at once of a newer configuration.
-        let _ = timeout(LOOK_PAUSE, gateway.config_behind.notified()).await;
-        let Some((from, path)) = ahead(&gateway) else { continue };
+        // A VM for which others read the store is notified at once of a newer configuration.
+        let _ = timeout(CHECK_INTERVAL, gateway.config_behind.notified()).await;
+        let Some((from, path)) = newer_source(&gateway) else { continue };
         let mut request = ExchangeRequest::get(path);
-        request.head_within = Some(ANSWER_TIME);
-        request.piece_within = Some(ANSWER_TIME);
+        request.head_within = Some(ANSWER_TIMEOUT);
+        request.piece_within = Some(ANSWER_TIMEOUT);
         let answer = match gateway.client.send(from, request).await {
-            Ok(answer) => answer.body.collect(MOST_BYTES).await,
+            Ok(answer) => answer.body.collect(MAX_BYTES).await,
             Err(error) => Err(error),
         };
         match answer {
             Ok(body) => match rmp_serde::from_slice::<SharedState>(&body) {
-                Ok(state) => take(&gateway, from, state),
+                Ok(state) => apply(&gateway, from, state),
                 Err(error) => event!(CatchUpFailed, address = from, cause = error),
             },
             Err(error) => event!(CatchUpFailed, address = from, cause = error),
@@ -77,26 +78,27 @@
     }
 }
 
-/// A VM to ask and for what, if it knows more and this one cannot read the store or leaves that to
-/// others. Any that is ahead will do; drawn, they share the work.
-fn ahead(gateway: &Gateway) -> Option<(SocketAddr, String)> {
+/// Returns a VM to query and the path, if that VM has a newer configuration and this one cannot
+/// read the store or leaves reading to others. It is drawn from all VMs that have the newest one,
+/// which spreads the load.
+fn newer_source(gateway: &Gateway) -> Option<(SocketAddr, String)> {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
-    let away = now.since(beliefs.answers.last().max(gateway.started)) >= AWAY_US;
-    let path = if follow::is_fed(&beliefs, gateway, now) {
+    let is_down = now.since(beliefs.answers.last().max(gateway.started)) >= MIN_OUTAGE_US;
+    let path = if follow::has_record_readers(&beliefs, gateway, now) {
         format!("{SHARED_PATH}?{TABLE_QUERY}")
-    } else if away {
+    } else if is_down {
         SHARED_PATH.to_owned()
     } else {
         return None;
     };
     let own = beliefs.table.as_ref().map_or(0, |table| table.version.0);
-    let ahead = beliefs.roster.ahead(own, now);
-    let from = ahead.choose(&mut beliefs.random).copied()?;
+    let sources = beliefs.roster.with_newer_config(own, now);
+    let from = sources.choose(&mut beliefs.random).copied()?;
     Some((from, path))
 }
 
-fn take(gateway: &Arc<Gateway>, from: SocketAddr, state: SharedState) {
+fn apply(gateway: &Arc<Gateway>, from: SocketAddr, state: SharedState) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
     for named in state.versions {
@@ -106,12 +108,12 @@
     for entry in state.entries {
         beliefs.backends.entry(entry, now);
     }
-    beliefs.servers_read |= entries > 0;
+    beliefs.entries_read |= entries > 0;
     beliefs.expect_fleet();
     drop(beliefs);
     event!(CaughtUp, address = from, servers = entries);
     if let Some(table) = state.table {
-        follow::take_table(gateway, table);
+        follow::put_in_force(gateway, table);
     }
     gateway.changed.notify_waiters();
 }
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway process believes, and the tasks' common ground.
+//! State of a gateway process, shared by its tasks.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,39 +25,43 @@
 use crate::link::AnswerTimes;
 use crate::message::SharedVersion;
 use crate::metrics::GatewayMetrics;
-use crate::news::{EntryChanges, NEWS_REPEATS};
-use crate::order::ServerBooks;
+use crate::news::{EntryChanges, UPDATE_REPEATS};
+use crate::order::ServerTrackers;
 use crate::peer::PeerSocket;
 use crate::roster::PeerRoster;
 use crate::settings::GatewaySettings;
 use crate::skipped::SkippedKeys;
 use crate::uses::UseList;
 use crate::waits::WaitList;
-use crate::wish::WishList;
+use crate::wish::LoadRequests;
 
-/// Topics that the shares of the fleet are dealt from. With the partitions that the platform gives a
-/// topic they make about fifty shares, several for each VM, so that a VM that goes leaves little to
-/// each of the others.
-pub(crate) const SHARE_TOPICS: u32 = 4;
-/// A share's lifetime against the shortest that the platform takes: three renewals can fail in it.
-pub(crate) const LIFETIMES: u64 = 3;
-/// What the pause between two holders' orders is longer by than the operators ask, in microseconds:
-/// the first holder learns up to a renewal late that all shares were dealt anew, and the last list that
-/// was heard of it may be half a second old.
-const PAUSE_SLACK_US: u64 = 1_100_000;
-/// Idle connections that are kept to a server.
+/// Topics whose partitions assign servers to VMs. With the platform's partitions per topic this
+/// gives about fifty partitions, several for each VM, so that the partitions of a removed VM spread
+/// thinly over the others.
+pub(crate) const PARTITION_TOPICS: u32 = 4;
+/// Lifetime of a group membership in multiples of the platform's minimum: three renewals can fail
+/// before it expires.
+pub(crate) const RENEWALS_PER_LIFETIME: u64 = 3;
+/// Addition to the operators' pause between the orders of two successive holders, in microseconds.
+/// The first holder learns of a reassignment up to one renewal late, and the last list received
+/// from it may be half a second old.
+const ORDER_PAUSE_MARGIN_US: u64 = 1_100_000;
+/// Idle connections kept to a server.
 const IDLE_CONNECTIONS: usize = 16;
-/// How long an idle connection is kept, in milliseconds, where its server does not say: it then keeps it
-/// for less than a second or for long, and a new one takes a few milliseconds.
+/// How long an idle connection is kept, in milliseconds, if its server states no keep-alive time.
+/// Such servers keep it either for less than a second or for long, and a new connection takes a few
+/// milliseconds.
 const KEEP_MS: u64 = 800;
-/// How long one is kept at most, in milliseconds, where its server says how long it does. It bounds the
-/// connections that many VMs keep at a server, which resets those beyond its limit.
-const MOST_KEEP_MS: u64 = 6_000;
-/// How long the newest to a server is. One of each VM is far below what servers bear, and with many VMs each sends
-/// to a server once in some seconds.
+/// Maximum time an idle connection is kept, in milliseconds, if its server states a longer one. It
+/// bounds the connections of many VMs to one server, which resets those beyond its limit.
+const MAX_KEEP_MS: u64 = 6_000;
+/// How long the newest idle connection to a server is kept, in milliseconds. One from each VM is
+/// far below a server's limit, and in large fleets a VM sends to a given server only every few
+/// seconds.
 const NEWEST_KEEP_MS: u64 = 30_000;
 
-/// The version of an adapter that the operators named, and when this VM learnt of it.
+/// The version of an adapter that the operators named, and when this VM learnt of it. `before` is
+/// the version named previously, 0 if none.
 #[derive(Clone, Debug)]
 pub(crate) struct NamedVersion {
     pub(crate) key: AdapterKey,
@@ -70,63 +74,65 @@
 #[derive(Clone, Debug)]
 pub(crate) struct LapsedServer {
     pub(crate) server: String,
-    /// The place of the removal in the entries' topic.
+    /// Offset of the removal in the entries' topic.
     pub(crate) position: u64,
-    /// When it is taken to be gone.
+    /// When the server is removed unless its entry is written again.
     pub(crate) until: TimePoint,
 }
 
-/// Everything that a decision needs.
+/// The VM's view of the system, which its decisions are made on.
 pub(crate) struct Beliefs {
     pub(crate) table: Option<Arc<RouteTable>>,
-    /// When that was last known to be the newest.
+    /// When `table` was last confirmed to be the newest configuration.
     pub(crate) confirmation: ConfigConfirmation,
     pub(crate) wrong_keys: WrongKeys,
-    /// When the store was last asked for the sake of an unknown key.
-    pub(crate) doubted_at: Option<TimePoint>,
+    /// When an unknown key last caused a query to the store.
+    pub(crate) unknown_key_queried_at: Option<TimePoint>,
     pub(crate) limiter: CustomerLimiter,
-    /// Whether customers' uses changed since this VM last told them.
+    /// Whether customers' use changed since this VM last reported it.
     pub(crate) untold_uses: bool,
-    /// Sorted by adapter.
+    /// Named versions, sorted by adapter.
     pub(crate) versions: Vec<NamedVersion>,
     pub(crate) backends: BackendTable,
     pub(crate) budget: RepeatBudget,
     pub(crate) roster: PeerRoster,
     pub(crate) tenure: OrderTenure,
-    pub(crate) books: ServerBooks,
+    pub(crate) books: ServerTrackers,
     pub(crate) times: LoadTimes,
-    pub(crate) wishes: WishList,
+    pub(crate) wishes: LoadRequests,
     pub(crate) waits: WaitList,
-    /// Whether the servers' entries were read once.
-    pub(crate) servers_read: bool,
-    /// Up to when the VMs that read the operators' records for others know them.
-    pub(crate) operators_told_at: TimePoint,
-    /// The same for the servers' entries.
-    pub(crate) servers_told_at: TimePoint,
-    /// How far this VM knows the servers' entries, by its own looks and what it was told.
+    /// Whether the servers' entries were read at least once.
+    pub(crate) entries_read: bool,
+    /// Time up to which the readers, the VMs that read the store for others, know the operators'
+    /// records.
+    pub(crate) operators_known_at: TimePoint,
+    /// Time up to which the readers know the servers' entries.
+    pub(crate) entries_known_at: TimePoint,
+    /// Offsets of the entries' topic that this VM knows, from its own reads and from reports.
     pub(crate) coverage: TopicCoverage,
-    /// Whether it was told of entries and missed some since its last look.
+    /// Whether reported entries left a gap since this VM's last own read.
     pub(crate) missed_entries: bool,
-    /// Its last looks, to tell others.
+    /// Changes that this VM's last reads found, to be reported to others.
     pub(crate) entry_history: ToldHistory<EntryChanges>,
-    /// Servers without entry, sorted by name.
+    /// Servers without an entry, sorted by name.
     pub(crate) lapsed: Vec<LapsedServer>,
-    /// Servers' entries that cannot be read.
+    /// Servers' entries that could not be parsed.
     pub(crate) skipped: SkippedKeys,
     /// When the store last answered, by kind of call.
     pub(crate) answers: AnswerTimes,
-    /// Whether this VM calls the store about each second, so that others can tell an outage by it.
+    /// Whether this VM calls the store about once a second. Only then does the time of its last
+    /// successful call tell others whether there is an outage.
     pub(crate) calls_store: bool,
-    /// Versions of adapters that others are still told of, and how many more times.
-    pub(crate) told_versions: Vec<(SharedVersion, usize)>,
-    /// How adapters were met, not yet told to those who order their servers.
+    /// Adapter versions still to be reported to other VMs, and in how many more messages.
+    pub(crate) unreported_versions: Vec<(SharedVersion, usize)>,
+    /// Use of adapters that is not yet reported to the owners of their servers.
     pub(crate) uses: UseList,
     /// The aggregators of this VM's failure domain.
     pub(crate) domain: DomainView,
-    /// Since when the fleet has been too large for each VM to tell all others.
+    /// Since when the fleet has been too large for each VM to report to all others.
     pub(crate) large_since: TimePoint,
-    /// Servers at which this VM's counts changed since it last told the others.
-    pub(crate) untold_loads: Vec<ServerName>,
+    /// Servers at which this VM's counts changed since it last reported them.
+    pub(crate) unreported_loads: Vec<ServerName>,
     pub(crate) random: Pcg64,
 }
 
@@ -136,22 +142,23 @@
     pub(crate) incarnation: u64,
     pub(crate) started: TimePoint,
     beliefs: Mutex<Beliefs>,
-    /// Told when servers or what they hold change, so that waiting requests look again.
+    /// Notified when servers or what they hold change, so that waiting requests check again.
     pub(crate) changed: Notify,
-    /// Told when another VM told of its requests, so that those held back here look again. The others do
-    /// not: each look goes through all servers, and there are hundreds of such messages in a second.
+    /// Notified when another VM reported its requests, so that requests held back here check again.
+    /// It is separate from `changed` because each check goes through all servers and hundreds of
+    /// such reports arrive in a second.
     pub(crate) others_read: Notify,
-    /// Told when a server has read a prompt of this VM.
+    /// Notified when a server has read a prompt sent by this VM.
     pub(crate) own_read: Notify,
-    /// Told when this VM's counts at a server changed.
+    /// Notified when this VM's counts at a server changed.
     pub(crate) loads_changed: Notify,
-    /// Told when a configuration is known to be newer than the one in force.
+    /// Notified when another VM has a newer configuration than the one in force here.
     pub(crate) config_behind: Notify,
-    /// Told when a request has a key that the configuration in force does not know.
-    pub(crate) key_doubted: Notify,
-    /// Told when the configuration was confirmed to be the newest.
+    /// Notified when a request has a key that the configuration in force does not know.
+    pub(crate) unknown_key_seen: Notify,
+    /// Notified when the configuration was confirmed to be the newest.
     pub(crate) confirmed: Notify,
-    /// Told when this VM missed changes of servers' entries.
+    /// Notified when this VM missed changes of servers' entries.
     pub(crate) entries_missed: Notify,
     pub(crate) client: ExchangeClient,
     pub(crate) servers: Box<dyn ServerCalls>,
@@ -159,9 +166,9 @@
     pub(crate) peers: Arc<PeerSocket>,
     pub(crate) metrics: GatewayMetrics,
     leaving: AtomicBool,
-    /// Set when kept connections should end.
+    /// Set when keep-alive connections should end.
     pub(crate) closing: watch::Sender<bool>,
-    /// Requests that were taken and have not ended.
+    /// Requests that were accepted and have not ended.
     pub(crate) open: AtomicU64,
 }
 
@@ -170,10 +177,10 @@
         let incarnation = incarnation();
         let promises = &settings.promises;
         let tenure = TenureSettings {
-            topics: SHARE_TOPICS,
+            topics: PARTITION_TOPICS,
             parts: settings.store.parts,
-            lifetime_us: settings.store.least_lifetime_ms * LIFETIMES * 1_000,
-            pause_us: promises.order_pause_ms * 1_000 + PAUSE_SLACK_US,
+            lifetime_us: settings.store.least_lifetime_ms * RENEWALS_PER_LIFETIME * 1_000,
+            pause_us: promises.order_pause_ms * 1_000 + ORDER_PAUSE_MARGIN_US,
         };
         let budget = RepeatBounds {
             ratio: promises.repeat_ratio,
@@ -182,7 +189,7 @@
         };
         let client = ExchangeClient::new(ExchangeSettings {
             keep_ms: KEEP_MS,
-            most_keep_ms: MOST_KEEP_MS,
+            most_keep_ms: MAX_KEEP_MS,
             newest_keep_ms: NEWEST_KEEP_MS,
             idle_connections: IDLE_CONNECTIONS,
             connect_ms: 400,
@@ -192,7 +199,7 @@
             table: None,
             confirmation: ConfigConfirmation::new(promises.key_removal()),
             wrong_keys: WrongKeys::default(),
-            doubted_at: None,
+            unknown_key_queried_at: None,
             limiter: CustomerLimiter::new(promises.limit_excess(), NEWS_PAUSE_US),
             untold_uses: false,
             versions: Vec::new(),
@@ -200,25 +207,25 @@
             budget: RepeatBudget::new(budget),
             roster: PeerRoster::default(),
             tenure: OrderTenure::new(tenure),
-            books: ServerBooks::default(),
+            books: ServerTrackers::default(),
             times: LoadTimes::default(),
-            wishes: WishList::default(),
+            wishes: LoadRequests::default(),
             waits: WaitList::default(),
-            servers_read: false,
-            operators_told_at: TimePoint(0),
-            servers_told_at: TimePoint(0),
+            entries_read: false,
+            operators_known_at: TimePoint(0),
+            entries_known_at: TimePoint(0),
             coverage: TopicCoverage::default(),
             missed_entries: false,
-            entry_history: ToldHistory::new(NEWS_REPEATS),
+            entry_history: ToldHistory::new(UPDATE_REPEATS),
             lapsed: Vec::new(),
             skipped: SkippedKeys::default(),
             answers: AnswerTimes::default(),
             calls_store: false,
-            told_versions: Vec::new(),
+            unreported_versions: Vec::new(),
             uses: UseList::default(),
             domain: DomainView::new(&settings.capacity),
             large_since: clock::now(),
-            untold_loads: Vec::new(),
+            unreported_loads: Vec::new(),
             random: Pcg64::seed_from_u64(incarnation ^ stable_hash(&[settings.vm.as_str()])),
         };
         Self {
@@ -230,7 +237,7 @@
             own_read: Notify::new(),
             loads_changed: Notify::new(),
             config_behind: Notify::new(),
-            key_doubted: Notify::new(),
+            unknown_key_seen: Notify::new(),
             confirmed: Notify::new(),
             entries_missed: Notify::new(),
             servers: Box::new(HttpServers::new(client.clone())),
@@ -245,58 +252,61 @@
         }
     }
 
-    /// The beliefs, for a moment; never held while waiting.
+    /// Locks the VM's view. The guard must not be held across an await point.
     pub(crate) fn beliefs(&self) -> MutexGuard<'_, Beliefs> {
         self.beliefs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the process is ending.
+    /// Returns whether the process is ending.
     pub(crate) fn leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// The process is ending from now on.
+    /// Marks the process as ending.
     pub(crate) fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether callers should be sent to this VM.
     pub(crate) fn ready(&self) -> bool {
         !self.leaving() && self.beliefs().serves(clock::now())
     }
 }
 
 impl Beliefs {
-    /// This VM's counts at a server changed; the others are told in a moment.
+    /// Records that this VM's counts at a server changed, to be reported with the next batch.
     pub(crate) fn load_changed(&mut self, server: &ServerName) {
-        if !self.untold_loads.contains(server) {
-            self.untold_loads.push(server.clone());
+        if !self.unreported_loads.contains(server) {
+            self.unreported_loads.push(server.clone());
         }
     }
 
-    /// Whether the configuration in force has customers.
+    /// Returns whether the configuration in force has customers.
     pub(crate) fn has_customers(&self) -> bool {
         self.table.as_ref().is_some_and(|table| !table.customers().is_empty())
     }
 
-    /// Whether requests can be served: not while no key may be let in.
+    /// Returns whether requests can be served. False before the first configuration and the first
+    /// read of the entries, and while the configuration has customers but is not confirmed, since
+    /// no key may be accepted then.
     pub(crate) fn serves(&self, now: TimePoint) -> bool {
         let confirmed = !self.has_customers() || self.confirmation.is_valid(now);
-        self.table.is_some() && confirmed && self.servers_read
+        self.table.is_some() && confirmed && self.entries_read
     }
 
-    /// A random number.
+    /// Returns a random number.
     pub(crate) fn draw(&mut self) -> u64 {
         self.random.next_u64()
     }
 
-    /// The version of an adapter that requests must run on, once one was named.
+    /// Returns the version of an adapter that requests must run on, `None` if none was named.
     pub(crate) fn named(&self, key: &AdapterKey) -> Option<&NamedVersion> {
         let at = self.versions.binary_search_by(|named| named.key.cmp(key)).ok()?;
         Some(&self.versions[at])
     }
 
-    /// Takes a version that the operators named. Versions only grow.
+    /// Records a version named by the operators. Returns whether it is newer than the known one;
+    /// older versions are ignored.
     pub(crate) fn name_version(&mut self, key: AdapterKey, version: u64, now: TimePoint) -> bool {
         match self.versions.binary_search_by(|named| named.key.cmp(&key)) {
             Ok(at) => {
@@ -316,7 +326,7 @@
         true
     }
 
-    /// The fencing number for orders to a server, if this VM may give any now.
+    /// Returns the fencing number for orders to a server, `None` if this VM may not order it now.
     pub(crate) fn fence(
         &self,
         settings: &GatewaySettings,
@@ -326,22 +336,22 @@
         if !self.tenure.holds(server) {
             return None;
         }
-        // Without fences at the servers, what was heard is not enough: a holder that is cut off from
-        // this VM may still reach the server.
+        // Where servers do not check fences, received lists are not sufficient: a holder that is
+        // partitioned from this VM may still reach the server.
         let by_lists = settings.promises.servers_check_fences;
         let other = self.backends.other_owner_at(server.as_str(), &settings.vm);
         let outage = judge_outage(&self.roster.witnesses(now), now);
         self.tenure.fence(server, other.filter(|_| by_lists), outage, now)
     }
 
-    /// How many VMs share budgets, this one included.
+    /// Returns the number of VMs that share budgets, this one included.
     pub(crate) fn vm_count(&self, now: TimePoint) -> usize {
         self.roster.live_count(now) + 1
     }
 }
 
-/// A number that grows from one life of the process to the next, for as long as the time of day does
-/// not jump back by more than a life lasts.
+/// Returns a number that increases with each start of the process, unless the system clock was set
+/// back by more than the previous process ran.
 fn incarnation() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(1, |since| since.as_millis() as u64)
--- a/gateway/src/uses.rs
+++ b/gateway/src/uses.rs
@@ -1,38 +1,40 @@
-//! Which adapters this VM's requests use, for the VMs that order their servers.
+//! Use of adapters by this VM's requests, to be reported to the VMs that order their servers.
 //!
-//! An adapter that is told to make way while a request uses it stays until that request ends, and its
-//! server takes no other order meanwhile: every load there waits for seconds. So owners are told of
-//! running requests, not only of new ones: at once when the first begins and when the last ends, and
-//! again with each message of this VM's state.
+//! An adapter that is evicted while a request uses it stays until that request ends, and its server
+//! accepts no other order until then: every load there waits for seconds. Owners are therefore told
+//! of running requests as well as of new ones: at once when the first begins and when the last
+//! ends, and again with each state message.
 
 use coltsfoothook_decision::id::ServerName;
 use coltsfoothook_decision::routing::AdapterKey;
 
 use crate::message::AdapterUse;
 
-/// The uses, sorted by server, its life and adapter.
+/// Adapter use, sorted by server, start time of its incarnation, and adapter.
 #[derive(Debug, Default)]
 pub(crate) struct UseList {
     uses: Vec<AdapterUse>,
 }
 
 impl UseList {
-    /// A request goes to a server; true if it is the first one on that adapter there.
+    /// Records that a request begins at a server. Returns whether it is the only one running on
+    /// that adapter there.
     pub(crate) fn begin(&mut self, server: &ServerName, born: u64, key: &AdapterKey) -> bool {
-        let open = self.open(server, born, key);
-        open.running += 1;
-        open.count += 1;
-        open.running == 1
+        let entry = self.entry(server, born, key);
+        entry.running += 1;
+        entry.count += 1;
+        entry.running == 1
     }
 
-    /// A request ended there; true if it was the last one.
+    /// Records that a request ended at a server. Returns whether no other one runs on that adapter
+    /// there.
     pub(crate) fn end(&mut self, server: &ServerName, born: u64, key: &AdapterKey) -> bool {
-        let open = self.open(server, born, key);
-        open.running = open.running.saturating_sub(1);
-        open.running == 0
+        let entry = self.entry(server, born, key);
+        entry.running = entry.running.saturating_sub(1);
+        entry.running == 0
     }
 
-    /// Notes how an adapter was met.
+    /// Records in what state a request found an adapter.
     pub(crate) fn met(
         &mut self,
         server: &ServerName,
@@ -40,30 +42,32 @@
         key: &AdapterKey,
         change: impl FnOnce(&mut AdapterUse),
     ) {
-        change(self.open(server, born, key));
+        change(self.entry(server, born, key));
     }
 
-    /// What is to be told of one adapter now.
+    /// Returns what is to be reported now of one adapter.
     pub(crate) fn take_one(
         &mut self,
         server: &ServerName,
         born: u64,
         key: &AdapterKey,
     ) -> AdapterUse {
-        self.open(server, born, key).take()
+        self.entry(server, born, key).take()
     }
 
-    /// What is to be told of all now; what is no longer used is forgotten.
+    /// Returns what is to be reported now of all adapters, and drops those without running
+    /// requests.
     pub(crate) fn take(&mut self) -> Vec<AdapterUse> {
-        let told = self.uses.iter_mut().map(AdapterUse::take).collect();
-        self.uses.retain(|open| open.running > 0);
-        told
+        let reports = self.uses.iter_mut().map(AdapterUse::take).collect();
+        self.uses.retain(|entry| entry.running > 0);
+        reports
     }
 
-    fn open(&mut self, server: &ServerName, born: u64, key: &AdapterKey) -> &mut AdapterUse {
+    fn entry(&mut self, server: &ServerName, born: u64, key: &AdapterKey) -> &mut AdapterUse {
         let wanted = (server, born, key);
-        let found =
-            self.uses.binary_search_by(|open| (&open.server, open.born, &open.key).cmp(&wanted));
+        let found = self
+            .uses
+            .binary_search_by(|entry| (&entry.server, entry.born, &entry.key).cmp(&wanted));
         let at = found.unwrap_or_else(|at| {
             self.uses.insert(at, AdapterUse::of(server, born, key));
             at
--- a/gateway/src/waits.rs
+++ b/gateway/src/waits.rs
@@ -8,14 +8,15 @@
 
 use crate::state::Gateway;
 
-/// Who waits, sorted by adapter, each with the time until which it can be served in time.
+/// Waiting requests, sorted by adapter, each with the time until which it can be served in time.
 #[derive(Debug, Default)]
 pub(crate) struct WaitList {
     waits: Vec<(AdapterKey, TimePoint)>,
 }
 
 impl WaitList {
-    /// The requests that wait for an adapter.
+    /// Returns the number of requests that wait for an adapter, and the latest time until which one
+    /// can be served in time.
     pub(crate) fn of(&self, vm: &VmName, key: &AdapterKey) -> WaitingRequests {
         let from = self.waits.partition_point(|(other, _)| other < key);
         let waits = self.waits[from..].iter().take_while(|(other, _)| other == key);
@@ -25,14 +26,14 @@
     }
 }
 
-/// Counts a waiting request for as long as it lives.
+/// Guard that counts a waiting request until it is dropped.
 pub(crate) struct WaitNote {
     gateway: Arc<Gateway>,
     wait: (AdapterKey, TimePoint),
 }
 
 impl WaitNote {
-    /// Counts a request for `key` that is in time until `in_time`.
+    /// Counts a request for `key` that can be served in time until `in_time`.
     pub(crate) fn new(gateway: &Arc<Gateway>, key: &AdapterKey, in_time: TimePoint) -> Self {
         let wait = (key.clone(), in_time);
         let waits = &mut gateway.beliefs().waits.waits;
--- a/gateway/src/wish.rs
+++ b/gateway/src/wish.rs
@@ -1,83 +1,91 @@
-//! Adapters that requests of this VM wait for.
+//! Load requests of this VM: adapters whose load its requests wait for.
 
 use coltsfoothook_decision::id::{ServerName, TimePoint};
 use coltsfoothook_decision::routing::AdapterKey;
 
-/// After how long a wish is sent again: its datagram may be lost.
-const REPEAT_US: u64 = 120_000;
-/// After how long without effect another server is chosen: its owner may be gone.
-const ELSEWHERE_US: u64 = 300_000;
-/// How long a wish without waiting requests is remembered.
-const FORGET_US: u64 = 1_500_000;
+/// After how long a load request is sent again, in microseconds, since its datagram may have been
+/// lost.
+const RESEND_US: u64 = 120_000;
+/// After how long without effect another server is chosen, in microseconds, since the server's
+/// owner may be dead.
+const MOVE_AFTER_US: u64 = 300_000;
+/// How long a load request is kept after it was last sent, in microseconds.
+const RETENTION_US: u64 = 1_500_000;
 
 #[derive(Clone, Debug)]
-struct OpenWish {
+struct LoadRequest {
     key: AdapterKey,
     server: ServerName,
     since: TimePoint,
     sent_at: TimePoint,
 }
 
-/// The wishes, sorted by adapter.
+/// Load requests, sorted by adapter.
 #[derive(Debug, Default)]
-pub(crate) struct WishList {
-    wishes: Vec<OpenWish>,
+pub(crate) struct LoadRequests {
+    requests: Vec<LoadRequest>,
 }
 
-/// What to do about a wish.
+/// What to do about a load request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum WishStep {
     /// Send it to the owner of that server.
     Send(ServerName),
-    /// It was sent a moment ago.
+    /// Nothing: it was sent recently.
     Sent,
 }
 
-impl WishList {
-    /// The server that has not carried out a wish for this adapter in time, if there is one.
+impl LoadRequests {
+    /// Returns the server that has not carried out the load request for an adapter in time, if
+    /// there is one.
     pub(crate) fn overdue(&self, key: &AdapterKey, now: TimePoint) -> Option<ServerName> {
-        let at = self.wishes.binary_search_by(|wish| wish.key.cmp(key)).ok()?;
-        let wish = &self.wishes[at];
-        let open = now.since(wish.sent_at) <= FORGET_US;
-        (open && now.since(wish.since) > ELSEWHERE_US).then(|| wish.server.clone())
+        let at = self.requests.binary_search_by(|request| request.key.cmp(key)).ok()?;
+        let request = &self.requests[at];
+        let open = now.since(request.sent_at) <= RETENTION_US;
+        (open && now.since(request.since) > MOVE_AFTER_US).then(|| request.server.clone())
     }
 
-    /// Whether requests of this VM wait for an adapter, or did a moment ago.
+    /// Returns whether requests of this VM wait for an adapter, or did recently.
     pub(crate) fn is_open(&self, key: &AdapterKey) -> bool {
-        self.wishes.binary_search_by(|wish| wish.key.cmp(key)).is_ok()
+        self.requests.binary_search_by(|request| request.key.cmp(key)).is_ok()
     }
 
-    /// A request would have the adapter at `server`; another request's open choice comes first.
+    /// Adds a request for a load at `server`. If another request's choice of server is still open,
+    /// that one is kept.
     pub(crate) fn ask(
         &mut self,
         key: &AdapterKey,
         server: &ServerName,
         now: TimePoint,
     ) -> WishStep {
-        let at = match self.wishes.binary_search_by(|wish| wish.key.cmp(key)) {
+        let at = match self.requests.binary_search_by(|request| request.key.cmp(key)) {
             Ok(at) => at,
             Err(at) => {
-                let wish =
-                    OpenWish { key: key.clone(), server: server.clone(), since: now, sent_at: now };
-                self.wishes.insert(at, wish);
+                let request = LoadRequest {
+                    key: key.clone(),
+                    server: server.clone(),
+                    since: now,
+                    sent_at: now,
+                };
+                self.requests.insert(at, request);
                 return WishStep::Send(server.clone());
             }
         };
-        let wish = &mut self.wishes[at];
-        let forgotten = now.since(wish.sent_at) > FORGET_US;
-        let moves = now.since(wish.since) > ELSEWHERE_US && wish.server != *server;
-        if forgotten || moves {
-            wish.server = server.clone();
-            wish.since = now;
-        } else if now.since(wish.sent_at) < REPEAT_US {
+        let request = &mut self.requests[at];
+        let is_expired = now.since(request.sent_at) > RETENTION_US;
+        let moves = now.since(request.since) > MOVE_AFTER_US && request.server != *server;
+        if is_expired || moves {
+            request.server = server.clone();
+            request.since = now;
+        } else if now.since(request.sent_at) < RESEND_US {
             return WishStep::Sent;
         }
-        wish.sent_at = now;
-        WishStep::Send(wish.server.clone())
+        request.sent_at = now;
+        WishStep::Send(request.server.clone())
     }
 
-    /// Forgets wishes that no request asks for any more.
-    pub(crate) fn forget(&mut self, now: TimePoint) {
-        self.wishes.retain(|wish| now.since(wish.sent_at) < FORGET_US);
+    /// Drops load requests that no request has renewed recently.
+    pub(crate) fn drop_expired(&mut self, now: TimePoint) {
+        self.requests.retain(|request| now.since(request.sent_at) < RETENTION_US);
     }
 }
--- a/gateway/tests/unit/large_fleet.rs
+++ b/gateway/tests/unit/large_fleet.rs
@@ -37,13 +37,13 @@
 pub(crate) fn roster(
     count: usize,
     own: usize,
-    heard_at: TimePoint,
-    told: impl Fn(usize) -> (u64, Option<u32>),
+    last_seen: TimePoint,
+    reported: impl Fn(usize) -> (u64, Option<u32>),
 ) -> PeerRoster {
     let mut roster = PeerRoster::default();
     for number in (0..count).filter(|number| *number != own) {
-        let (config, age) = told(number);
-        roster.heard(&state(number, config, age), address(number), heard_at);
+        let (config, age) = reported(number);
+        roster.apply(&state(number, config, age), address(number), last_seen);
     }
     roster
 }
@@ -55,7 +55,7 @@
     let count = 75;
     let rank = |own: usize| {
         let roster = roster(count, own, NOW, |_| (1, None));
-        roster.before(&VmName::from(format!("vm-{own}").as_str()), NOW)
+        roster.readers_ahead(&VmName::from(format!("vm-{own}").as_str()), NOW)
     };
     let mut ranks: Vec<usize> = (0..count).map(rank).collect();
     assert_ne!(&ranks[..3], &[0, 1, 2]);
@@ -77,8 +77,8 @@
 #[test]
 fn many_are_ahead() {
     let fleet = roster(75, 0, NOW, |number| (if number < 40 { 7 } else { 6 }, None));
-    assert_eq!(fleet.ahead(6, NOW).len(), 39);
-    assert!(fleet.ahead(7, NOW).is_empty());
+    assert_eq!(fleet.with_newer_config(6, NOW).len(), 39);
+    assert!(fleet.with_newer_config(7, NOW).is_empty());
 }
 
 /// All VMs of a domain agree on who tells the others what is new, and it is one that has the link for it.
@@ -90,7 +90,7 @@
         let mut roster = PeerRoster::default();
         for number in (0..count).filter(|number| *number != own) {
             let state = VmState { strong: strong(number), ..state(number, 1, None) };
-            roster.heard(&state, address(number), NOW);
+            roster.apply(&state, address(number), NOW);
         }
         roster.ahead_in_domain(
             &VmName::from(format!("vm-{own}").as_str()),
@@ -113,7 +113,7 @@
         let domain = if number < 15 { "d1" } else { "d2" };
         let state =
             VmState { domain: domain.into(), aggregates: number == 3, ..state(number, 1, None) };
-        roster.heard(&state, address(number), NOW);
+        roster.apply(&state, address(number), NOW);
     }
     let first = roster.first_in_domain(&"d2".into(), NOW).unwrap();
     assert_eq!(roster.aggregators(NOW), [address(3), first]);
@@ -126,9 +126,9 @@
 fn told_in_news() {
     let mut fleet = roster(SMALL_FLEET + 2, 0, NOW, |_| (6, None));
     assert!(fleet.is_large(NOW));
-    fleet.told_config(&VmName::from("vm-3"), 7);
-    fleet.told_config(&VmName::from("vm-3"), 5);
-    assert_eq!(fleet.ahead(6, NOW), [address(3)]);
+    fleet.record_config(&VmName::from("vm-3"), 7);
+    fleet.record_config(&VmName::from("vm-3"), 5);
+    assert_eq!(fleet.with_newer_config(6, NOW), [address(3)]);
 }
 
 /// A VM of a large fleet tells each other one of itself every three seconds or more, and one message in some is
--- a/gateway/tests/unit/told_records.rs
+++ b/gateway/tests/unit/told_records.rs
@@ -13,9 +13,9 @@
 use coltsfoothook_decision::routing::{CallerLimits, RouteTable};
 
 use crate::clock;
-use crate::follow::{is_fed, is_told};
+use crate::follow::{has_entry_readers, has_record_readers};
 use crate::large_fleet::roster;
-use crate::message::RecordNews;
+use crate::message::RecordUpdate;
 use crate::news;
 use crate::peer::PeerSocket;
 use crate::settings::GatewaySettings;
@@ -30,7 +30,7 @@
     let now = clock::now();
     let fleet = |own: usize| roster(40, own, now, |_| (1, None));
     let name = |own: usize| VmName::from(format!("vm-{own}").as_str());
-    let own = (0..40).find(|own| fleet(*own).before(&name(*own), now) > 10).unwrap();
+    let own = (0..40).find(|own| fleet(*own).readers_ahead(&name(*own), now) > 10).unwrap();
     let settings = GatewaySettings { vm: name(own), ..GatewaySettings::default() };
     let gateway = Arc::new(Gateway::new(settings, peers));
     let limits = CallerLimits {
@@ -46,8 +46,8 @@
     gateway
 }
 
-fn hear(gateway: &Arc<Gateway>, operators_age_ms: u32, servers_age_ms: u32) {
-    let news = RecordNews {
+fn receive(gateway: &Arc<Gateway>, operators_age_ms: u32, servers_age_ms: u32) {
+    let update = RecordUpdate {
         vm: VmName::from("vm-3"),
         config: 1,
         operators_age_ms,
@@ -57,19 +57,19 @@
         entries: Vec::new(),
         gone: Vec::new(),
     };
-    news::take(gateway, news);
+    news::apply(gateway, update);
 }
 
 fn relies_on_readers(gateway: &Gateway) -> bool {
-    is_fed(&gateway.beliefs(), gateway, clock::now())
+    has_record_readers(&gateway.beliefs(), gateway, clock::now())
 }
 
 #[tokio::test]
 async fn records_unread() {
     let gateway = fed_vm().await;
-    hear(&gateway, OLD_MS, 0);
+    receive(&gateway, OLD_MS, 0);
     assert!(!relies_on_readers(&gateway), "the readers' questions are lost");
-    hear(&gateway, 700, 0);
+    receive(&gateway, 700, 0);
     assert!(relies_on_readers(&gateway));
 }
 
@@ -78,18 +78,18 @@
 #[tokio::test]
 async fn entries_unread() {
     let gateway = fed_vm().await;
-    let looked_at: TimePoint = clock::now();
-    hear(&gateway, 0, OLD_MS);
-    assert!(!is_told(&gateway, looked_at), "the readers do not see the entries");
-    hear(&gateway, 0, 600);
-    assert!(is_told(&gateway, looked_at));
+    let read_at: TimePoint = clock::now();
+    receive(&gateway, 0, OLD_MS);
+    assert!(!has_entry_readers(&gateway, read_at), "the readers do not see the entries");
+    receive(&gateway, 0, 600);
+    assert!(has_entry_readers(&gateway, read_at));
 }
 
 /// News that come late or out of order make nothing older.
 #[tokio::test]
 async fn late_news() {
     let gateway = fed_vm().await;
-    hear(&gateway, 100, 100);
-    hear(&gateway, OLD_MS, OLD_MS);
+    receive(&gateway, 100, 100);
+    receive(&gateway, OLD_MS, OLD_MS);
     assert!(relies_on_readers(&gateway));
 }
--- a/gateway/tests/unit/waiting_datagrams.rs
+++ b/gateway/tests/unit/waiting_datagrams.rs
@@ -7,8 +7,8 @@
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
-use crate::message::{AdapterUse, MOST_BYTES, PeerMessage};
-use crate::peer::{PeerSocket, first_told, send_waiting};
+use crate::message::{AdapterUse, MAX_BYTES, PeerMessage};
+use crate::peer::{PeerSocket, first_recipient, send_waiting};
 
 /// A VM tells some tens of others of servers that leave while its socket takes nothing: here it is not
 /// known to be writable yet, in a large fleet its buffer may be full. Dropped, the message would reach
@@ -25,12 +25,15 @@
         receivers.iter().map(|receiver| receiver.local_addr().unwrap()).collect();
     let key =
         coltsfoothook_decision::routing::AdapterKey { model: "base".into(), adapter: "a1".into() };
-    let mut bytes = vec![0; MOST_BYTES];
+    let mut bytes = vec![0; MAX_BYTES];
     let uses = vec![AdapterUse::of(&"server".into(), 0, &key); 600];
     sender.send(&PeerMessage::Uses("vm".into(), uses), &addresses);
     for (number, receiver) in receivers.iter().enumerate() {
-        let told = timeout(Duration::from_secs(5), receiver.recv(&mut bytes)).await;
-        assert!(told.is_ok_and(|told| told.unwrap() > 1_000), "VM {number} is not told");
+        let received = timeout(Duration::from_secs(5), receiver.recv(&mut bytes)).await;
+        assert!(
+            received.is_ok_and(|received| received.unwrap() > 1_000),
+            "VM {number} is not told"
+        );
     }
     waiting.abort();
 }
@@ -42,7 +45,7 @@
     let count = 88;
     let mut got = vec![0; count];
     for sends in 0..15 {
-        let first = first_told(sends, count);
+        let first = first_recipient(sends, count);
         for step in 0..count / 2 {
             got[(first + step) % count] += 1;
         }
