--- a/gateway/src/aggregate.rs
+++ b/gateway/src/aggregate.rs
@@ -33,8 +33,9 @@
 /// Fraction of its link that an aggregator uses for its updates. The rest is for callers' requests
 /// and for what others send at the same moment.
 const LINK_FRACTION: f64 = 0.3;
-/// Encoded size of an adapter in a list.
+/// Encoded size of an adapter in a list, in bytes.
 const LISTED_BYTES: usize = 40;
+/// Encoded size of the requests at one server, in bytes.
 const LOAD_BYTES: usize = 20;
 /// Time after its start in which a VM may not yet know all others, in microseconds.
 const DISCOVERY_US: u64 = 3_000_000;
@@ -42,6 +43,7 @@
 /// few hundredths of a core and some megabits per second. VMs below the minimum aggregate only
 /// where no eligible one is live.
 const MIN_CORE_FRACTION: f64 = 0.2;
+/// Link that a VM needs to be eligible to aggregate, in megabits per second.
 const MIN_LINK_MBPS: f64 = 50.0;
 
 /// What a VM knows of the aggregators, and its state as an aggregator itself.
@@ -209,14 +211,14 @@
     let standings = beliefs.limiter.standings(now);
     let uses = beliefs.limiter.sums(now);
     let in_domain = beliefs.reporting_members(&gateway.settings, now);
-    let reporting = in_domain + beliefs.domain.reporting_elsewhere(now);
+    let in_touch = in_domain + beliefs.domain.reporting_elsewhere(now);
     let aggregators = beliefs.roster.aggregators(now);
     drop(guard);
     let mut loads = server_loads(fleet);
     for part in parts(lists) {
         let (loads, lists) = (std::mem::take(&mut loads), server_lists(part, times));
         let standings = standings.clone();
-        let update = DomainUpdate { vm: vm.clone(), loads, lists, standings, in_touch: reporting };
+        let update = DomainUpdate { vm: vm.clone(), loads, lists, standings, in_touch };
         gateway.peers.send(&PeerMessage::Domain(update), &members);
     }
     let busy = domain.into_iter().filter(|(_, figure)| *figure != LoadFigure::default());
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -68,7 +68,7 @@
             }
         };
         loop {
-            let query = match wait_while_read_for(&gateway).await {
+            let query = match wait_while_covered(&gateway).await {
                 ReaderWait::Over => break,
                 ReaderWait::UnknownKey => None,
                 ReaderWait::NoReaders => pacer.next(),
@@ -124,7 +124,7 @@
 /// Returns whether readers read the operators' records for this VM. This holds in large fleets
 /// while the store answers the readers for these records; answers for the servers' entries do not
 /// count, since with only the queries for records lost, all VMs would keep an old configuration.
-/// Held queries of every VM would be most of the calls to the store.
+/// Otherwise the held queries of every VM would be most of the calls to the store.
 pub(crate) fn has_record_readers(beliefs: &Beliefs, gateway: &Gateway, now: TimePoint) -> bool {
     beliefs.table.is_some()
         && beliefs.roster.is_large(now)
@@ -136,7 +136,7 @@
         && (!beliefs.has_customers() || beliefs.confirmation.need(now) < ConfirmationNeed::Urgent)
 }
 
-/// How a wait while readers read the operators' records ended.
+/// Outcome of [`wait_while_covered`].
 enum ReaderWait {
     /// There was no wait: no readers read them for this VM.
     NoReaders,
@@ -148,13 +148,13 @@
 }
 
 /// Waits while readers read the operators' records for this VM.
-async fn wait_while_read_for(gateway: &Gateway) -> ReaderWait {
+async fn wait_while_covered(gateway: &Gateway) -> ReaderWait {
     let from = clock::now();
     let mut waited = false;
     loop {
         let now = clock::now();
-        let fed = has_record_readers(&gateway.beliefs(), gateway, now);
-        if !fed || now.since(from) > LARGE_OTHERS_POLL_INTERVAL_US {
+        let is_covered = has_record_readers(&gateway.beliefs(), gateway, now);
+        if !is_covered || now.since(from) > LARGE_OTHERS_POLL_INTERVAL_US {
             return if waited { ReaderWait::Over } else { ReaderWait::NoReaders };
         }
         waited = true;
@@ -428,7 +428,7 @@
         }
     }
 
-    /// Sizes the expected capacity of the weight store by the number of known engines. Called on
+    /// Estimates the capacity of the weight store from the number of known engines, until loads show it. Called on
     /// every VM, since those that order most servers do not read the entries themselves.
     pub(crate) fn expect_fleet(&mut self) {
         let servers = self.backends.servers().iter();
--- a/gateway/src/group.rs
+++ b/gateway/src/group.rs
@@ -35,7 +35,9 @@
 const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A starting VM's list of other VMs counts as growing while it grows by this factor.
 const GROWTH_FACTOR: f64 = 1.1;
+/// Time without such growth after which the list counts as complete, in microseconds.
 const SETTLED_US: u64 = 800_000;
+/// Age of the process from which the list counts as complete in any case, in microseconds.
 const MAX_LISTEN_US: u64 = 6_000_000;
 /// How long a starting VM waits for the owners' lists before it decides whether to join, in
 /// microseconds.
--- a/gateway/src/news.rs
+++ b/gateway/src/news.rs
@@ -65,9 +65,9 @@
     };
     let operators_age_ms = age_ms(StoreCall::Operators);
     let servers_age_ms = age_ms(StoreCall::Servers);
-    let versions = beliefs.unreported_versions.iter().map(|(version, _)| version.clone()).collect();
-    beliefs.unreported_versions.iter_mut().for_each(|(_, left)| *left -= 1);
-    beliefs.unreported_versions.retain(|(_, left)| *left > 0);
+    let versions = beliefs.pending_versions.iter().map(|(version, _)| version.clone()).collect();
+    beliefs.pending_versions.iter_mut().for_each(|(_, left)| *left -= 1);
+    beliefs.pending_versions.retain(|(_, left)| *left > 0);
     let changes = || beliefs.entry_history.changes();
     let update = RecordUpdate {
         vm: gateway.settings.vm.clone(),
@@ -125,8 +125,8 @@
     }
 }
 
-/// Records the named version of an adapter, and schedules its report to others if this VM `read` it
-/// for them. Returns whether the version is new.
+/// Records the named version of an adapter, and schedules its report to others if this VM is
+/// one of the readers. Returns whether the version is new.
 pub(crate) fn record_version(
     gateway: &Gateway,
     key: AdapterKey,
@@ -138,8 +138,8 @@
         return false;
     }
     event!(AdapterVersionNamed, adapter = key.adapter, version = version);
-    if is_reader && beliefs.unreported_versions.len() < MAX_REPORTED_VERSIONS {
-        beliefs.unreported_versions.push((SharedVersion { key, version }, UPDATE_REPEATS));
+    if is_reader && beliefs.pending_versions.len() < MAX_REPORTED_VERSIONS {
+        beliefs.pending_versions.push((SharedVersion { key, version }, UPDATE_REPEATS));
     }
     true
 }
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -40,7 +40,7 @@
     tracker: OrderBook,
     reported_revision: u64,
     reported_free: u32,
-    told_at: TimePoint,
+    reported_at: TimePoint,
     /// VMs that requested loads here, and when they last did.
     requesters: Vec<(VmName, TimePoint)>,
 }
@@ -121,7 +121,7 @@
                 tracker,
                 reported_revision: 0,
                 reported_free: 0,
-                told_at: TimePoint(0),
+                reported_at: TimePoint(0),
                 requesters: Vec::new(),
             };
             self.trackers.insert(at, entry);
@@ -264,8 +264,8 @@
         let OrderTerms { address, born, fence, model, .. } = terms;
         let forecast = self.forecast(now);
         let may_load = model.is_some() && self.books.trackers[at].tracker.is_empty();
-        let tracker = &mut self.books.trackers[at];
-        let action = tracker.tracker.next(model.as_ref().filter(|_| may_load), &forecast, now);
+        let entry = &mut self.books.trackers[at];
+        let action = entry.tracker.next(model.as_ref().filter(|_| may_load), &forecast, now);
         if let Some(BookAction::Order(order)) = &action
             && matches!(order.action, OrderAction::LoadModel { .. })
         {
@@ -322,14 +322,14 @@
         let free = entry.tracker.free(now) as u32;
         let changed = entry.tracker.revision() != entry.reported_revision
             || (free == 0) != (entry.reported_free == 0);
-        let due = changed || now.since(entry.told_at) >= repeat_us;
+        let due = changed || now.since(entry.reported_at) >= repeat_us;
         if !due || !entry.tracker.is_known() {
             return None;
         }
         let times = self.times.told();
         let requesters = if changed { entry.requesters(now) } else { Vec::new() };
         entry.reported_revision = entry.tracker.revision();
-        entry.told_at = now;
+        entry.reported_at = now;
         entry.reported_free = free;
         let holdings = entry.tracker.adapters(now);
         let change = ListChange {
@@ -415,8 +415,8 @@
             }
             // The report of another incarnation says nothing about this one.
             if let Some(tracker) = beliefs.books.of_incarnation(server, call.born) {
-                let of_incarnation = report.as_ref().filter(|report| report.born == call.born);
-                tracker.reported(of_incarnation, &forecast, now);
+                let own_report = report.as_ref().filter(|report| report.born == call.born);
+                tracker.reported(own_report, &forecast, now);
             }
             let held = report.as_ref().map(|r| r.models.iter().map(|m| m.adapters.len()).sum());
             let held: Option<usize> = held;
@@ -509,7 +509,7 @@
         event!(
             InvariantBroken,
             server = server,
-            invariant = "a server is not told to hold more adapters than it has places for",
+            invariant = "a server is not ordered to hold more adapters than it has slots",
         );
         return false;
     }
@@ -544,8 +544,8 @@
         let mut beliefs = gateway.beliefs();
         let beliefs = &mut *beliefs;
         let Some(tracker) = beliefs.books.of_incarnation(&used.server, used.born) else { continue };
-        let told = ToldUse { vm, begun: used.count, running: used.running };
-        tracker.used(&used.key, &told, now);
+        let report = ToldUse { vm, begun: used.count, running: used.running };
+        tracker.used(&used.key, &report, now);
         let ordered = tracker.ordered(&used.key);
         if used.too_early {
             tracker.too_early(&used.key, now);
--- a/gateway/src/peer.rs
+++ b/gateway/src/peer.rs
@@ -107,7 +107,7 @@
                 ended => return ended.map(drop),
             }
         }
-        let full = |_| io::Error::other("too many datagrams wait");
+        let full = |_| io::Error::other("send queue is full, datagram dropped");
         self.waiting.try_send((bytes.clone(), to)).map_err(full)
     }
 }
@@ -390,7 +390,7 @@
 pub(crate) fn apply_lists(gateway: &Arc<Gateway>, lists: ServerLists) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
-    let (mut taken, mut awaited) = (false, false);
+    let (mut changed, mut awaited) = (false, false);
     for change in lists.lists {
         let open = change.adapters.iter().any(|adapter| beliefs.wishes.is_open(&adapter.key));
         let (server, born) = (change.server.clone(), change.born);
@@ -398,11 +398,11 @@
             event!(ServerRestarted, server = server, born = born, told_by = "vm");
         }
         if beliefs.backends.change(change, now) {
-            taken = true;
+            changed = true;
             awaited |= open;
         }
     }
-    if taken {
+    if changed {
         beliefs.domain.shorter |= lists.shorter;
         beliefs.times.heard(ToldTimes {
             alone_us: u64::from(lists.load_us),
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -30,7 +30,7 @@
 settings_struct! {
     /// Capacity of the VM.
     pub struct CapacitySettings {
-        /// Fraction of a core that the VM has; above 1 for several cores.
+        /// Processor share of the VM, in cores.
         pub core_part: f64 = 1.0;
         /// Bandwidth of its network link, in megabits per second.
         pub link_mbps: f64 = 1_000.0;
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -60,13 +60,13 @@
 /// seconds.
 const NEWEST_KEEP_MS: u64 = 30_000;
 
-/// The version of an adapter that the operators named, and when this VM learnt of it. `before` is
-/// the version named previously, 0 if none.
+/// The version of an adapter that the operators named, and when this VM learnt of it.
 #[derive(Clone, Debug)]
 pub(crate) struct NamedVersion {
     pub(crate) key: AdapterKey,
     pub(crate) version: u64,
     pub(crate) at: TimePoint,
+    /// The version named before, 0 if none was.
     pub(crate) before: u64,
 }
 
@@ -80,7 +80,7 @@
     pub(crate) until: TimePoint,
 }
 
-/// The VM's view of the system, which its decisions are made on.
+/// The VM's view of the system, on which its decisions are based.
 pub(crate) struct Beliefs {
     pub(crate) table: Option<Arc<RouteTable>>,
     /// When `table` was last confirmed to be the newest configuration.
@@ -124,7 +124,7 @@
     /// successful call tell others whether there is an outage.
     pub(crate) calls_store: bool,
     /// Adapter versions still to be reported to other VMs, and in how many more messages.
-    pub(crate) unreported_versions: Vec<(SharedVersion, usize)>,
+    pub(crate) pending_versions: Vec<(SharedVersion, usize)>,
     /// Use of adapters that is not yet reported to the owners of their servers.
     pub(crate) uses: UseList,
     /// The aggregators of this VM's failure domain.
@@ -221,7 +221,7 @@
             skipped: SkippedKeys::default(),
             answers: AnswerTimes::default(),
             calls_store: false,
-            unreported_versions: Vec::new(),
+            pending_versions: Vec::new(),
             uses: UseList::default(),
             domain: DomainView::new(&settings.capacity),
             large_since: clock::now(),
--- a/gateway/tests/suite/config_follow.rs
+++ b/gateway/tests/suite/config_follow.rs
@@ -1,4 +1,4 @@
-//! Configuration and servers are followed from the store, and never go back.
+//! Configuration and servers' entries follow the store, and never revert to older ones.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use crate::server::StandinServer;
 use crate::site::{Site, eventually};
 
-/// A route moves to another service. Requests go there within seconds; an older configuration that is
-/// read again changes nothing.
+/// A route moves to another service. Requests go there within seconds, and an older configuration
+/// that is published later has no effect.
 #[tokio::test]
 async fn moved_route() {
     let site = Site::start(0, 1).await;
@@ -32,7 +32,7 @@
     assert_eq!(elsewhere.runs().len(), before + 1);
 }
 
-/// A record that cannot be read changes nothing, and the next good one counts.
+/// Records that cannot be parsed have no effect on the configuration and the servers in use.
 #[tokio::test]
 async fn bad_records() {
     let site = Site::start(0, 1).await;
@@ -45,7 +45,8 @@
     assert_eq!(gateway.call("/safe/1", "r1", &[]).await.status, 200);
 }
 
-/// The store drops its history while a gateway is behind. It reads the newest records instead.
+/// The store drops its history while a gateway is behind. The gateway reads the newest records
+/// instead.
 #[tokio::test]
 async fn dropped_history() {
     let site = Site::start(0, 1).await;
@@ -59,7 +60,7 @@
     eventually("the new configuration is in force", moved).await;
 }
 
-/// A server says that it leaves: after a moment it gets no new work.
+/// A server announces that it leaves, and gets no new work 1.5 s later.
 #[tokio::test]
 async fn leaving_server() {
     let mut site = Site::start(0, 2).await;
@@ -75,7 +76,7 @@
     assert_eq!(leaving.runs().len(), before);
 }
 
-/// Before any configuration is known nothing is denied: callers are told to come back.
+/// Before any configuration is known, requests are not denied: callers are asked to retry later.
 #[tokio::test]
 async fn no_configuration() {
     let site = Site::start(0, 1).await;
@@ -87,8 +88,8 @@
     assert!(!gateway.ready().await);
 }
 
-/// The store comes back after an outage, and a server leaves a moment later. Its entry is removed for
-/// good and it gets no new work; only entries that lapsed in the outage may still come back.
+/// A server's entry is removed shortly after the store returned from an outage. The server gets no
+/// new work; only entries that lapsed during the outage are kept for a time.
 #[tokio::test]
 async fn gone_after_outage() {
     let site = Site::start(0, 2).await;
@@ -107,8 +108,8 @@
     assert_eq!(site.plain[0].runs().len(), before);
 }
 
-/// A server's entry lapses while the store is away and is back a second after it. The server is used
-/// all the while.
+/// A server's entry lapses while the store is down and is written again a second after its return.
+/// The server is used throughout.
 #[tokio::test]
 async fn lapsed_in_outage() {
     let mut site = Site::start(0, 1).await;
--- a/gateway/tests/suite/configuration.rs
+++ b/gateway/tests/suite/configuration.rs
@@ -1,10 +1,10 @@
-//! The configuration that the operators publish in tests.
+//! The configuration that tests publish.
 
 use serde_json::{Value, json};
 
 use crate::server::{MODEL, PLACES};
 
-/// A configuration whose `/moved/` goes to the service `moved`.
+/// Returns a configuration whose `/moved/` route goes to the service `moved`.
 pub(crate) fn configuration(version: u64, moved: &str) -> Value {
     let route = |name: &str, kind: &str, service: &str, attempts: u64, resumable: bool| {
         json!({
--- a/gateway/tests/suite/lost_questions.rs
+++ b/gateway/tests/suite/lost_questions.rs
@@ -1,11 +1,10 @@
-//! Questions that the store holds until there are records, and never answers.
+//! Held queries for records that the store never answers.
 //!
-//! What was seen: for fourteen seconds after an outage all VMs of a site served callers by a configuration that
-//! operators had replaced, while they called the store for everything else and were answered. How it came about: a
-//! VM asked the store to hold its question for operators' records for 20 s, and waited that long for the
-//! answer. A silent store takes questions and never answers them, and their connections live on. The loss met
-//! all VMs alike, so that none could tell another of newer records. What proved it: a VM's log has the question
-//! given up 21 s after it was asked, and all missed configurations in force 20 ms after the next one.
+//! A VM asks the store to hold its query for operators' records until there are some. A store that
+//! becomes unresponsive accepts such queries and never answers them, while their connections stay
+//! open and other calls are answered again. The loss affects all VMs alike, so that none can report
+//! newer records to another. With a query held for 20 s, all VMs of a site served callers by a
+//! replaced configuration for 14 s after an outage.
 
 use std::time::Duration;
 
@@ -14,10 +13,10 @@
 use crate::server::StandinServer;
 use crate::site::{RunningGateway, Site};
 
-/// Within which time operators want an accepted configuration in force.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time within which an accepted configuration must be in force.
+const CONFIG_LIMIT: Duration = Duration::from_secs(2);
 
-/// A site of three VMs, and a service that `/moved/` does not go to yet.
+/// Returns a site of three VMs, and the server of a service that `/moved/` does not go to yet.
 async fn site_of_three() -> (Site, StandinServer, Vec<RunningGateway>) {
     let site = Site::start(0, 1).await;
     let elsewhere = StandinServer::start("x-0").await;
@@ -35,32 +34,37 @@
     (site, elsewhere, gateways)
 }
 
-/// Publishes a configuration that moves the route, and expects it in force at each VM in time.
-async fn expect_moved(site: &Site, elsewhere: &StandinServer, gateways: &[RunningGateway]) {
+/// Publishes a configuration that moves the route, and checks that each VM has it in force in time.
+async fn check_moved(site: &Site, elsewhere: &StandinServer, gateways: &[RunningGateway]) {
     site.configure(5, "elsewhere");
-    sleep(IN_FORCE).await;
+    sleep(CONFIG_LIMIT).await;
     for (number, gateway) in gateways.iter().enumerate() {
         assert_eq!(gateway.call("/moved/1", &format!("after-{number}"), &[]).await.status, 200);
-        assert_eq!(elsewhere.runs().len(), number + 1, "VM {} uses the old one", number + 1);
+        assert_eq!(
+            elsewhere.runs().len(),
+            number + 1,
+            "VM {} uses the old configuration",
+            number + 1
+        );
     }
 }
 
-/// A caller is served by the old service four seconds after operators moved its route. The store had
-/// fallen silent for some seconds and answers all calls again, but not the questions that it held.
+/// The store is unresponsive for some seconds. It then answers all calls again except the queries
+/// that it held, and a configuration that is published next must be in force in time.
 #[tokio::test]
 async fn after_silence() {
     let (site, elsewhere, gateways) = site_of_three().await;
     site.store.set_silent(true);
     sleep(Duration::from_millis(2_500)).await;
     site.store.set_silent(false);
-    expect_moved(&site, &elsewhere, &gateways).await;
+    check_moved(&site, &elsewhere, &gateways).await;
 }
 
-/// The same without any outage: the store forgets the questions that it holds, and answers every other
-/// call all the while. No VM has a newer configuration to tell the others of.
+/// The store loses the queries that it holds but answers every other call, without an outage. No VM
+/// has a newer configuration to report to the others.
 #[tokio::test]
 async fn without_outage() {
     let (site, elsewhere, gateways) = site_of_three().await;
     site.store.lose_held();
-    expect_moved(&site, &elsewhere, &gateways).await;
+    check_moved(&site, &elsewhere, &gateways).await;
 }
--- a/gateway/tests/suite/peer_records.rs
+++ b/gateway/tests/suite/peer_records.rs
@@ -1,9 +1,9 @@
-//! VMs that the store turns away take records from others.
+//! VMs that cannot read the store fetch records from other VMs.
 
 use crate::site::{Site, eventually};
 
-/// The store is down when a VM starts. It takes configuration and servers from a VM that knows them,
-/// and serves.
+/// The store is down when a VM starts. It fetches configuration and servers from a VM that has
+/// them, and serves requests.
 #[tokio::test]
 async fn start_without_store() {
     let site = Site::start(0, 1).await;
@@ -15,22 +15,22 @@
     assert_eq!(second.call("/safe/1", "r1", &[]).await.status, 200);
 }
 
-/// Callers are told of every VM that is ready, and not of one that has ended.
+/// The addresses for callers include every VM that is ready, and none that has ended.
 #[tokio::test]
 async fn ready_addresses() {
     let site = Site::start(0, 1).await;
     let first = site.gateway("vm-1", &[]).await;
     let second = site.gateway("vm-2", &[&first]).await;
     let both = async || first.addresses().await.len() == 2 && second.addresses().await.len() == 2;
-    eventually("both VMs are told of", both).await;
+    eventually("both VMs' addresses are listed", both).await;
     let own = first.listen.requests;
     drop(second);
     let alone = async || first.addresses().await == [own];
-    eventually("the VM that ended is told of no more", alone).await;
+    eventually("the address of the ended VM is no longer listed", alone).await;
 }
 
-/// Bytes that are no message of a VM come to the VMs' port: cut ones, ones of another release, noise. The
-/// VM goes on as before.
+/// Truncated datagrams, datagrams of another release and random bytes arrive at the VMs' port. The
+/// VM ignores them.
 #[tokio::test]
 async fn odd_datagrams() {
     let site = Site::start(0, 1).await;
--- a/gateway/tests/suite/store.rs
+++ b/gateway/tests/suite/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: topics with the newest record of each key, and one group.
+//! Stand-in of the platform's store: topics with the newest record of each key, and one group.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -31,36 +31,37 @@
     lifetime: Duration,
 }
 
-/// A share that the group's members are dealt.
-struct DealtShare {
+/// A partition that is assigned to a member of the group.
+struct Partition {
     topic: String,
     part: u64,
     holder: String,
-    /// Who gets it once its holder has joined with the generation of the move, or lapsed.
+    /// The next holder, and the generation of the move: it takes over once the present holder has
+    /// joined with that generation, or its membership expired.
     next: Option<(String, u64)>,
 }
 
 #[derive(Default)]
 struct StoreState {
     topics: Vec<(String, Vec<KeyedLine>)>,
-    /// The oldest kept offset of each topic, once history was dropped.
+    /// The oldest offset kept of each topic, once history was dropped.
     first: Vec<(String, usize)>,
     members: Vec<GroupMember>,
-    shares: Vec<DealtShare>,
+    partitions: Vec<Partition>,
     generation: u64,
-    /// Whether all members get shares, or the one that joined first alone.
-    deals_evenly: bool,
+    /// Whether all members are assigned partitions, or only the one that joined first.
+    assigns_evenly: bool,
 }
 
-/// The store. Clones share it.
+/// The store. Clones share its state.
 #[derive(Clone)]
 pub(crate) struct StandinStore {
     pub(crate) address: SocketAddr,
     state: Arc<Mutex<StoreState>>,
     changed: Arc<Notify>,
     down: Arc<AtomicBool>,
-    silent: Arc<AtomicBool>,
-    /// Questions that are held since before the last loss are never answered.
+    unresponsive: Arc<AtomicBool>,
+    /// Number of losses so far. Queries that were held at a loss are never answered.
     losses: Arc<AtomicU64>,
 }
 
@@ -72,7 +73,7 @@
             state: Arc::default(),
             changed: Arc::default(),
             down: Arc::default(),
-            silent: Arc::default(),
+            unresponsive: Arc::default(),
             losses: Arc::default(),
         };
         let served = store.clone();
@@ -89,7 +90,7 @@
         store
     }
 
-    /// Writes a record, or drops its key.
+    /// Writes a record, or removes its key.
     pub(crate) fn write(&self, topic: &str, key: &str, value: Option<&Value>) {
         let value = value.map(|value| value.to_string().into_bytes());
         self.append(topic, key, value);
@@ -106,32 +107,33 @@
         self.changed.notify_waiters();
     }
 
-    /// Deals shares to all members from now on.
+    /// Assigns partitions to all members from now on.
     pub(crate) fn deal_evenly(&self) {
-        self.state.lock().unwrap().deals_evenly = true;
+        self.state.lock().unwrap().assigns_evenly = true;
     }
 
-    /// How many members the group has had at once.
+    /// Returns the number of members in the group. Expired ones count until the next join.
     pub(crate) fn members(&self) -> usize {
         self.state.lock().unwrap().members.len()
     }
 
-    /// Answers nothing but 503 from now on, or serves again.
+    /// Answers every call with 503 while `down`.
     pub(crate) fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::SeqCst);
         self.changed.notify_waiters();
     }
 
-    /// Takes connections and calls and answers none, those that it holds included, or serves again. What
-    /// it took while it was silent stays without an answer, and no connection ends.
+    /// Accepts connections and calls without answering any while `silent`, including the queries
+    /// that are held. What was accepted in that time stays unanswered afterwards, and no connection
+    /// is closed.
     pub(crate) fn set_silent(&self, silent: bool) {
-        self.silent.store(silent, Ordering::SeqCst);
+        self.unresponsive.store(silent, Ordering::SeqCst);
         if silent {
             self.lose_held();
         }
     }
 
-    /// Forgets the questions that it holds; their connections stay open and bring nothing further.
+    /// Drops the queries that are held. Their connections stay open and get no answer.
     pub(crate) fn lose_held(&self) {
         self.losses.fetch_add(1, Ordering::SeqCst);
         self.changed.notify_waiters();
@@ -153,7 +155,7 @@
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         let body = request.into_body().collect().await.unwrap().to_bytes();
-        if self.silent.load(Ordering::SeqCst) {
+        if self.unresponsive.load(Ordering::SeqCst) {
             return std::future::pending().await;
         }
         if self.down.load(Ordering::SeqCst) {
@@ -238,13 +240,13 @@
         let lifetime = Duration::from_millis(join["ttl_ms"].as_u64().unwrap());
         let name = join["member"].as_str().unwrap();
         state.join(name, lifetime, &topics);
-        let parts = state.dealt(name, join["generation"].as_u64().unwrap_or(0));
+        let parts = state.assigned(name, join["generation"].as_u64().unwrap_or(0));
         json!({ "generation": state.generation, "ttl_ms": join["ttl_ms"], "parts": parts })
     }
 }
 
 impl StoreState {
-    /// Keeps a member in the group, and deals the shares anew if a member came or lapsed.
+    /// Adds or renews a member, and reassigns the partitions if a member joined or expired.
     fn join(&mut self, name: &str, lifetime: Duration, topics: &[&str]) {
         let before = self.members.len();
         self.members.retain(|member| member.joined.elapsed() < member.lifetime);
@@ -263,11 +265,11 @@
         }
         self.generation += 1;
         let names: Vec<String> = self.members.iter().map(|m| m.name.clone()).collect();
-        let dealt = if self.deals_evenly { names.len() } else { 1 };
-        if self.shares.is_empty() {
+        let assignees = if self.assigns_evenly { names.len() } else { 1 };
+        if self.partitions.is_empty() {
             let pairs = topics.iter().flat_map(|topic| (0..PARTS).map(move |part| (*topic, part)));
-            self.shares = pairs
-                .map(|(topic, part)| DealtShare {
+            self.partitions = pairs
+                .map(|(topic, part)| Partition {
                     topic: topic.to_owned(),
                     part,
                     holder: String::new(),
@@ -275,30 +277,34 @@
                 })
                 .collect();
         }
-        for (number, share) in self.shares.iter_mut().enumerate() {
-            let target = &names[number % dealt];
-            if !names.contains(&share.holder) {
-                share.holder.clone_from(target);
-                share.next = None;
-            } else if share.holder == *target {
-                share.next = None;
+        for (number, partition) in self.partitions.iter_mut().enumerate() {
+            let target = &names[number % assignees];
+            if !names.contains(&partition.holder) {
+                partition.holder.clone_from(target);
+                partition.next = None;
+            } else if partition.holder == *target {
+                partition.next = None;
             } else {
-                share.next = Some((target.clone(), self.generation));
+                partition.next = Some((target.clone(), self.generation));
             }
         }
     }
 
-    /// The shares of a member that states the last generation that it knows.
-    fn dealt(&mut self, name: &str, generation: u64) -> Vec<Value> {
-        for share in &mut self.shares {
-            if share.holder == name
-                && let Some((next, _)) = share.next.take_if(|(_, from)| generation >= *from)
+    /// Returns the partitions of a member that knows the generation up to `generation`. Partitions
+    /// that it must give up in that generation move to their next holder.
+    fn assigned(&mut self, name: &str, generation: u64) -> Vec<Value> {
+        for partition in &mut self.partitions {
+            if partition.holder == name
+                && let Some((next, _)) = partition.next.take_if(|(_, from)| generation >= *from)
             {
-                share.holder = next;
+                partition.holder = next;
             }
         }
-        let own = self.shares.iter().filter(|share| share.holder == name && share.next.is_none());
-        own.map(|share| json!([share.topic, share.part, 0])).collect()
+        let own = self
+            .partitions
+            .iter()
+            .filter(|partition| partition.holder == name && partition.next.is_none());
+        own.map(|partition| json!([partition.topic, partition.part, 0])).collect()
     }
 }
 
--- a/gateway/tests/suite/untold_changes.rs
+++ b/gateway/tests/suite/untold_changes.rs
@@ -1,9 +1,10 @@
-//! Changes of servers' entries that those who read them for others do not tell of.
+//! Changes of servers' entries that the readers do not report.
 //!
-//! Three VMs look at the entries for all, and the others look themselves while they hear nothing of the three. The
-//! three also find changes that they do not tell of: in a snapshot of all entries, where the history was dropped,
-//! and after an outage, when each VM judges for itself which entries come back. The others hear that the three
-//! read on, and would send requests to a server that is gone until their next look, eight seconds later.
+//! Three readers poll the entries for all; the other VMs poll them only if they receive no reports.
+//! Changes in a snapshot, which is read when the history was dropped, and changes after an outage,
+//! when each VM determines by itself which entries return, are not reported. VMs that rely on the
+//! readers in these cases would send requests to a removed server until their next poll, eight
+//! seconds later.
 
 use std::time::Duration;
 
@@ -11,9 +12,9 @@
 
 use crate::site::{RunningGateway, Site, eventually};
 
-/// How long a server that is gone may get new work.
-const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// VMs of which some are told of entries alone.
+/// Time within which a removed server must get no new work.
+const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+/// With five VMs, two are not readers and rely on reports.
 const VMS: [&str; 5] = ["vm-1", "vm-2", "vm-3", "vm-4", "vm-5"];
 
 async fn site_of_five(servers: usize) -> (Site, Vec<RunningGateway>) {
@@ -30,7 +31,7 @@
     (site, gateways)
 }
 
-/// Expects that no VM sends requests to the server that is gone.
+/// Checks that no VM sends requests to the removed server.
 async fn expect_unused(site: &Site, gateways: &[RunningGateway]) {
     let before = site.plain[0].runs().len();
     for (number, gateway) in gateways.iter().enumerate() {
@@ -39,23 +40,23 @@
             assert_eq!(gateway.call("/safe/1", &id, &[]).await.status, 200);
         }
         let sent = site.plain[0].runs().len() - before;
-        assert_eq!(sent, 0, "VM {} sends to a server that is gone", number + 1);
+        assert_eq!(sent, 0, "VM {} sends to a removed server", number + 1);
     }
 }
 
-/// A server's entry is removed, and the history of entries is dropped before anybody has read of it.
+/// A server's entry is removed, and the history of entries is dropped before any VM has read of it.
 #[tokio::test]
 async fn gone_in_a_gap() {
     let (site, gateways) = site_of_five(2).await;
     sleep(Duration::from_millis(1_500)).await;
     site.store.write("keyed.servers", "p-0", None);
     site.store.compact();
-    sleep(DRAIN_TIME).await;
+    sleep(DRAIN_LIMIT).await;
     expect_unused(&site, &gateways).await;
 }
 
-/// A server's entry lapses while the store is away and does not come back after it. It counts as gone two
-/// seconds after the store's return, and a look later at each VM.
+/// A server's entry lapses while the store is down and is not written again. The server counts as
+/// removed two seconds after the store's return, and each VM then has one more poll to notice it.
 #[tokio::test]
 async fn gone_in_an_outage() {
     let (site, gateways) = site_of_five(2).await;
@@ -64,12 +65,12 @@
     site.store.write("keyed.servers", "p-0", None);
     sleep(Duration::from_millis(2_500)).await;
     site.store.set_down(false);
-    sleep(Duration::from_secs(2) + DRAIN_TIME).await;
+    sleep(Duration::from_secs(2) + DRAIN_LIMIT).await;
     expect_unused(&site, &gateways).await;
 }
 
-/// The only server's entry lapses while the store is away and is written again a second after its return. That it
-/// is back is no change that the three tell of; callers are served by it all the while.
+/// The only server's entry lapses while the store is down and is written again a second after its
+/// return. The readers report neither; requests must be served by the server throughout.
 #[tokio::test]
 async fn back_after_an_outage() {
     let (mut site, gateways) = site_of_five(1).await;
@@ -77,7 +78,7 @@
     site.store.set_down(true);
     sleep(Duration::from_millis(2_500)).await;
     site.store.set_down(false);
-    // The store notes with its return which entries lapsed.
+    // On its return the store records which entries lapsed.
     site.store.write("keyed.servers", "p-0", None);
     sleep(Duration::from_secs(1)).await;
     site.register("ready");
--- a/gateway/tests/unit/aggregator_turns.rs
+++ b/gateway/tests/unit/aggregator_turns.rs
@@ -1,7 +1,7 @@
-//! Who aggregates for a failure domain when those before it fall silent.
+//! Which VM aggregates for a failure domain after its aggregator was killed or frozen.
 //!
-//! The VM that tells a domain what is new is killed or frozen. The others know counts and lists as they were
-//! then; the next one in rank takes over within a second, and gives way when the first is back.
+//! Until another one takes over, the domain's VMs keep counts and lists from before. The next VM in
+//! rank takes over within a second, and stops once the first is back.
 
 use coltsfoothook_decision::id::TimePoint;
 
@@ -22,16 +22,16 @@
     view.record_update(&"vm-1".into(), START);
     assert!(!view.is_due(1, START, START.plus(400_000)));
     assert!(view.is_due(1, START, START.plus(SECOND)));
-    // Those further behind wait for longer, and hear of the next one by then.
+    // VMs of lower rank wait for longer, and receive the next one's updates by then.
     assert!(!view.is_due(5, START, START.plus(SECOND)));
     view.record_update(&"vm-2".into(), START.plus(SECOND));
     assert!(!view.is_due(5, START, START.plus(SECOND + 400_000)));
-    // The first one is back, and the second hears of it.
+    // The first one is back, and the second receives its updates.
     view.record_update(&"vm-1".into(), START.plus(2 * SECOND));
     assert!(!view.is_due(1, START, START.plus(2 * SECOND + 100_000)));
 }
 
-/// A fleet that just became large has no aggregator that could have been heard.
+/// In a fleet that just became large no VM has received an aggregator's update yet.
 #[test]
 fn just_large() {
     let view = DomainView::default();
--- a/gateway/tests/unit/large_fleet.rs
+++ b/gateway/tests/unit/large_fleet.rs
@@ -1,4 +1,4 @@
-//! What changes where there are too many VMs for each to call the store and tell all others.
+//! The roster in large fleets, where not every VM calls the store and reports to all others.
 
 use std::net::SocketAddr;
 
@@ -33,7 +33,8 @@
     }
 }
 
-/// The VMs of a fleet but `own`, each with its configuration and the age of its last call to the store.
+/// Returns the roster of VM `own` in a fleet of `count`, with each other VM's configuration and the
+/// age in milliseconds of its last call to the store.
 pub(crate) fn roster(
     count: usize,
     own: usize,
@@ -48,8 +49,8 @@
     roster
 }
 
-/// All VMs agree on who is first, so that just as many read the store for the others as are meant to,
-/// and those are not the first by name, which would be of one failure domain.
+/// All VMs compute the same order, so that exactly the intended number reads the store for the
+/// others. The first ones are not the first by name, which would be of one failure domain.
 #[test]
 fn same_order() {
     let count = 75;
@@ -63,8 +64,9 @@
     assert_eq!(ranks, (0..count).collect::<Vec<_>>());
 }
 
-/// Most VMs of a large fleet call the store twice a minute. Their silence must not look like an outage:
-/// a VM that was cut off from the store would go on ordering servers that another one orders by now.
+/// Most VMs of a large fleet call the store twice a minute. Were they counted as witnesses, this
+/// would look like an outage of the store, and a VM that is cut off from the store would go on
+/// ordering servers that another one orders by then.
 #[test]
 fn no_witness() {
     let seldom = roster(75, 0, NOW, |number| (1, (number == 7).then_some(100)));
@@ -72,8 +74,8 @@
     assert!(roster(75, 0, NOW, |_| (1, None)).witnesses(NOW).is_empty());
 }
 
-/// A VM that is behind takes the configuration from any VM that has the newest one. If all took it from
-/// one, the small VM there would be busy with it while callers wait.
+/// A VM that is behind may fetch the configuration from any VM that has the newest one. If all
+/// fetched it from one VM, that VM would be overloaded while callers wait.
 #[test]
 fn many_are_ahead() {
     let fleet = roster(75, 0, NOW, |number| (if number < 40 { 7 } else { 6 }, None));
@@ -81,31 +83,31 @@
     assert!(fleet.with_newer_config(7, NOW).is_empty());
 }
 
-/// All VMs of a domain agree on who tells the others what is new, and it is one that has the link for it.
+/// All VMs of a domain compute the same aggregator, and it is an eligible one.
 #[test]
 fn one_aggregator() {
     let count = 40;
-    let strong = |number: usize| number % 4 == 1;
+    let eligible = |number: usize| number % 4 == 1;
     let ahead = |own: usize| {
         let mut roster = PeerRoster::default();
         for number in (0..count).filter(|number| *number != own) {
-            let state = VmState { strong: strong(number), ..state(number, 1, None) };
+            let state = VmState { strong: eligible(number), ..state(number, 1, None) };
             roster.apply(&state, address(number), NOW);
         }
         roster.ahead_in_domain(
             &VmName::from(format!("vm-{own}").as_str()),
             &DOMAIN.into(),
-            strong(own),
+            eligible(own),
             NOW,
         )
     };
     let first: Vec<usize> = (0..count).filter(|own| ahead(*own) == 0).collect();
     assert_eq!(first.len(), 1);
-    assert!(strong(first[0]));
+    assert!(eligible(first[0]));
 }
 
-/// An owner's lists go to the VM that says that it aggregates, in each domain; where none says so yet, to the one
-/// that will.
+/// An owner's lists go to the VM that aggregates in each domain; where none does yet, to the one
+/// that comes first.
 #[test]
 fn aggregators_of_domains() {
     let mut roster = PeerRoster::default();
@@ -117,11 +119,11 @@
     }
     let first = roster.first_in_domain(&"d2".into(), NOW).unwrap();
     assert_eq!(roster.aggregators(NOW), [address(3), first]);
-    let gone = TimePoint(NOW.0 + 5_000_000);
-    assert!(roster.aggregators(gone).is_empty());
+    let expired = TimePoint(NOW.0 + 5_000_000);
+    assert!(roster.aggregators(expired).is_empty());
 }
 
-/// The news of one VM tell of a newer configuration before its next state does.
+/// A VM's update shows its newer configuration before its next state message does.
 #[test]
 fn told_in_news() {
     let mut fleet = roster(SMALL_FLEET + 2, 0, NOW, |_| (6, None));
@@ -131,8 +133,9 @@
     assert_eq!(fleet.with_newer_config(6, NOW), [address(3)]);
 }
 
-/// A VM of a large fleet tells each other one of itself every three seconds or more, and one message in some is
-/// lost. Those that tell of leaving servers must not lose sight of it for that: it would send to such a server.
+/// A VM of a large fleet sends its state to each other VM every three seconds or more, and some
+/// messages are lost. The loss of one must not make the readers drop a VM: it would not learn of
+/// leaving servers and would send requests to them.
 #[test]
 fn one_lost_state() {
     for count in [195, 363] {
--- a/gateway/tests/unit/leaving_servers.rs
+++ b/gateway/tests/unit/leaving_servers.rs
@@ -1,8 +1,9 @@
-//! Who tells the VMs of a large fleet that a server leaves.
+//! Which VMs report a leaving server in a large fleet.
 //!
-//! Three VMs read the servers' entries and tell the others. The first one that reads of a leaving server has lost
-//! sight of a VM; the other two have heard of the server from the first one. If they did not tell of it as well,
-//! that VM would hear their news, not look itself, and send requests to the server for seconds.
+//! The first reader that sees the server leave may have lost contact with a VM, and the other
+//! readers may have the change from its report. If they did not report it as well, that VM would
+//! rely on their messages, not read the entries itself, and send requests to the server for
+//! seconds.
 
 use std::sync::Arc;
 
@@ -30,11 +31,11 @@
     let peers = PeerSocket::bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let gateway = Arc::new(Gateway::new(GatewaySettings::default(), peers));
     assert_eq!(apply_servers(&gateway, &[record("ready", 1)], false).entries.len(), 1);
-    // A heartbeat of a server that stays is no news.
+    // A heartbeat of a server that stays is not a change.
     assert!(apply_servers(&gateway, &[record("ready", 2)], false).entries.is_empty());
-    // Another VM told this one that it leaves, before it reads so itself.
+    // Another reader reported that it leaves before this one reads the entry.
     let leaving = apply_servers(&gateway, &[record("draining", 3)], false).entries;
     assert!(!leaving[0].ready);
-    let read_too = apply_servers(&gateway, &[record("draining", 3)], false).entries;
-    assert_eq!(read_too.len(), 1, "the second reader tells of it too");
+    let second_read = apply_servers(&gateway, &[record("draining", 3)], false).entries;
+    assert_eq!(second_read.len(), 1, "the second reader must report it too");
 }
--- a/gateway/tests/unit/metrics_page.rs
+++ b/gateway/tests/unit/metrics_page.rs
@@ -1,4 +1,4 @@
-//! docs/GATEWAY-METRICS.md is made from the metrics themselves.
+//! docs/GATEWAY-METRICS.md is generated from the metrics.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 use crate::metrics::{GatewayMetrics, RequestTiming};
 
-/// A metric that is added or renamed without its line on the page fails here; `UPDATE_EXPECT=1` writes the
-/// page.
+/// Fails if a metric was added or renamed without an update of the page; `UPDATE_EXPECT=1` writes
+/// it.
 #[test]
 fn page() {
     let metrics = GatewayMetrics::new();
--- a/gateway/tests/unit/told_records.rs
+++ b/gateway/tests/unit/told_records.rs
@@ -1,9 +1,9 @@
-//! Whose knowledge of the store a VM of a large fleet relies on.
+//! When a VM of a large fleet relies on the readers' knowledge of the store.
 //!
-//! Three VMs read operators' records and servers' entries for all and tell the others of both in one message. The
-//! store loses their questions for records and answers those for entries. If the others took each message for a
-//! sign that the records are read, no VM would ask for them, and callers would be served by an old
-//! configuration for as long as the questions stay open.
+//! Three readers report operators' records and servers' entries in one message. The store may lose
+//! their queries for records while it answers those for entries. If the other VMs took each message
+//! as a sign that records are read, none would query for them, and callers would be served by an
+//! old configuration for as long as the queries stay unanswered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 use crate::settings::GatewaySettings;
 use crate::state::Gateway;
 
-/// Older than anything that a VM relies on.
+/// An age beyond what a VM relies on, in milliseconds.
 const OLD_MS: u32 = 5_000;
 
-/// A VM of a large fleet that does not read the store for others.
-async fn fed_vm() -> Arc<Gateway> {
+/// Returns a VM of a large fleet that does not read the store for others.
+async fn vm_with_readers() -> Arc<Gateway> {
     let peers = PeerSocket::bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let now = clock::now();
     let fleet = |own: usize| roster(40, own, now, |_| (1, None));
@@ -66,29 +66,33 @@
 
 #[tokio::test]
 async fn records_unread() {
-    let gateway = fed_vm().await;
+    let gateway = vm_with_readers().await;
     receive(&gateway, OLD_MS, 0);
-    assert!(!relies_on_readers(&gateway), "the readers' questions are lost");
+    assert!(!relies_on_readers(&gateway), "the readers' queries are lost");
     receive(&gateway, 700, 0);
     assert!(relies_on_readers(&gateway));
 }
 
-/// The reverse: many configurations come while the readers' calls for entries are not answered. A VM that took
-/// the news of configurations for news of servers would go on sending to servers that leave.
+/// The reverse: many configurations arrive while the readers' calls for entries are not answered. A
+/// VM that took updates of configurations as updates of entries would go on sending to leaving
+/// servers.
 #[tokio::test]
 async fn entries_unread() {
-    let gateway = fed_vm().await;
+    let gateway = vm_with_readers().await;
     let read_at: TimePoint = clock::now();
     receive(&gateway, 0, OLD_MS);
-    assert!(!has_entry_readers(&gateway, read_at), "the readers do not see the entries");
+    assert!(
+        !has_entry_readers(&gateway, read_at),
+        "the readers' knowledge of the entries is too old"
+    );
     receive(&gateway, 0, 600);
     assert!(has_entry_readers(&gateway, read_at));
 }
 
-/// News that come late or out of order make nothing older.
+/// Updates that arrive late or out of order do not lower the known times.
 #[tokio::test]
 async fn late_news() {
-    let gateway = fed_vm().await;
+    let gateway = vm_with_readers().await;
     receive(&gateway, 100, 100);
     receive(&gateway, OLD_MS, OLD_MS);
     assert!(relies_on_readers(&gateway));
--- a/gateway/tests/unit/waiting_datagrams.rs
+++ b/gateway/tests/unit/waiting_datagrams.rs
@@ -1,4 +1,4 @@
-//! Messages that the socket does not take at once.
+//! Sending of datagrams that the socket does not accept at once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,9 +10,9 @@
 use crate::message::{AdapterUse, MAX_BYTES, PeerMessage};
 use crate::peer::{PeerSocket, first_recipient, send_waiting};
 
-/// A VM tells some tens of others of servers that leave while its socket takes nothing: here it is not
-/// known to be writable yet, in a large fleet its buffer may be full. Dropped, the message would reach
-/// nobody before its next repeat, and requests would go to servers that have left.
+/// Guards against dropping messages while the socket is not writable: here it is not yet known to
+/// be, in a large fleet its buffer may be full. A dropped message about leaving servers would reach
+/// no VM before its next repeat, and requests would go to servers that have left.
 #[tokio::test]
 async fn all_are_told() {
     let sender = Arc::new(PeerSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.unwrap());
@@ -32,14 +32,15 @@
         let received = timeout(Duration::from_secs(5), receiver.recv(&mut bytes)).await;
         assert!(
             received.is_ok_and(|received| received.unwrap() > 1_000),
-            "VM {number} is not told"
+            "VM {number} did not receive the message"
         );
     }
     waiting.abort();
 }
 
-/// The link of a small VM carries half of each message to 88 others, the half that is sent first. Of the
-/// fifteen messages that tell of a leaving server, five from each of three VMs, every VM gets some.
+/// A narrow link carries only the first half of the datagrams of a message to 88 VMs. Five messages
+/// from each of three readers report a leaving server; with rotating first recipients, every VM
+/// gets some of the fifteen.
 #[test]
 fn narrow_link() {
     let count = 88;
