--- a/gateway/src/confirm.rs
+++ b/gateway/src/confirm.rs
@@ -106,9 +106,9 @@
     }
 }
 
-/// Has the store queried for a configuration newer than the one in force at `moment`. Returns
-/// whether it is known within the timeout that there was none, or that the one now in force is the
-/// newest.
+/// Has the store queried whether there is a configuration newer than the one that was in force at
+/// `moment`. Returns whether it is confirmed within [`UNKNOWN_KEY_TIMEOUT`] that there is none, or
+/// that the one now in force is the newest.
 pub(crate) async fn confirm_since(gateway: &Gateway, moment: TimePoint) -> bool {
     let wait = async {
         loop {
@@ -123,8 +123,8 @@
     timeout(UNKNOWN_KEY_TIMEOUT, wait).await.is_ok()
 }
 
-/// Requests a query to the store, unless one was requested within [`UNKNOWN_KEY_INTERVAL`]. Returns the time
-/// until the next may be requested.
+/// Requests a query to the store, unless one was requested within [`UNKNOWN_KEY_INTERVAL`]. Returns
+/// the time until the next may be requested.
 fn request_query(gateway: &Gateway, now: TimePoint) -> Duration {
     let mut beliefs = gateway.beliefs();
     let since = beliefs.unknown_key_queried_at.map(|at| Duration::from_micros(now.since(at)));
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -128,7 +128,7 @@
 pub(crate) fn has_record_readers(beliefs: &Beliefs, gateway: &Gateway, now: TimePoint) -> bool {
     beliefs.table.is_some()
         && beliefs.roster.is_large(now)
-        && beliefs.roster.readers_ahead(&gateway.settings.vm, now) >= READERS
+        && beliefs.roster.hash_rank(&gateway.settings.vm, now) >= READERS
         && is_current(
             Duration::from_micros(now.since(beliefs.operators_known_at)),
             config_limit(gateway),
@@ -295,8 +295,8 @@
     remove_lapsed(gateway);
 }
 
-/// Applies changes of entries, and returns those to be reported. With `after_outage`, the first read
-/// after an outage, removals may be lapses that are undone.
+/// Applies changes of entries, and returns those to be reported. With `after_outage`, the first
+/// read after an outage, removals may be lapses that are undone.
 pub(crate) fn apply_servers(
     gateway: &Arc<Gateway>,
     records: &[KeyedRecord],
@@ -352,7 +352,7 @@
 /// is independent of failure domains.
 pub(crate) fn reads_for_others(gateway: &Gateway) -> bool {
     let beliefs = gateway.beliefs();
-    !gateway.leaving() && beliefs.roster.readers_ahead(&gateway.settings.vm, clock::now()) < READERS
+    !gateway.leaving() && beliefs.roster.hash_rank(&gateway.settings.vm, clock::now()) < READERS
 }
 
 /// Returns whether readers keep this VM up to date, so that it need not poll the entries itself
@@ -428,8 +428,9 @@
         }
     }
 
-    /// Estimates the capacity of the weight store from the number of known engines, until loads show it. Called on
-    /// every VM, since those that order most servers do not read the entries themselves.
+    /// Estimates the capacity of the weight store from the number of known engines, until loads
+    /// show it. Called on every VM, since those that order most servers do not read the entries
+    /// themselves.
     pub(crate) fn expect_fleet(&mut self) {
         let servers = self.backends.servers().iter();
         let engines = servers.filter(|state| !state.entry.models.is_empty()).count();
--- a/gateway/src/group.rs
+++ b/gateway/src/group.rs
@@ -167,7 +167,7 @@
         if age < LISTEN_US || (!growth.is_settled(known, now) && age < MAX_LISTEN_US) {
             continue;
         }
-        if beliefs.roster.readers_ahead(&gateway.settings.vm, now) >= ORDERERS {
+        if beliefs.roster.hash_rank(&gateway.settings.vm, now) >= ORDERERS {
             continue;
         }
         // The first configuration may arrive just before the first requests, too late to wait for
--- a/gateway/src/peer.rs
+++ b/gateway/src/peer.rs
@@ -41,8 +41,8 @@
 /// VMs that one state message goes to in fleets of more than [`SMALL_FLEET`]. The recipients
 /// rotate, which bounds what a VM sends regardless of the fleet's size.
 pub(crate) const ROTATION_SIZE: usize = 16;
-/// Interval of state messages in such fleets, in microseconds: twice [`STATE_INTERVAL`], which halves
-/// the bytes sent.
+/// Interval of state messages in such fleets, in microseconds: twice [`STATE_INTERVAL`], which
+/// halves the bytes sent.
 pub(crate) const ROTATION_INTERVAL_US: u64 = 250_000;
 /// Addresses of other VMs that a state message carries.
 const SHARED_PEERS: usize = 4;
--- a/gateway/src/roster.rs
+++ b/gateway/src/roster.rs
@@ -168,9 +168,9 @@
         self.peers.iter().filter(counts).map(|peer| peer.requests).collect()
     }
 
-    /// Returns how many live VMs that do not leave come before `vm` in an order by hash. In an
-    /// order by name the first ones would be of one failure domain, and lost together.
-    pub(crate) fn readers_ahead(&self, vm: &VmName, now: TimePoint) -> usize {
+    /// Returns the rank of `vm` by hash among the live VMs that do not leave, 0 for the first. In
+    /// an order by name the first ones would be of one failure domain, and lost together.
+    pub(crate) fn hash_rank(&self, vm: &VmName, now: TimePoint) -> usize {
         let ttl_us = self.live_ttl_us();
         let own = reader_rank(vm);
         let ahead = |peer: &&PeerState| {
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -18,7 +18,7 @@
         pub requests: SocketAddr = UNSPECIFIED;
         /// For the platform's check whether the VM is ready.
         pub ready: SocketAddr = UNSPECIFIED;
-        /// For callers that query which addresses to use.
+        /// For callers' queries for the addresses to use.
         pub addresses: SocketAddr = UNSPECIFIED;
         /// For other VMs of the system, over UDP and TCP; the port is the same on all VMs.
         pub peers: SocketAddr = UNSPECIFIED;
--- a/gateway/tests/unit/large_fleet.rs
+++ b/gateway/tests/unit/large_fleet.rs
@@ -56,7 +56,7 @@
     let count = 75;
     let rank = |own: usize| {
         let roster = roster(count, own, NOW, |_| (1, None));
-        roster.readers_ahead(&VmName::from(format!("vm-{own}").as_str()), NOW)
+        roster.hash_rank(&VmName::from(format!("vm-{own}").as_str()), NOW)
     };
     let mut ranks: Vec<usize> = (0..count).map(rank).collect();
     assert_ne!(&ranks[..3], &[0, 1, 2]);
--- a/gateway/tests/unit/told_records.rs
+++ b/gateway/tests/unit/told_records.rs
@@ -30,7 +30,7 @@
     let now = clock::now();
     let fleet = |own: usize| roster(40, own, now, |_| (1, None));
     let name = |own: usize| VmName::from(format!("vm-{own}").as_str());
-    let own = (0..40).find(|own| fleet(*own).readers_ahead(&name(*own), now) > 10).unwrap();
+    let own = (0..40).find(|own| fleet(*own).hash_rank(&name(*own), now) > 10).unwrap();
     let settings = GatewaySettings { vm: name(own), ..GatewaySettings::default() };
     let gateway = Arc::new(Gateway::new(settings, peers));
     let limits = CallerLimits {
