--- a/gateway/src/aggregate.rs
+++ b/gateway/src/aggregate.rs
@@ -31,7 +31,7 @@
 /// be lost within it.
 const DOMAIN_TTL_US: u64 = 450_000;
 /// Fraction of its link that an aggregator uses for its updates. The rest is for callers' requests
-/// and for what others send at the same moment.
+/// and for what others send at the same time.
 const LINK_FRACTION: f64 = 0.3;
 /// Encoded size of an adapter in a list, in bytes.
 const LISTED_BYTES: usize = 40;
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -43,7 +43,7 @@
 /// The same in large fleets at VMs that do not read for others. During an outage the retries of all
 /// VMs would be most of a day's calls, and the readers report when the store is back.
 const LARGE_RETRY_INTERVAL: Duration = Duration::from_millis(2_400);
-/// How long a VM that is told of a newer configuration waits for the store's own answer to arrive
+/// How long a VM that learns of a newer configuration waits for the store's own answer to arrive
 /// first.
 const BEHIND_DELAY: Duration = Duration::from_millis(40);
 /// How long after an outage of the store a server without an entry is kept, in microseconds.
@@ -384,7 +384,7 @@
 }
 
 impl Beliefs {
-    /// Records an own read of the entries up to an offset. `told` are the changes to report if this
+    /// Records an own read of the entries up to an offset. `reported` are the changes to report if this
     /// VM reads for others, `None` if they are not to be reported.
     fn record_entry_read(&mut self, up_to: u64, reported: Option<EntryChanges>) {
         self.coverage.looked(up_to);
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -198,7 +198,7 @@
 /// Runs for ever, ordering loads that wait for other loads to finish.
 ///
 /// Every VM receives the lists with all loads and computes the same finish times. Without a random
-/// delay all would order their next load at the same moment.
+/// delay all would order their next load at the same time.
 pub(crate) async fn take_turns(gateway: Arc<Gateway>) {
     loop {
         let pause = next_load_delay(&gateway).unwrap_or(LOAD_CHECK_INTERVAL);
--- a/gateway/src/roster.rs
+++ b/gateway/src/roster.rs
@@ -17,7 +17,7 @@
 /// How long a VM counts as live after its last message, in microseconds.
 const LIVE_TTL_US: u64 = 4_000_000;
 /// The same in large fleets, in full rotations of a VM's state messages: one of them may be lost.
-/// With less, VMs lose contact with each other whenever a datagram is lost, and are not told of
+/// With less, VMs lose contact with each other whenever a datagram is lost, and miss reports of
 /// leaving servers.
 const LIVE_ROTATIONS: u64 = 2;
 /// Period in which VMs that report their customers' use send several messages, in microseconds.
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -121,7 +121,7 @@
     /// When the store last answered, by kind of call.
     pub(crate) answers: AnswerTimes,
     /// Whether this VM calls the store about once a second. Only then does the time of its last
-    /// successful call tell others whether there is an outage.
+    /// successful call show others whether there is an outage.
     pub(crate) calls_store: bool,
     /// Adapter versions still to be reported to other VMs, and in how many more messages.
     pub(crate) pending_versions: Vec<(SharedVersion, usize)>,
--- a/gateway/src/uses.rs
+++ b/gateway/src/uses.rs
@@ -1,8 +1,8 @@
 //! Use of adapters by this VM's requests, to be reported to the VMs that order their servers.
 //!
 //! An adapter that is evicted while a request uses it stays until that request ends, and its server
-//! accepts no other order until then: every load there waits for seconds. Owners are therefore told
-//! of running requests as well as of new ones: at once when the first begins and when the last
+//! accepts no other order until then: every load there waits for seconds. Owners therefore get
+//! reports of running requests as well as of new ones: at once when the first begins and when the last
 //! ends, and again with each state message.
 
 use coltsfoothook_decision::id::ServerName;
