--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -134,8 +134,8 @@
 
     /// Returns the servers at which adapter loads are requested.
     fn with_load_requests(&self) -> Vec<ServerName> {
-        let wished = self.trackers.iter().filter(|entry| entry.tracker.has_wishes());
-        wished.map(|entry| entry.server.clone()).collect()
+        let requested = self.trackers.iter().filter(|entry| entry.tracker.has_wishes());
+        requested.map(|entry| entry.server.clone()).collect()
     }
 
     /// Returns the servers that have a tracker.
--- a/gateway/src/uses.rs
+++ b/gateway/src/uses.rs
@@ -2,8 +2,8 @@
 //!
 //! An adapter that is evicted while a request uses it stays until that request ends, and its server
 //! accepts no other order until then: every load there waits for seconds. Owners therefore get
-//! reports of running requests as well as of new ones: at once when the first begins and when the last
-//! ends, and again with each state message.
+//! reports of running requests as well as of new ones: at once when the first begins and when the
+//! last ends, and again with each state message.
 
 use coltsfoothook_decision::id::ServerName;
 use coltsfoothook_decision::routing::AdapterKey;
--- a/gateway/src/wish.rs
+++ b/gateway/src/wish.rs
@@ -13,7 +13,7 @@
 const RETENTION_US: u64 = 1_500_000;
 
 #[derive(Clone, Debug)]
-struct LoadRequest {
+struct OpenRequest {
     key: AdapterKey,
     server: ServerName,
     since: TimePoint,
@@ -23,7 +23,7 @@
 /// Load requests, sorted by adapter.
 #[derive(Debug, Default)]
 pub(crate) struct LoadRequests {
-    requests: Vec<LoadRequest>,
+    requests: Vec<OpenRequest>,
 }
 
 /// What to do about a load request.
@@ -61,7 +61,7 @@
         let at = match self.requests.binary_search_by(|request| request.key.cmp(key)) {
             Ok(at) => at,
             Err(at) => {
-                let request = LoadRequest {
+                let request = OpenRequest {
                     key: key.clone(),
                     server: server.clone(),
                     since: now,
