--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -384,8 +384,8 @@
 }
 
 impl Beliefs {
-    /// Records an own read of the entries up to an offset. `reported` are the changes to report if this
-    /// VM reads for others, `None` if they are not to be reported.
+    /// Records an own read of the entries up to an offset. `reported` are the changes to report if
+    /// this VM reads for others, `None` if they are not to be reported.
     fn record_entry_read(&mut self, up_to: u64, reported: Option<EntryChanges>) {
         self.coverage.looked(up_to);
         self.missed_entries = false;
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -216,9 +216,9 @@
     pub(crate) first: Option<Duration>,
     /// Time to the end.
     pub(crate) whole: Duration,
-    /// Time waiting for the adapter.
+    /// Time waiting for the adapter; not observed if zero.
     pub(crate) stall: Duration,
-    /// Longest time between two events; zero if it was not a stream.
+    /// Longest time between two events; not observed if zero.
     pub(crate) pause: Duration,
     /// What took longest, if the answer came late.
     pub(crate) late: Option<&'static str>,
