--- a/decision/tests/suite/encoded_names.rs
+++ b/decision/tests/suite/encoded_names.rs
@@ -26,7 +26,7 @@
 use coltsfoothook_decision::report::{EngineReport, SlotReport};
 use coltsfoothook_decision::routing::*;
 use coltsfoothook_decision::tenure::{FleetShare, TenureRecord, TenureSettings};
-use coltsfoothook_decision::usage::{CustomerUse, ToldUses, UseTotal};
+use coltsfoothook_decision::usage::{CustomerTotal, ToldUses, UsageTotal};
 use expect_test::{Expect, expect};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -119,7 +119,10 @@
         draining_vms: vec!["nbo-2".into()],
         suspects: vec![SuspectEntry { fingerprint: RequestFingerprint(5), crashes: 6, alone: 7 }],
         intents: vec![intent],
-        crashes: vec![CrashedLife { server: "s-3".into(), incarnation: ServerIncarnation(8) }],
+        crashes: vec![CrashedIncarnation {
+            server: "s-3".into(),
+            incarnation: ServerIncarnation(8),
+        }],
         through: 9,
     }
 }
@@ -736,8 +739,8 @@
     );
     let standing = FleetStanding { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
     same(&[standing], expect![[r#"{"customer":"clinic","level":1.5,"asked_per_s":2.5}"#]]);
-    let total = UseTotal { asked: 1.5, admitted: 2.5 };
-    let uses = vec![CustomerUse { customer: "clinic".into(), total }];
+    let total = UsageTotal { asked: 1.5, admitted: 2.5 };
+    let uses = vec![CustomerTotal { customer: "clinic".into(), total }];
     same(
         &[ToldUses { life: 1, age_ms: 2, uses }],
         expect![[
--- a/gateway/tests/unit/encoded_names.rs
+++ b/gateway/tests/unit/encoded_names.rs
@@ -10,15 +10,15 @@
 use coltsfoothook_decision::routing::{
     AdapterKey, BackendEntry, CallerLimits, HeldAdapter, HeldModel, RouteTable,
 };
-use coltsfoothook_decision::usage::{CustomerUse, ToldUses, UseTotal};
+use coltsfoothook_decision::usage::{CustomerTotal, ToldUses, UsageTotal};
 use expect_test::{Expect, expect};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
 use crate::message::{
-    AdapterUse, AdapterWish, ConfirmationAnswer, ConfirmationQuestion, DomainNews, DomainSums,
-    GoneServer, LoadNews, PeerMessage, RecordNews, ServerLists, ServerLoad, SharedState,
+    AdapterUse, AdapterWish, ConfirmationAnswer, ConfirmationQuestion, DomainSums, DomainUpdate,
+    LoadUpdate, PeerMessage, RecordUpdate, RemovedServer, ServerLists, ServerLoad, SharedState,
     SharedVersion, VmState, decode, encode,
 };
 
@@ -47,8 +47,8 @@
 }
 
 fn uses() -> ToldUses {
-    let total = UseTotal { asked: 1.5, admitted: 2.5 };
-    let uses = vec![CustomerUse { customer: "clinic".into(), total }];
+    let total = UsageTotal { asked: 1.5, admitted: 2.5 };
+    let uses = vec![CustomerTotal { customer: "clinic".into(), total }];
     ToldUses { life: 13, age_ms: 14, uses }
 }
 
@@ -177,7 +177,7 @@
 
 #[test]
 fn record_news() {
-    let news = RecordNews {
+    let news = RecordUpdate {
         vm: "vm-1".into(),
         config: 1,
         operators_age_ms: 2,
@@ -185,7 +185,7 @@
         span: ToldSpan { since: 4, up_to: 5 },
         versions: versions(),
         entries: vec![entry()],
-        gone: vec![GoneServer { server: "s-2".into(), position: 6 }],
+        gone: vec![RemovedServer { server: "s-2".into(), position: 6 }],
     };
     same_message(
         PeerMessage::News(news),
@@ -200,7 +200,7 @@
 
 #[test]
 fn load_news() {
-    let news = LoadNews {
+    let news = LoadUpdate {
         vm: "vm-1".into(),
         incarnation: 1,
         sequence: 2,
@@ -219,7 +219,7 @@
 #[test]
 fn domain_news() {
     let standing = FleetStanding { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
-    let news = DomainNews {
+    let news = DomainUpdate {
         vm: "vm-1".into(),
         loads: loads(),
         lists: lists(),
