--- a/ctl/tests/suite/fake.rs
+++ b/ctl/tests/suite/fake.rs
@@ -53,11 +53,12 @@
         let PublishCall { base, publish_id, change } = call;
         let offset = state.offset;
         state.offset += 1;
-        let rulings = state.fold.fold(offset, ConfigRecord::Publish { base, publish_id, change });
+        let resolutions =
+            state.fold.fold(offset, ConfigRecord::Publish { base, publish_id, change });
         if fault == Some(LogFault::LostAnswer) {
             return PublishAnswer::Unknown;
         }
-        match rulings[0].verdict.clone() {
+        match resolutions[0].verdict.clone() {
             ConfigVerdict::Accepted(version) => PublishAnswer::Accepted(version),
             ConfigVerdict::Repeated(version) => PublishAnswer::Repeated(version),
             ConfigVerdict::Stale { in_force, .. } => PublishAnswer::Stale { in_force },
--- a/decision/benches/fleet_cost.rs
+++ b/decision/benches/fleet_cost.rs
@@ -7,9 +7,9 @@
 use std::hint::black_box;
 
 use coltsfoothook_decision::backend::{BackendTable, ServerOwner};
-use coltsfoothook_decision::choice::ServerNeed;
+use coltsfoothook_decision::choice::ServerRequirements;
 use coltsfoothook_decision::counts::LoadFigure;
-use coltsfoothook_decision::domain_news::NewsWriter;
+use coltsfoothook_decision::domain_update::UpdateWriter;
 use coltsfoothook_decision::holding::AdapterHolding;
 use coltsfoothook_decision::id::TimePoint;
 use coltsfoothook_decision::routing::{AdapterKey, BackendEntry, SharedPrompt};
@@ -56,7 +56,7 @@
         let table = fleet(servers);
         let (service, model, domain) = ("engines".into(), "base".into(), "d1".into());
         for (case, wanted) in [("held", key(5)), ("cold", key(9_999_999))] {
-            let need = ServerNeed {
+            let requirements = ServerRequirements {
                 service: &service,
                 model: Some(&model),
                 adapter: Some((&wanted, 1)),
@@ -67,7 +67,7 @@
                 gap: None,
             };
             group.bench_function(BenchmarkId::new(case, servers), |bench| {
-                bench.iter(|| black_box(table.choose(&need, 12_345, NOW)));
+                bench.iter(|| black_box(table.choose(&requirements, 12_345, NOW)));
             });
         }
     }
@@ -79,7 +79,7 @@
     let mut group = bench.benchmark_group("news");
     for servers in SIZES {
         let mut table = fleet(servers);
-        let mut writer = NewsWriter::default();
+        let mut writer = UpdateWriter::default();
         writer.changes(&table, usize::MAX, NOW);
         let later = NOW.plus(150_000);
         let mut revision = 1;
--- a/decision/benches/route_cost.rs
+++ b/decision/benches/route_cost.rs
@@ -6,7 +6,7 @@
     AdapterEntry, EngineEntry, ServerEntry, ServerKind, ServingManifest, VersionEntry,
 };
 use coltsfoothook_decision::outcome::RequestClass;
-use coltsfoothook_decision::owner::{GroupOwner, OwnerEvent, OwnerSettings, PlaceQuery};
+use coltsfoothook_decision::owner::{GroupOwner, OwnerEvent, OwnerSettings, SlotQuery};
 use coltsfoothook_decision::report::{EngineReport, SlotReport};
 use coltsfoothook_decision::route::GroupMap;
 use coltsfoothook_decision::slot::slot_name;
@@ -90,7 +90,7 @@
         let map = GroupMap::new(&manifest);
         let owners = owners(&map, &manifest, adapters);
         let versions: Vec<AdapterVersion> = (0..adapters).map(version).collect();
-        let query = PlaceQuery {
+        let query = SlotQuery {
             class: RequestClass::Urgent,
             standing: SuspectVerdict::Clear,
             prefix: 0,
--- a/decision/src/attempt.rs
+++ b/decision/src/attempt.rs
@@ -49,7 +49,7 @@
     /// The backend server rejected the request with a 4xx status.
     RequestRejected,
     /// The answer belongs to another request, slot or incarnation of the server.
-    AnswerCrossed,
+    AnswerMismatched,
     /// The connection broke during the answer.
     InAnswer,
     /// The answer stalled until the deadline passed.
@@ -57,7 +57,7 @@
     /// The answer ended without its end marker, or exceeded the size limit.
     AnswerCut,
     /// The caller disconnected.
-    CallerGone,
+    CallerDisconnected,
     /// This VM must stop before the answer is complete.
     VmStops,
 }
@@ -79,11 +79,11 @@
         Self::ServerRefused,
         Self::ServerFailed,
         Self::RequestRejected,
-        Self::AnswerCrossed,
+        Self::AnswerMismatched,
         Self::InAnswer,
         Self::AnswerStalled,
         Self::AnswerCut,
-        Self::CallerGone,
+        Self::CallerDisconnected,
         Self::VmStops,
     ];
 
@@ -105,11 +105,11 @@
             Self::ServerRefused => "server_refused",
             Self::ServerFailed => "server_failed",
             Self::RequestRejected => "request_rejected",
-            Self::AnswerCrossed => "answer_crossed",
+            Self::AnswerMismatched => "answer_crossed",
             Self::InAnswer => "in_answer",
             Self::AnswerStalled => "answer_stalled",
             Self::AnswerCut => "answer_cut",
-            Self::CallerGone => "caller_gone",
+            Self::CallerDisconnected => "caller_gone",
             Self::VmStops => "vm_stops",
         }
     }
@@ -193,11 +193,11 @@
     rule(CallStage::ServerRefused, (NotRun, Again), (NotRun, Again)),
     rule(CallStage::ServerFailed, (Failed, Again), (Unknown, Never)),
     rule(CallStage::RequestRejected, (Failed, Never), (Failed, Never)),
-    rule(CallStage::AnswerCrossed, (Unknown, Again), (Unknown, Never)),
+    rule(CallStage::AnswerMismatched, (Unknown, Again), (Unknown, Never)),
     rule(CallStage::InAnswer, (Unknown, Resume), (Unknown, Never)),
     rule(CallStage::AnswerStalled, (Unknown, Never), (Unknown, Never)),
     rule(CallStage::AnswerCut, (Unknown, Resume), (Unknown, Never)),
-    rule(CallStage::CallerGone, (Unknown, Never), (Unknown, Never)),
+    rule(CallStage::CallerDisconnected, (Unknown, Never), (Unknown, Never)),
     rule(CallStage::VmStops, (Unknown, Never), (Unknown, Never)),
 ];
 
--- a/decision/src/backend.rs
+++ b/decision/src/backend.rs
@@ -10,7 +10,7 @@
 use crate::counts::{LoadFigure, RequestCounts};
 use crate::holding::{AdapterHolding, HeldAdapters};
 use crate::id::{ModelName, ServerName, ServiceName, TimePoint, VmName, stable_hash};
-use crate::reading::ReadingPace;
+use crate::prefill::PrefillRate;
 use crate::routing::{AdapterKey, BackendEntry, HeldModel};
 
 /// How long an owner's list takes precedence over the server's own entry. Owners repeat it within
@@ -108,9 +108,9 @@
     /// Its set of base models changed.
     Models,
     /// It was removed.
-    Gone,
+    Removed,
     /// Nothing that affects routing changed.
-    Nothing,
+    Unchanged,
 }
 
 /// All backend servers, sorted by name.
@@ -120,7 +120,7 @@
     /// In order of removal.
     removed: Vec<RemovedServer>,
     /// Sorted by service.
-    rates: Vec<(ServiceName, ReadingPace)>,
+    rates: Vec<(ServiceName, PrefillRate)>,
 }
 
 /// Remembers a server whose entry was removed.
@@ -165,7 +165,7 @@
             Ok(at) => at,
             Err(at) => {
                 if !self.newer_than_removal(&entry) {
-                    return EntryChange::Nothing;
+                    return EntryChange::Unchanged;
                 }
                 self.servers.insert(at, BackendState::new(entry, now));
                 return EntryChange::Appeared;
@@ -180,7 +180,7 @@
         let stale =
             entry.heartbeat < state.entry.heartbeat || entry.position < state.entry.position;
         if entry.born < state.entry.born || stale {
-            return EntryChange::Nothing;
+            return EntryChange::Unchanged;
         }
         let leaves = !entry.ready && !state.leaving;
         // An incarnation that began to leave never takes work again.
@@ -194,7 +194,7 @@
         match (leaves, same_models) {
             (true, _) => EntryChange::Leaving,
             (false, false) => EntryChange::Models,
-            (false, true) => EntryChange::Nothing,
+            (false, true) => EntryChange::Unchanged,
         }
     }
 
@@ -226,7 +226,7 @@
         let mut last = (0, 0);
         if let Ok(at) = found {
             if self.servers[at].entry.position > position {
-                return EntryChange::Nothing;
+                return EntryChange::Unchanged;
             }
             let entry = self.servers.remove(at).entry;
             last = (entry.born, entry.heartbeat);
@@ -241,7 +241,7 @@
         self.removed.push(RemovedServer { server, position, born, heartbeat });
         let excess = self.removed.len().saturating_sub(MAX_REMOVED);
         self.removed.drain(..excess);
-        if found.is_ok() { EntryChange::Gone } else { EntryChange::Nothing }
+        if found.is_ok() { EntryChange::Removed } else { EntryChange::Unchanged }
     }
 
     /// Returns whether a server is known in this incarnation, so that results from it apply.
@@ -357,19 +357,19 @@
         self.prefill_rate_mut(service.clone()).stream_ended(pause, gap);
     }
 
-    fn prefill_rate_mut(&mut self, service: ServiceName) -> &mut ReadingPace {
+    fn prefill_rate_mut(&mut self, service: ServiceName) -> &mut PrefillRate {
         let found = self.rates.binary_search_by(|(known, _)| known.cmp(&service));
         let at = found.unwrap_or_else(|at| {
-            self.rates.insert(at, (service, ReadingPace::default()));
+            self.rates.insert(at, (service, PrefillRate::default()));
             at
         });
         &mut self.rates[at].1
     }
 
     /// Returns the rate at which the engines of a service process prompts.
-    pub(crate) fn prefill_rate(&self, service: &ServiceName) -> ReadingPace {
+    pub(crate) fn prefill_rate(&self, service: &ServiceName) -> PrefillRate {
         let found = self.rates.binary_search_by(|(known, _)| known.cmp(service));
-        found.map_or_else(|_| ReadingPace::default(), |at| self.rates[at].1)
+        found.map_or_else(|_| PrefillRate::default(), |at| self.rates[at].1)
     }
 
     /// Records the end of a request of this VM at a server. `unread` are its prompt tokens that
@@ -536,7 +536,7 @@
     /// Returns the prompt tokens that the server has yet to process, as far as known. Counts of
     /// other VMs are reduced by what the server has processed since they were reported, so that
     /// requests are not held back for prompts already processed.
-    pub(crate) fn unread(&self, rate: ReadingPace, now: TimePoint) -> u64 {
+    pub(crate) fn unread(&self, rate: PrefillRate, now: TimePoint) -> u64 {
         self.counts.unread(rate, now)
     }
 
--- a/decision/src/choice.rs
+++ b/decision/src/choice.rs
@@ -49,7 +49,7 @@
 
 /// Requirements of a request on its server.
 #[derive(Clone, Debug)]
-pub struct ServerNeed<'a> {
+pub struct ServerRequirements<'a> {
     /// Service that the route leads to.
     pub service: &'a ServiceName,
     /// Base model; `None` for plain services.
@@ -69,7 +69,7 @@
     pub gap: Option<Duration>,
 }
 
-impl ServerNeed<'_> {
+impl ServerRequirements<'_> {
     /// Returns whether a server has the service and the model, is not leaving, and is not excluded.
     fn takes(&self, state: &BackendState) -> bool {
         state.entry.service == *self.service
@@ -108,34 +108,41 @@
         server: ServerName,
     },
     /// No server can take it now.
-    Nowhere,
+    Unavailable,
 }
 
 impl BackendTable {
     /// Chooses a server. `draw` is a random number that spreads the choices of different VMs: load
     /// counts are slightly out of date, so that otherwise all VMs would choose the same server.
     #[must_use]
-    pub fn choose(&self, need: &ServerNeed<'_>, draw: u64, now: TimePoint) -> ServerChoice {
-        let all = self.candidates(need, now);
-        let Some((key, version)) = need.adapter else {
-            return match self.cheapest(&all, need, draw, now) {
-                Some(best) => self.send_or_hold(&all, best, None, need, draw, now),
-                None => ServerChoice::Nowhere,
+    pub fn choose(
+        &self,
+        requirements: &ServerRequirements<'_>,
+        draw: u64,
+        now: TimePoint,
+    ) -> ServerChoice {
+        let all = self.candidates(requirements, now);
+        let Some((key, version)) = requirements.adapter else {
+            return match self.cheapest(&all, requirements, draw, now) {
+                Some(best) => self.send_or_hold(&all, best, None, requirements, draw, now),
+                None => ServerChoice::Unavailable,
             };
         };
         let holds = |state: &&&BackendState| state.usable(key, version, now);
         let holders: Vec<&BackendState> = all.iter().filter(holds).copied().collect();
-        if let Some(best) = self.cheapest(&holders, need, draw, now) {
-            let copy = self.copy_target(&all, best, need, key, version, now);
-            return self.send_or_hold(&holders, best, copy, need, draw, now);
+        if let Some(best) = self.cheapest(&holders, requirements, draw, now) {
+            let copy = self.copy_target(&all, best, requirements, key, version, now);
+            return self.send_or_hold(&holders, best, copy, requirements, draw, now);
         }
         let arrival = all.iter().filter_map(|state| state.usable_from(key, version)).min();
-        if let Some(until) = arrival.or_else(|| self.available_again(need, key, version, now)) {
+        if let Some(until) =
+            arrival.or_else(|| self.available_again(requirements, key, version, now))
+        {
             return ServerChoice::Wait { until };
         }
-        match self.load_target(&all, need, key, now) {
+        match self.load_target(&all, requirements, key, now) {
             Some(state) => ServerChoice::Load { server: state.entry.server.clone() },
-            None => ServerChoice::Nowhere,
+            None => ServerChoice::Unavailable,
         }
     }
 
@@ -146,7 +153,7 @@
         holders: &[&BackendState],
         best: &BackendState,
         copy: Option<ServerName>,
-        need: &ServerNeed<'_>,
+        requirements: &ServerRequirements<'_>,
         draw: u64,
         now: TimePoint,
     ) -> ServerChoice {
@@ -154,14 +161,14 @@
             server: state.entry.server.clone(),
             copy,
         };
-        let rate = self.prefill_rate(need.service);
-        let gap = need.gap.filter(|_| rate.holds_back());
+        let rate = self.prefill_rate(requirements.service);
+        let gap = requirements.gap.filter(|_| rate.holds_back());
         let Some(bound) = gap.and_then(|gap| rate.bound(gap)) else {
             return send(best, copy);
         };
         let excess = |state: &BackendState| match state.unread(rate, now) {
             0 => 0,
-            unread => (unread + need.prompt).saturating_sub(bound),
+            unread => (unread + requirements.prompt).saturating_sub(bound),
         };
         if excess(best) == 0 {
             return send(best, copy);
@@ -169,21 +176,25 @@
         let open: Vec<&BackendState> =
             holders.iter().filter(|state| excess(state) == 0).copied().collect();
         // For a long shared prefix, the server that has it cached is better than an earlier start.
-        if need.shared.tokens < MIN_SHARED_TOKENS
-            && let Some(state) = self.cheapest(&open, need, draw, now)
+        if requirements.shared.tokens < MIN_SHARED_TOKENS
+            && let Some(state) = self.cheapest(&open, requirements, draw, now)
         {
             return send(state, copy);
         }
-        let copy = copy.or_else(|| self.relief_target(best, need, now));
+        let copy = copy.or_else(|| self.relief_target(best, requirements, now));
         let min_excess = holders.iter().map(|state| excess(state)).min().unwrap_or_default();
         ServerChoice::Hold { until: rate.read_at(min_excess, now), copy }
     }
 
     /// Returns the servers that may take the request. Servers avoided after a recent failure are
     /// included only if there is no other.
-    fn candidates(&self, need: &ServerNeed<'_>, now: TimePoint) -> Vec<&BackendState> {
+    fn candidates(
+        &self,
+        requirements: &ServerRequirements<'_>,
+        now: TimePoint,
+    ) -> Vec<&BackendState> {
         let all: Vec<&BackendState> =
-            self.servers().iter().filter(|state| need.takes(state)).collect();
+            self.servers().iter().filter(|state| requirements.takes(state)).collect();
         let available: Vec<&BackendState> =
             all.iter().filter(|state| now >= state.condition.avoid_until).copied().collect();
         if available.is_empty() { all } else { available }
@@ -193,13 +204,13 @@
     /// can be used again. Loading the adapter at another server would take longer.
     fn available_again(
         &self,
-        need: &ServerNeed<'_>,
+        requirements: &ServerRequirements<'_>,
         key: &AdapterKey,
         version: u64,
         now: TimePoint,
     ) -> Option<TimePoint> {
         let holders = self.servers().iter().filter(|state| {
-            need.takes(state)
+            requirements.takes(state)
                 && state.usable(key, version, now)
                 && state.condition.failed_at_most_once()
         });
@@ -211,20 +222,23 @@
     fn cheapest<'a>(
         &self,
         among: &[&'a BackendState],
-        need: &ServerNeed<'_>,
+        requirements: &ServerRequirements<'_>,
         draw: u64,
         now: TimePoint,
     ) -> Option<&'a BackendState> {
-        let typical = self.typical(need.service);
+        let typical = self.typical(requirements.service);
         let cost = |state: &&&BackendState| {
-            let local = state.entry.domain == *need.domain;
+            let local = state.entry.domain == *requirements.domain;
             state.cost(typical, now) + if local { 0 } else { CROSS_DOMAIN_TOKENS }
         };
-        if need.shared.tokens >= MIN_SHARED_TOKENS {
-            let first = among.iter().min_by_key(|state| state.rank(mix(need.shared.id)))?.name();
-            let saved =
-                |state: &BackendState| if state.name() == first { need.shared.tokens } else { 0 };
-            let unread = |state: &&&BackendState| cost(state) + need.shared.tokens - saved(state);
+        if requirements.shared.tokens >= MIN_SHARED_TOKENS {
+            let first =
+                among.iter().min_by_key(|state| state.rank(mix(requirements.shared.id)))?.name();
+            let saved = |state: &BackendState| {
+                if state.name() == first { requirements.shared.tokens } else { 0 }
+            };
+            let unread =
+                |state: &&&BackendState| cost(state) + requirements.shared.tokens - saved(state);
             return among.iter().min_by_key(unread).copied();
         }
         if among.len() <= 2 {
@@ -243,11 +257,11 @@
     fn relief_target(
         &self,
         held: &BackendState,
-        need: &ServerNeed<'_>,
+        requirements: &ServerRequirements<'_>,
         now: TimePoint,
     ) -> Option<ServerName> {
-        let (key, version) = need.adapter?;
-        let all = self.candidates(need, now);
+        let (key, version) = requirements.adapter?;
+        let all = self.candidates(requirements, now);
         if holder_share(&all, key) < MIN_COPY_SHARE {
             return None;
         }
@@ -267,7 +281,7 @@
         &self,
         all: &[&BackendState],
         best: &BackendState,
-        need: &ServerNeed<'_>,
+        requirements: &ServerRequirements<'_>,
         key: &AdapterKey,
         version: u64,
         now: TimePoint,
@@ -276,7 +290,7 @@
         if share < MIN_COPY_SHARE {
             return None;
         }
-        let typical = self.typical(need.service);
+        let typical = self.typical(requirements.service);
         let total: u64 = all.iter().map(|state| state.cost(typical, now)).sum();
         let mean = total / (all.len() as u64).max(1);
         let cost = best.cost(typical, now);
@@ -311,11 +325,11 @@
     fn load_target<'a>(
         &self,
         all: &[&'a BackendState],
-        need: &ServerNeed<'_>,
+        requirements: &ServerRequirements<'_>,
         key: &AdapterKey,
         now: TimePoint,
     ) -> Option<&'a BackendState> {
-        let typical = self.typical(need.service);
+        let typical = self.typical(requirements.service);
         let owned = |state: &&&BackendState| state.active_owner(now).is_some();
         let free = |state: &&&BackendState| state.takes_loads(now);
         let hash = key_hash(key);
--- a/decision/src/claim.rs
+++ b/decision/src/claim.rs
@@ -5,13 +5,13 @@
 //! VM, without the log. See docs/AGREEMENT.md, "Claims", for the answer to a resend in each case.
 //!
 //! ```
-//! use coltsfoothook_decision::claim::{ClaimAsk, ClaimSettings, ClaimStart, ClaimTable};
+//! use coltsfoothook_decision::claim::{ClaimRequest, ClaimSettings, ClaimStart, ClaimTable};
 //! use coltsfoothook_decision::id::{RequestFingerprint, TimePoint, VmIdentity, VmIncarnation};
 //!
 //! let vm = VmIdentity { vm: "vm-1".into(), incarnation: VmIncarnation(7) };
 //! let mut table = ClaimTable::new(ClaimSettings::default(), vm);
 //! let key = table.issue();
-//! let request = ClaimAsk {
+//! let request = ClaimRequest {
 //!     tenant: "ramsa",
 //!     key: key.as_str(),
 //!     fingerprint: RequestFingerprint(1),
@@ -29,7 +29,7 @@
     VmIncarnation, stable_hash,
 };
 use crate::invariant::{InvariantLog, InvariantName};
-use crate::message::{RevokeCall, RevokeDoubt, RevokeReply};
+use crate::message::{RevokeCall, RevokeReply, RevokeUncertainty};
 use crate::outcome::{RefusalReason, RequestOutcome};
 use crate::record::{ClaimEntry, ClaimRecord};
 
@@ -211,7 +211,7 @@
 
 /// A request with an idempotency key, before it is run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClaimAsk<'a> {
+pub struct ClaimRequest<'a> {
     /// The customer; keys of different customers are independent.
     pub tenant: &'a str,
     /// The idempotency key.
@@ -237,7 +237,7 @@
     Claiming,
     /// Only this other VM may run it: request a revocation there, then call
     /// [`ClaimTable::revoked`].
-    AskRevoke(VmIdentity),
+    RequestRevocation(VmIdentity),
     /// It does not run here.
     Answer(ClaimAnswer),
 }
@@ -397,16 +397,16 @@
     }
 
     /// Decides what to do with a request that has a key.
-    pub fn begin(&mut self, now: TimePoint, request: &ClaimAsk<'_>) -> ClaimStart {
+    pub fn begin(&mut self, now: TimePoint, request: &ClaimRequest<'_>) -> ClaimStart {
         match parse_issued(request.key) {
             Some(issued) => self.begin_issued(&issued, request),
             None => self.begin_claim(now, request),
         }
     }
 
-    fn begin_issued(&mut self, issued: &IssuedKey, request: &ClaimAsk<'_>) -> ClaimStart {
+    fn begin_issued(&mut self, issued: &IssuedKey, request: &ClaimRequest<'_>) -> ClaimStart {
         if issued.issuer.vm != self.vm.vm {
-            return ClaimStart::AskRevoke(issued.issuer.clone());
+            return ClaimStart::RequestRevocation(issued.issuer.clone());
         }
         // After a restart nothing is known of what the earlier incarnation ran.
         if issued.issuer.incarnation != self.vm.incarnation {
@@ -426,7 +426,7 @@
         ClaimStart::Run
     }
 
-    fn begin_claim(&mut self, now: TimePoint, request: &ClaimAsk<'_>) -> ClaimStart {
+    fn begin_claim(&mut self, now: TimePoint, request: &ClaimRequest<'_>) -> ClaimStart {
         let retried = match self.entry(request.tenant, request.key) {
             Some(entry) if entry.state == KeyState::GivenUp => true,
             Some(entry) => return known_answer(entry, request),
@@ -545,23 +545,23 @@
         let Some(issued) = parse_issued(key) else {
             let claim = self.fold.claim(tenant, key);
             let own = claim.is_some_and(|claim| claim.claimer == self.vm);
-            let reason = if own { RevokeDoubt::NoAnswer } else { RevokeDoubt::NotMine };
+            let reason = if own { RevokeUncertainty::NoAnswer } else { RevokeUncertainty::NotMine };
             return RevokeReply::Unknown(reason);
         };
         if issued.issuer.vm != self.vm.vm || issued.number == 0 {
-            return RevokeReply::Unknown(RevokeDoubt::NotMine);
+            return RevokeReply::Unknown(RevokeUncertainty::NotMine);
         }
         if issued.issuer.incarnation != self.vm.incarnation {
-            return RevokeReply::Unknown(RevokeDoubt::EarlierLife);
+            return RevokeReply::Unknown(RevokeUncertainty::EarlierIncarnation);
         }
         if issued.number > self.issued {
-            return RevokeReply::Unknown(RevokeDoubt::NotMine);
+            return RevokeReply::Unknown(RevokeUncertainty::NotMine);
         }
         if self.is_used(issued.number) {
-            return RevokeReply::Unknown(RevokeDoubt::NoAnswer);
+            return RevokeReply::Unknown(RevokeUncertainty::NoAnswer);
         }
         self.set_used(issued.number);
-        let request = ClaimAsk {
+        let request = ClaimRequest {
             tenant,
             key,
             fingerprint: call.fingerprint,
@@ -579,7 +579,7 @@
     pub fn revoked(reply: Option<RevokeReply>) -> ClaimAnswer {
         match reply {
             Some(RevokeReply::Revoked) => ClaimAnswer::not_run(RefusalReason::AlreadyClaimed),
-            Some(RevokeReply::Unknown(RevokeDoubt::OtherBody)) => {
+            Some(RevokeReply::Unknown(RevokeUncertainty::OtherBody)) => {
                 ClaimAnswer::unknown(RefusalReason::KeyReused)
             }
             Some(RevokeReply::Done) => {
@@ -617,7 +617,7 @@
         found.ok().map(|at| &mut bucket[at])
     }
 
-    fn remember(&mut self, request: &ClaimAsk<'_>, state: KeyState) {
+    fn remember(&mut self, request: &ClaimRequest<'_>, state: KeyState) {
         let hash = key_hash(request.tenant, request.key);
         let bucket = &mut self.buckets[bucket_of(hash)];
         if let Err(at) = bucket.binary_search_by_key(&hash, |entry| entry.hash) {
@@ -668,20 +668,22 @@
 impl KeyEntry {
     fn revoke(&mut self, fingerprint: RequestFingerprint) -> RevokeReply {
         if self.fingerprint != fingerprint {
-            return RevokeReply::Unknown(RevokeDoubt::OtherBody);
+            return RevokeReply::Unknown(RevokeUncertainty::OtherBody);
         }
         match self.state {
             KeyState::Claiming { .. } | KeyState::Running => RevokeReply::Running,
-            KeyState::GivenUp => RevokeReply::Unknown(RevokeDoubt::NotMine),
+            KeyState::GivenUp => RevokeReply::Unknown(RevokeUncertainty::NotMine),
             KeyState::Revoked | KeyState::Ended(RequestOutcome::NotRun) => RevokeReply::Revoked,
             KeyState::Ended(RequestOutcome::Done | RequestOutcome::Failed) => RevokeReply::Done,
-            KeyState::Ended(RequestOutcome::Unknown) => RevokeReply::Unknown(RevokeDoubt::NoAnswer),
+            KeyState::Ended(RequestOutcome::Unknown) => {
+                RevokeReply::Unknown(RevokeUncertainty::NoAnswer)
+            }
         }
     }
 }
 
 /// Returns the answer to a resend of a key that this VM remembers.
-fn known_answer(entry: &KeyEntry, request: &ClaimAsk<'_>) -> ClaimStart {
+fn known_answer(entry: &KeyEntry, request: &ClaimRequest<'_>) -> ClaimStart {
     if entry.fingerprint != request.fingerprint {
         return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::KeyReused));
     }
@@ -709,7 +711,7 @@
     if claim.claimer.vm == vm.vm {
         return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::AlreadyClaimed));
     }
-    ClaimStart::AskRevoke(claim.claimer.clone())
+    ClaimStart::RequestRevocation(claim.claimer.clone())
 }
 
 #[derive(Clone, Debug)]
--- a/decision/src/config.rs
+++ b/decision/src/config.rs
@@ -59,7 +59,7 @@
 
 /// A folded record's verdict, with the id needed to answer the publisher.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ConfigRuling {
+pub struct ConfigResolution {
     /// The record's offset.
     pub offset: u64,
     /// The publisher's id; `None` unless the record is a publication.
@@ -119,9 +119,9 @@
 
     /// Folds the record at `offset`. Usually returns one verdict; a snapshot that completes the
     /// state also returns those of the records that were buffered for it.
-    pub fn fold(&mut self, offset: u64, record: ConfigRecord) -> Vec<ConfigRuling> {
+    pub fn fold(&mut self, offset: u64, record: ConfigRecord) -> Vec<ConfigResolution> {
         if !self.cursor.advance(offset) {
-            return vec![ConfigRuling::of(offset, &record, ConfigVerdict::Nothing)];
+            return vec![ConfigResolution::of(offset, &record, ConfigVerdict::Nothing)];
         }
         if self.cursor.is_complete() {
             return vec![self.apply(offset, record)];
@@ -132,7 +132,7 @@
             return Vec::new();
         }
         let verdict = self.take_snapshot(record);
-        let mut resolutions = vec![ConfigRuling { offset, publish_id: None, verdict }];
+        let mut resolutions = vec![ConfigResolution { offset, publish_id: None, verdict }];
         for (offset, record) in self.cursor.take_buffered() {
             resolutions.push(self.apply(offset, record));
         }
@@ -180,14 +180,14 @@
         })
     }
 
-    fn apply(&mut self, offset: u64, record: ConfigRecord) -> ConfigRuling {
+    fn apply(&mut self, offset: u64, record: ConfigRecord) -> ConfigResolution {
         match record {
             ConfigRecord::Snapshot { .. } => {
-                ConfigRuling { offset, publish_id: None, verdict: ConfigVerdict::Nothing }
+                ConfigResolution { offset, publish_id: None, verdict: ConfigVerdict::Nothing }
             }
             ConfigRecord::Publish { base, publish_id, change } => {
                 let verdict = self.resolve(base, &publish_id, change);
-                ConfigRuling { offset, publish_id: Some(publish_id), verdict }
+                ConfigResolution { offset, publish_id: Some(publish_id), verdict }
             }
         }
     }
@@ -251,7 +251,7 @@
     }
 }
 
-impl ConfigRuling {
+impl ConfigResolution {
     fn of(offset: u64, record: &ConfigRecord, verdict: ConfigVerdict) -> Self {
         let publish_id = match record {
             ConfigRecord::Publish { publish_id, .. } => Some(publish_id.clone()),
--- a/decision/src/control.rs
+++ b/decision/src/control.rs
@@ -62,7 +62,7 @@
 
 /// A folded record's offset and verdict.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ControlRuling {
+pub struct ControlResolution {
     /// The record's offset.
     pub offset: u64,
     /// Result of folding it.
@@ -140,9 +140,9 @@
     }
 
     /// Folds the record at `offset`; see [`crate::config::ConfigFold::fold`].
-    pub fn fold(&mut self, offset: u64, record: ControlRecord) -> Vec<ControlRuling> {
+    pub fn fold(&mut self, offset: u64, record: ControlRecord) -> Vec<ControlResolution> {
         if !self.cursor.advance(offset) {
-            return vec![ControlRuling { offset, verdict: ControlVerdict::Nothing }];
+            return vec![ControlResolution { offset, verdict: ControlVerdict::Nothing }];
         }
         if self.cursor.is_complete() {
             return vec![self.apply(offset, record)];
@@ -151,7 +151,7 @@
             ControlRecord::Snapshot(state) if self.cursor.can_continue_from(state.through) => {
                 self.take_snapshot(*state);
                 let mut resolutions =
-                    vec![ControlRuling { offset, verdict: ControlVerdict::Adopted }];
+                    vec![ControlResolution { offset, verdict: ControlVerdict::Adopted }];
                 for (offset, record) in self.cursor.take_buffered() {
                     resolutions.push(self.apply(offset, record));
                 }
@@ -208,7 +208,7 @@
         self.state = state;
     }
 
-    fn apply(&mut self, offset: u64, record: ControlRecord) -> ControlRuling {
+    fn apply(&mut self, offset: u64, record: ControlRecord) -> ControlResolution {
         let verdict = match record {
             ControlRecord::Takeover { group, after, owner } => self.take_over(group, after, owner),
             ControlRecord::Intent { group, epoch, number, server, incarnation, evict, load } => {
@@ -239,7 +239,7 @@
             }
             ControlRecord::Snapshot(_) => ControlVerdict::Nothing,
         };
-        ControlRuling { offset, verdict }
+        ControlResolution { offset, verdict }
     }
 
     fn find(&self, group: &str) -> Result<usize, usize> {
--- a/decision/src/counts.rs
+++ b/decision/src/counts.rs
@@ -6,7 +6,7 @@
 //! ([`crate::domain_news`]).
 
 use crate::id::{TimePoint, VmName};
-use crate::reading::ReadingPace;
+use crate::prefill::PrefillRate;
 
 /// Validity of a peer's count of its requests at a server, in microseconds. Peers report a count
 /// again, or report that it is zero, within a second.
@@ -116,7 +116,7 @@
 
     /// Estimates the prompt tokens that the server still has to process: other VMs' counts are
     /// reduced by what it has processed since they were reported.
-    pub(crate) fn unread(&self, rate: ReadingPace, now: TimePoint) -> u64 {
+    pub(crate) fn unread(&self, rate: PrefillRate, now: TimePoint) -> u64 {
         let remaining = |unread: u64, at: TimePoint| {
             let age_us = now.since(at).saturating_sub(UNREDUCED_US);
             unread.saturating_sub(rate.tokens_in(age_us))
--- a/decision/src/coverage.rs
+++ b/decision/src/coverage.rs
@@ -12,7 +12,7 @@
 value! {
     /// Span of a topic all of whose changes a message contains.
     #[derive(Copy, Eq, Default)]
-    pub struct ToldSpan {
+    pub struct ReportedSpan {
         /// First position.
         pub since: u64,
         /// End position, exclusive.
@@ -33,7 +33,7 @@
     }
 
     /// Records a received span. Returns false if changes before the span are missing.
-    pub fn told(&mut self, span: ToldSpan) -> bool {
+    pub fn told(&mut self, span: ReportedSpan) -> bool {
         let complete = self.known_to.is_some_and(|known| span.since <= known);
         if complete {
             self.looked(span.up_to);
@@ -44,14 +44,14 @@
 
 /// Latest reads of a VM that sends the changes to others.
 #[derive(Clone, Debug)]
-pub struct ToldHistory<T> {
+pub struct ReportHistory<T> {
     up_to: u64,
     /// Start position of each read, and the changes it found.
     reads: Vec<(u64, T)>,
     repeats: usize,
 }
 
-impl<T> ToldHistory<T> {
+impl<T> ReportHistory<T> {
     /// Creates an empty history. Each read is sent `repeats` times.
     #[must_use]
     pub fn new(repeats: usize) -> Self {
@@ -74,9 +74,9 @@
 
     /// Returns the span that a message with all changes of the history covers.
     #[must_use]
-    pub fn span(&self) -> ToldSpan {
+    pub fn span(&self) -> ReportedSpan {
         let since = self.reads.first().map_or(self.up_to, |(since, _)| *since);
-        ToldSpan { since, up_to: self.up_to }
+        ReportedSpan { since, up_to: self.up_to }
     }
 
     /// Returns the changes to send, oldest first.
--- a/decision/src/domain_news.rs
+++ b/decision/src/domain_update.rs
@@ -16,7 +16,7 @@
 
 /// Interval between two updates of an aggregator, in microseconds. It bounds how stale a VM's
 /// counts of other VMs' requests are; a prompt of a thousand tokens takes some 50 ms to process.
-pub const NEWS_PAUSE_US: u64 = 150_000;
+pub const UPDATE_INTERVAL_US: u64 = 150_000;
 /// Interval after which an unchanged server is reported again, in microseconds. The report shows
 /// that its owner is alive and how many adapters could be loaded. A third of the time for which an
 /// owner is assumed to be alive.
@@ -137,7 +137,7 @@
 /// Splits lists into messages of bounded size. Returns at least one part, which may be empty; a
 /// single list is never split.
 #[must_use]
-pub fn parts(lists: Vec<ListChange>) -> Vec<Vec<ListChange>> {
+pub fn split_lists(lists: Vec<ListChange>) -> Vec<Vec<ListChange>> {
     let mut parts = vec![Vec::new()];
     let mut listed = 0;
     for list in lists {
@@ -175,7 +175,7 @@
 
 /// State of an aggregator: what it sent to its domain and received from other aggregators.
 #[derive(Clone, Debug, Default)]
-pub struct NewsWriter {
+pub struct UpdateWriter {
     /// Sorted by server.
     sent: Vec<SentList>,
     /// Sorted by VM.
@@ -189,7 +189,7 @@
 /// How many times a server's count is sent after it dropped to zero, since a message may be lost.
 const IDLE_REPORTS: u8 = 3;
 
-impl NewsWriter {
+impl UpdateWriter {
     /// Stores the sums of another aggregator, sorted by server.
     pub fn take_sums(&mut self, vm: &VmName, loads: Vec<(ServerName, LoadFigure)>, now: TimePoint) {
         let sums = ReceivedSums { vm: vm.clone(), loads, at: now };
--- a/decision/src/event.rs
+++ b/decision/src/event.rs
@@ -88,27 +88,27 @@
     },
     /// An intent of an earlier epoch was read; if its owner was paused, it may still send the
     /// order.
-    OldIntent {
+    EarlierIntent {
         /// The engine that the order is for.
         server: ServerName,
         /// The slot that may still be evicted.
         evict: Option<SlotName>,
     },
     /// The VMs of the region that are listed, or were until recently.
-    VmLive {
+    ListedVms {
         /// The VMs' names.
         vms: Vec<VmName>,
         /// Whether a majority of the listed VMs is alive in this VM's view.
         majority: bool,
     },
     /// A VM incarnation is dead in this VM's view.
-    VmGone {
+    VmDead {
         /// The VM and its incarnation.
         vm: VmIdentity,
     },
     /// A VM reported the grants of earlier epochs that it holds. It will use no others of these
     /// epochs.
-    Held {
+    GrantsReported {
         /// The reporting VM.
         vm: VmIdentity,
         /// The grants that it holds.
@@ -187,7 +187,7 @@
         order: EngineOrder,
     },
     /// Query VMs for the grants of earlier epochs that they hold.
-    AskHeld {
+    QueryHeldGrants {
         /// The VMs to query.
         vms: Vec<VmName>,
     },
@@ -263,7 +263,7 @@
         grants: u32,
     },
     /// Slots inherited from earlier epochs may be evicted from now on.
-    InheritedFree,
+    InheritedEvictable,
     /// Another VM owns the group in a later epoch; this owner sends no further orders.
     Deposed,
 }
--- a/decision/src/fleet.rs
+++ b/decision/src/fleet.rs
@@ -29,7 +29,7 @@
 
 /// VM that must report its grants of earlier epochs before inherited slots may be evicted.
 #[derive(Clone, Debug)]
-pub(crate) struct VmNeed {
+pub(crate) struct PendingHolder {
     vm: VmName,
     answered: bool,
     absent_since: Option<TimePoint>,
@@ -334,15 +334,15 @@
         self.vms_known = true;
         // A VM that has left the list may still run: it is dropped after the zombie window.
         let window = self.settings.zombie_window_ms * MICROS_PER_MILLI;
-        for need in &mut self.vms {
-            if vms.binary_search(&need.vm).is_err() {
-                need.absent_since.get_or_insert(now);
+        for holder in &mut self.vms {
+            if vms.binary_search(&holder.vm).is_err() {
+                holder.absent_since.get_or_insert(now);
             }
         }
-        self.vms.retain(|need| need.absent_since.is_none_or(|since| now.since(since) < window));
+        self.vms.retain(|holder| holder.absent_since.is_none_or(|since| now.since(since) < window));
         for vm in vms {
-            if let Err(at) = self.vms.binary_search_by(|need| need.vm.cmp(&vm)) {
-                self.vms.insert(at, VmNeed { vm, answered: false, absent_since: None });
+            if let Err(at) = self.vms.binary_search_by(|holder| holder.vm.cmp(&vm)) {
+                self.vms.insert(at, PendingHolder { vm, answered: false, absent_since: None });
             }
         }
         self.ask_held(now, actions);
@@ -353,20 +353,20 @@
             return;
         }
         let window = self.settings.zombie_window_ms * MICROS_PER_MILLI;
-        let unanswered = |need: &&VmNeed| {
-            !need.answered && need.absent_since.is_none_or(|since| now.since(since) < window)
+        let unanswered = |holder: &&PendingHolder| {
+            !holder.answered && holder.absent_since.is_none_or(|since| now.since(since) < window)
         };
         let vms: Vec<VmName> =
-            self.vms.iter().filter(unanswered).map(|need| need.vm.clone()).collect();
+            self.vms.iter().filter(unanswered).map(|holder| holder.vm.clone()).collect();
         if vms.is_empty() {
             self.inherited_free = true;
-            actions.push(OwnerAction::Note(OwnerNote::InheritedFree));
+            actions.push(OwnerAction::Note(OwnerNote::InheritedEvictable));
             return;
         }
         let interval = self.settings.ask_held_ms * MICROS_PER_MILLI;
         if self.asked_at == TimePoint::default() || now.since(self.asked_at) >= interval {
             self.asked_at = now;
-            actions.push(OwnerAction::AskHeld { vms });
+            actions.push(OwnerAction::QueryHeldGrants { vms });
         }
     }
 
@@ -382,7 +382,7 @@
         for grant in grants {
             self.add_foreign(vm, grant);
         }
-        if let Ok(at) = self.vms.binary_search_by(|need| need.vm.cmp(&vm.vm)) {
+        if let Ok(at) = self.vms.binary_search_by(|holder| holder.vm.cmp(&vm.vm)) {
             self.vms[at].answered = true;
             self.vms[at].absent_since = None;
         }
@@ -447,7 +447,7 @@
                 engine.running = engine.running.saturating_sub(1);
             }
         }
-        if let Ok(at) = self.vms.binary_search_by(|need| need.vm.cmp(&vm.vm)) {
+        if let Ok(at) = self.vms.binary_search_by(|holder| holder.vm.cmp(&vm.vm)) {
             self.vms[at].absent_since.get_or_insert(now);
         }
     }
--- a/decision/src/freshness.rs
+++ b/decision/src/freshness.rs
@@ -31,7 +31,7 @@
     /// None; the last confirmation is recent.
     None,
     /// Query one source that is likely to have a confirmation.
-    Ask,
+    Query,
     /// Query several sources, the store included.
     Urgent,
 }
@@ -106,7 +106,7 @@
         if self.is_younger(QUERY_FRACTION, now) {
             ConfirmationNeed::None
         } else if self.is_younger(URGENT_FRACTION, now) {
-            ConfirmationNeed::Ask
+            ConfirmationNeed::Query
         } else {
             ConfirmationNeed::Urgent
         }
--- a/decision/src/tenure.rs
+++ b/decision/src/lease.rs
@@ -16,7 +16,7 @@
 //! the waiting time of a new holder ends.
 //!
 //! A process that restarts within its lifetime still holds its partitions but no longer knows since
-//! when. It keeps a [`TenureRecord`] in the platform's store: if the generation there is still the
+//! when. It keeps a [`LeaseRecord`] in the platform's store: if the generation there is still the
 //! current one, no other VM can have held the partitions that it names.
 
 use crate::id::{ServerName, TimePoint, stable_hash};
@@ -25,7 +25,7 @@
 value! {
     /// Partition of the fleet, as assigned by the platform.
     #[derive(Copy, Eq, PartialOrd, Ord)]
-    pub struct FleetShare {
+    pub struct FleetPartition {
         /// Number of its topic.
         pub topic: u32,
         /// Partition number within the topic.
@@ -34,7 +34,7 @@
 
     /// Number of partitions, and times of their leases.
     #[derive(Copy, Eq)]
-    pub struct TenureSettings {
+    pub struct LeaseSettings {
         /// Number of topics with partitions.
         pub topics: u32,
         /// Number of partitions in each topic.
@@ -48,7 +48,7 @@
     }
 }
 
-impl Default for TenureSettings {
+impl Default for LeaseSettings {
     fn default() -> Self {
         Self { topics: 4, parts: 12, lifetime_us: 3_000_000, pause_us: 4_000_000 }
     }
@@ -57,17 +57,17 @@
 value! {
     /// Partitions that a VM held for certain, stored so that they are known after a restart.
     #[derive(Eq, Default)]
-    pub struct TenureRecord {
+    pub struct LeaseRecord {
         /// Generation at which they were held.
         pub generation: u64,
         /// Partitions whose servers the VM could send orders to.
-        pub shares: Vec<FleetShare>,
+        pub shares: Vec<FleetPartition>,
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct HeldPartition {
-    partition: FleetShare,
+    partition: FleetPartition,
     active_from: TimePoint,
 }
 
@@ -77,7 +77,7 @@
     /// Most VMs reported recently, and none of them can reach the store.
     ForAll,
     /// Some VM can reach the store, or too few reported.
-    NotKnown,
+    Unconfirmed,
 }
 
 /// Maximum age of the last message from a VM that counts as a witness, in microseconds: a few
@@ -106,7 +106,7 @@
     // This VM counts too, so half of the others is a majority of all. A VM without others can't
     // tell an outage of the store from its own disconnection.
     let enough = !fresh.is_empty() && 2 * fresh.len() >= witnesses.len();
-    if enough && unreached { StoreOutage::ForAll } else { StoreOutage::NotKnown }
+    if enough && unreached { StoreOutage::ForAll } else { StoreOutage::Unconfirmed }
 }
 
 /// Evidence that no other VM can have sent orders to the servers of a gained partition.
@@ -117,11 +117,11 @@
     /// The whole system starts for the first time.
     FirstStart,
     /// This VM held the partitions in this record before its process restarted.
-    Restart(TenureRecord),
+    Restart(LeaseRecord),
 }
 
 impl GainedSince {
-    fn covers(&self, generation: u64, partition: FleetShare) -> bool {
+    fn covers(&self, generation: u64, partition: FleetPartition) -> bool {
         match self {
             Self::Unknown => false,
             Self::FirstStart => true,
@@ -134,8 +134,8 @@
 
 /// Partitions that this VM holds, and until when.
 #[derive(Debug)]
-pub struct OrderTenure {
-    settings: TenureSettings,
+pub struct OrderLease {
+    settings: LeaseSettings,
     generation: u64,
     valid_until: TimePoint,
     /// Sorted by partition.
@@ -144,10 +144,10 @@
     refused: u64,
 }
 
-impl OrderTenure {
+impl OrderLease {
     /// Creates a state without partitions.
     #[must_use]
-    pub fn new(settings: TenureSettings) -> Self {
+    pub fn new(settings: LeaseSettings) -> Self {
         let valid_until = TimePoint(0);
         Self { settings, generation: 0, valid_until, held: Vec::new(), refused: 0 }
     }
@@ -165,7 +165,7 @@
         sent: TimePoint,
         now: TimePoint,
         generation: u64,
-        mut partitions: Vec<FleetShare>,
+        mut partitions: Vec<FleetPartition>,
         since: &GainedSince,
     ) {
         partitions.sort_unstable();
@@ -200,7 +200,7 @@
         outage: StoreOutage,
         now: TimePoint,
     ) -> Option<u64> {
-        let expired = now >= self.valid_until && outage == StoreOutage::NotKnown;
+        let expired = now >= self.valid_until && outage == StoreOutage::Unconfirmed;
         if expired || self.generation <= self.refused {
             return None;
         }
@@ -222,10 +222,10 @@
 
     /// Returns the partitions that this VM holds for certain now.
     #[must_use]
-    pub fn record(&self, now: TimePoint) -> TenureRecord {
+    pub fn record(&self, now: TimePoint) -> LeaseRecord {
         let active = self.held.iter().filter(|held| now >= held.active_from);
         let shares = active.map(|held| held.partition).collect();
-        TenureRecord { generation: self.generation, shares }
+        LeaseRecord { generation: self.generation, shares }
     }
 
     /// Returns when the first partition becomes active, if some are held and none is active yet.
@@ -242,10 +242,10 @@
         self.held.len()
     }
 
-    fn partition_of(&self, server: &ServerName) -> FleetShare {
+    fn partition_of(&self, server: &ServerName) -> FleetPartition {
         let partitions = u64::from(self.settings.parts.max(1));
         let total = partitions * u64::from(self.settings.topics.max(1));
         let number = stable_hash(&["share", server.as_str()]) % total;
-        FleetShare { topic: (number / partitions) as u32, part: (number % partitions) as u32 }
+        FleetPartition { topic: (number / partitions) as u32, part: (number % partitions) as u32 }
     }
 }
--- a/decision/src/limit.rs
+++ b/decision/src/limit.rs
@@ -16,7 +16,7 @@
 use crate::member::{MAX_SPREAD_CUSTOMERS, MemberTable};
 use crate::routing::ModelNeed;
 use crate::usage::{
-    CustomerTotal, DecayingRate, MICROS_PER_SECOND, ToldUses, UsageLedger, UsageTotal,
+    CustomerTotal, DecayingRate, MICROS_PER_SECOND, UsageLedger, UsageReport, UsageTotal,
 };
 use crate::value;
 
@@ -103,7 +103,7 @@
     }
 
     /// Fleet-wide bucket state of a customer.
-    pub struct FleetStanding {
+    pub struct BucketState {
         /// The customer.
         pub customer: CustomerName,
         /// Level of the bucket, in the limit's unit; negative if overdrawn.
@@ -322,13 +322,13 @@
     }
 
     /// Applies the usage report of another VM.
-    pub fn member_use(&mut self, now: TimePoint, vm: &VmName, report: &ToldUses) {
+    pub fn member_use(&mut self, now: TimePoint, vm: &VmName, report: &UsageReport) {
         let (increments, interval_us) = self.members.take(now, vm, report, self.age_ms(now));
         self.apply_increments(now, increments, interval_us);
     }
 
     /// Applies the usage report of the aggregator of another domain.
-    pub fn domain_use(&mut self, now: TimePoint, vm: &VmName, report: &ToldUses) {
+    pub fn domain_use(&mut self, now: TimePoint, vm: &VmName, report: &UsageReport) {
         let (increments, interval_us) = self.domains.take(now, vm, report, self.age_ms(now));
         self.apply_increments(now, increments, interval_us);
     }
@@ -369,7 +369,7 @@
 
     /// Applies the bucket states from the aggregator, which include this VM's usage up to its last
     /// report. Customers without a state have no demand in the fleet.
-    pub fn stand(&mut self, now: TimePoint, standings: &[FleetStanding]) {
+    pub fn stand(&mut self, now: TimePoint, standings: &[BucketState]) {
         let fraction = self.fraction;
         self.note_report(now);
         for bucket in &mut self.buckets {
@@ -384,7 +384,7 @@
 
     /// Returns the bucket states for the VMs that this one aggregates for, leaving out customers
     /// without demand whose bucket is full.
-    pub fn standings(&mut self, now: TimePoint) -> Vec<FleetStanding> {
+    pub fn standings(&mut self, now: TimePoint) -> Vec<BucketState> {
         let fraction = self.fraction;
         let mut standings = Vec::new();
         for bucket in &mut self.buckets {
@@ -394,18 +394,18 @@
                 continue;
             }
             let (customer, level) = (bucket.customer.clone(), bucket.level);
-            standings.push(FleetStanding { customer, level, asked_per_s });
+            standings.push(BucketState { customer, level, asked_per_s });
         }
         standings
     }
 
     /// Returns this VM's usage report and marks the usage as reported. `life` identifies this
     /// incarnation of the process.
-    pub fn tell(&mut self, now: TimePoint, life: u64) -> ToldUses {
+    pub fn tell(&mut self, now: TimePoint, life: u64) -> UsageReport {
         for bucket in &mut self.buckets {
             bucket.reported = bucket.own;
         }
-        ToldUses { life, age_ms: self.age_ms(now), uses: self.totals(|bucket| bucket.own) }
+        UsageReport { life, age_ms: self.age_ms(now), uses: self.totals(|bucket| bucket.own) }
     }
 
     /// Starts to aggregate the usage of this VM and of those that report to it, from zero.
@@ -419,14 +419,14 @@
 
     /// Returns the usage of this VM and of those that report to it, since [`Self::begin_sums`].
     #[must_use]
-    pub fn sums(&self, now: TimePoint) -> ToldUses {
+    pub fn sums(&self, now: TimePoint) -> UsageReport {
         let uses = self.totals(|bucket| {
             let mut sum = bucket.own.since(bucket.sums_base);
             sum.add(self.members.sum(&bucket.customer));
             sum
         });
         let age_ms = now.since(self.sums_since) / MICROS_PER_MILLI;
-        ToldUses { life: self.sums_since.0, age_ms, uses }
+        UsageReport { life: self.sums_since.0, age_ms, uses }
     }
 
     fn age_ms(&self, now: TimePoint) -> u64 {
@@ -494,7 +494,7 @@
             });
             let uses: Vec<CustomerTotal> = uses.collect();
             let VmIncarnation(life) = row.identity().incarnation;
-            let report = ToldUses { life, age_ms: u64::MAX, uses };
+            let report = UsageReport { life, age_ms: u64::MAX, uses };
             self.member_use(now, &VmName::from(row.name()), &report);
         }
     }
--- a/decision/src/loadtime.rs
+++ b/decision/src/loadtime.rs
@@ -178,7 +178,7 @@
 
 /// Estimates that a VM reports to other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldTimes {
+pub struct ReportedTimes {
     /// Time of a load while few are in flight, in microseconds.
     pub alone_us: u64,
     /// Time that each load in flight adds where many are, in microseconds.
@@ -350,7 +350,7 @@
 
     /// Applies another VM's report. Each VM sees few loads and all share one store, so their
     /// estimates are averaged; a time that was shown to be shorter has a higher weight.
-    pub fn heard(&mut self, reported: ToldTimes) {
+    pub fn heard(&mut self, reported: ReportedTimes) {
         self.alone.heard(reported.alone_us);
         self.each.heard(reported.each_us);
         if reported.is_proven {
@@ -363,9 +363,9 @@
     }
 
     /// Returns the report for other VMs and resets its `is_proven`.
-    pub fn told(&mut self) -> ToldTimes {
+    pub fn told(&mut self) -> ReportedTimes {
         let is_proven = std::mem::take(&mut self.is_proven);
-        ToldTimes { alone_us: self.alone.us as u64, each_us: self.each.us as u64, is_proven }
+        ReportedTimes { alone_us: self.alone.us as u64, each_us: self.each.us as u64, is_proven }
     }
 
     /// Returns the expected time of a load that is ordered now, with `under_way` others in flight.
--- a/decision/src/question.rs
+++ b/decision/src/long_poll.rs
@@ -22,7 +22,7 @@
 value! {
     /// Long poll, which the store holds until there is a record.
     #[derive(Copy, Eq)]
-    pub struct HeldQuestion {
+    pub struct LongPoll {
         /// Time for which the store is requested to hold the poll.
         pub hold: Duration,
         /// Timeout after which the poll is considered lost.
@@ -32,12 +32,12 @@
 
 /// Schedules the polls of one reader of records.
 #[derive(Clone, Copy, Debug)]
-pub struct QuestionPacer {
+pub struct LongPollSchedule {
     promise: Duration,
     failed: bool,
 }
 
-impl QuestionPacer {
+impl LongPollSchedule {
     /// Creates a schedule for records that must be in force within `promise`.
     #[must_use]
     pub fn new(promise: Duration) -> Self {
@@ -48,8 +48,8 @@
     /// applies after a failure, since an immediate answer shows sooner whether the store is
     /// available again.
     #[must_use]
-    pub fn next(&self) -> Option<HeldQuestion> {
-        (!self.failed).then(|| HeldQuestion {
+    pub fn next(&self) -> Option<LongPoll> {
+        (!self.failed).then(|| LongPoll {
             hold: self.promise.mul_f64(HOLD_FRACTION),
             within: self.promise.mul_f64(LOST_FRACTION),
         })
--- a/decision/src/message.rs
+++ b/decision/src/message.rs
@@ -66,14 +66,15 @@
         /// The request ran; its response went to the caller that sent it there.
         Done,
         /// The VM does not know.
-        Unknown(RevokeDoubt),
+        Unknown(RevokeUncertainty),
     }
 
     /// Reason why a VM does not know the outcome of a key.
     #[derive(Copy, Eq)]
-    pub enum RevokeDoubt {
+    pub enum RevokeUncertainty {
         /// The key belongs to an earlier incarnation of the VM, whose state is lost.
-        EarlierLife,
+        #[serde(rename = "earlier_life")]
+        EarlierIncarnation,
         /// The request was sent to a backend server and no complete response was received.
         NoAnswer,
         /// The key was used with another body.
--- a/decision/src/order.rs
+++ b/decision/src/order.rs
@@ -8,7 +8,7 @@
 use crate::invariant::InvariantName;
 use crate::load::{LoadOrder, LoadRequest, LoadStage, NewSlot};
 use crate::owner::{GroupOwner, millis};
-use crate::place::LoadTarget;
+use crate::placement::LoadTarget;
 use crate::slot::{FenceState, SlotPhase, SlotState, slot_name};
 
 /// Weight of a new load time in the moving average.
--- a/decision/src/orderbook.rs
+++ b/decision/src/order_tracker.rs
@@ -67,16 +67,16 @@
 
 /// Next step for a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BookAction {
+pub enum TrackerAction {
     /// Query the server's report.
-    Ask,
+    Query,
     /// Send an order.
     Order(ServerOrder),
 }
 
 /// Times, in microseconds, and bounds for tracking a server.
 #[derive(Clone, Copy, Debug)]
-pub struct BookSettings {
+pub struct TrackerSettings {
     /// Maximum number of adapters in flight to a server; the servers' own limit.
     pub max_in_flight: usize,
     /// Maximum age of a server's report when it arrives.
@@ -96,7 +96,7 @@
     pub half_life_us: u64,
 }
 
-impl Default for BookSettings {
+impl Default for TrackerSettings {
     fn default() -> Self {
         Self {
             max_in_flight: 4,
@@ -174,7 +174,7 @@
 
 /// A VM's report about its requests for an adapter at a server.
 #[derive(Clone, Copy, Debug)]
-pub struct ToldUse<'a> {
+pub struct ReportedUse<'a> {
     /// VM that reports.
     pub vm: &'a VmName,
     /// Requests that began since its last report.
@@ -185,8 +185,8 @@
 
 /// Tracks the orders to one incarnation of a server and its resulting state.
 #[derive(Debug)]
-pub struct OrderBook {
-    settings: BookSettings,
+pub struct OrderTracker {
+    settings: TrackerSettings,
     slots: usize,
     /// Number of orders that the server has accepted; `None` while uncertain.
     accepted: Option<u64>,
@@ -228,10 +228,10 @@
 /// Delay before the progress of an eviction is queried, in microseconds.
 const EVICTION_QUERY_DELAY_US: u64 = 400_000;
 
-impl OrderBook {
+impl OrderTracker {
     /// Creates the tracker of a server whose state is unknown, with a number of adapter slots.
     #[must_use]
-    pub fn new(settings: BookSettings, slots: usize, now: TimePoint) -> Self {
+    pub fn new(settings: TrackerSettings, slots: usize, now: TimePoint) -> Self {
         Self {
             settings,
             slots,
@@ -317,7 +317,7 @@
     }
 
     /// Records a VM's report about its requests for an adapter.
-    pub fn used(&mut self, key: &AdapterKey, reported: &ToldUse<'_>, now: TimePoint) {
+    pub fn used(&mut self, key: &AdapterKey, reported: &ReportedUse<'_>, now: TimePoint) {
         let half_life = self.settings.half_life_us as f64;
         let Some(slot) = self.slot_mut(key) else { return };
         slot.decay_score(half_life, now);
@@ -380,7 +380,7 @@
         model: Option<&ModelName>,
         forecast: &LoadForecast,
         now: TimePoint,
-    ) -> Option<BookAction> {
+    ) -> Option<TrackerAction> {
         if self.awaits_reply {
             return None;
         }
@@ -389,7 +389,7 @@
         self.load_requests.retain(|request| now.since(request.requested_at) < request_ttl_us);
         if self.needs_report(now) {
             self.awaits_reply = true;
-            return Some(BookAction::Ask);
+            return Some(TrackerAction::Query);
         }
         let expected = self.accepted?;
         // An eviction waits for running requests, and the server takes no order meanwhile.
@@ -404,7 +404,7 @@
         }?;
         self.awaits_reply = true;
         self.mark_evicted(&action, expected);
-        Some(BookAction::Order(ServerOrder { action, expected }))
+        Some(TrackerAction::Order(ServerOrder { action, expected }))
     }
 
     /// Moves the arrival of loads in flight forward if they are now expected to take less time.
@@ -719,7 +719,7 @@
         matches!(self.state, SlotStatus::Evicting { .. })
     }
 
-    fn is_idle(&self, settings: &BookSettings, now: TimePoint) -> bool {
+    fn is_idle(&self, settings: &TrackerSettings, now: TimePoint) -> bool {
         let SlotStatus::Held { usable_from, .. } = self.state else { return false };
         let min_idle_us = if self.was_used { settings.idle_us } else { settings.first_use_us };
         let in_use = self.users.iter().any(|(_, at)| now.since(*at) < settings.user_ttl_us);
--- a/decision/src/owner.rs
+++ b/decision/src/owner.rs
@@ -24,7 +24,7 @@
 use crate::adapter::AdapterTable;
 pub use crate::adapter::{AdapterIndex, SlotChoice};
 pub use crate::event::{EngineOrder, OrderResult, OwnerAction, OwnerEvent, OwnerNote};
-use crate::fleet::{ForeignGrant, VmNeed};
+use crate::fleet::{ForeignGrant, PendingHolder};
 use crate::grant::{
     GrantEnd, GrantId, GrantRefusal, PlacementReason, ReleaseCall, RequestSpec, SlotGrant,
 };
@@ -36,7 +36,7 @@
 use crate::load::{LoadBudget, LoadOrder};
 use crate::manifest::ClassEntry;
 use crate::outcome::{RefusalReason, RequestClass};
-pub use crate::place::PlaceQuery;
+pub use crate::placement::SlotQuery;
 use crate::queue::{ArrivingRequest, WaitQueue, WaitingRequest};
 use crate::slot::{BrokenRun, EngineState, SlotPhase};
 use crate::suspect::{SuspectTracker, SuspectVerdict};
@@ -59,7 +59,7 @@
 
 /// An adapter load required by a schedule.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AheadLoad {
+pub(crate) struct ScheduledLoad {
     pub(crate) due: TimePoint,
     pub(crate) from: TimePoint,
     pub(crate) adapter: u32,
@@ -110,9 +110,9 @@
     pub(crate) orders: Vec<LoadOrder>,
     pub(crate) budget: LoadBudget,
     /// Loads required by schedules, sorted by due time.
-    pub(crate) ahead: Vec<AheadLoad>,
+    pub(crate) ahead: Vec<ScheduledLoad>,
     pub(crate) book: SuspectTracker,
-    pub(crate) vms: Vec<VmNeed>,
+    pub(crate) vms: Vec<PendingHolder>,
     pub(crate) vms_known: bool,
     /// When VMs were last queried for their grants of earlier epochs.
     pub(crate) asked_at: TimePoint,
@@ -193,10 +193,10 @@
             OwnerEvent::IntentRead { number, valid } => {
                 self.intent_read(now, number, valid, actions);
             }
-            OwnerEvent::OldIntent { server, evict } => self.old_intent(now, &server, evict),
-            OwnerEvent::VmLive { vms, majority } => self.vm_live(now, vms, majority, actions),
-            OwnerEvent::VmGone { vm } => self.vm_gone(now, &vm),
-            OwnerEvent::Held { vm, grants } => self.held(now, &vm, grants, actions),
+            OwnerEvent::EarlierIntent { server, evict } => self.old_intent(now, &server, evict),
+            OwnerEvent::ListedVms { vms, majority } => self.vm_live(now, vms, majority, actions),
+            OwnerEvent::VmDead { vm } => self.vm_gone(now, &vm),
+            OwnerEvent::GrantsReported { vm, grants } => self.held(now, &vm, grants, actions),
             OwnerEvent::ServerDraining { server, draining } => {
                 self.server_draining(now, &server, draining);
             }
--- a/decision/src/place.rs
+++ b/decision/src/placement.rs
@@ -14,7 +14,7 @@
 
 /// Properties of a request, besides its adapter, on which the choice of a slot depends.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceQuery<'spec> {
+pub struct SlotQuery<'spec> {
     /// Class of the request; urgent ones may use the reserve of the batch.
     pub class: RequestClass,
     /// Verdict on the request's fingerprint as a possible poison request.
@@ -47,7 +47,7 @@
         &self,
         now: TimePoint,
         adapter: AdapterIndex,
-        query: &PlaceQuery<'_>,
+        query: &SlotQuery<'_>,
     ) -> Option<SlotChoice> {
         let mut best: Option<(f64, SlotChoice)> = None;
         for &choice in &self.adapters.get(adapter.0).copies {
@@ -81,7 +81,7 @@
         if standing == SuspectVerdict::Condemned || !alone {
             return None;
         }
-        let query = PlaceQuery {
+        let query = SlotQuery {
             class: spec.class,
             standing,
             prefix: spec.prefix,
@@ -124,14 +124,14 @@
         }
     }
 
-    fn admits(&self, engine: &EngineState, query: &PlaceQuery<'_>) -> bool {
+    fn admits(&self, engine: &EngineState, query: &SlotQuery<'_>) -> bool {
         let urgent = query.class == RequestClass::Urgent;
         engine.usable()
             && engine.room_for(urgent, self.settings.urgent_reserve_percent) > 0
             && (query.standing == SuspectVerdict::Clear || engine.suspects == 0)
     }
 
-    fn score(&self, engine: &EngineState, slot: &SlotState, query: &PlaceQuery<'_>) -> f64 {
+    fn score(&self, engine: &EngineState, slot: &SlotState, query: &SlotQuery<'_>) -> f64 {
         let fill = fill(engine);
         let fill_weight = match query.standing {
             SuspectVerdict::Clear => self.batching_weight() - self.stall_weight(),
--- a/decision/src/plan.rs
+++ b/decision/src/plan.rs
@@ -6,8 +6,8 @@
 use crate::id::{AdapterVersion, MICROS_PER_MILLI, TimePoint};
 use crate::load::{LoadPriority, LoadRequest};
 use crate::outcome::RequestClass;
-use crate::owner::{AheadLoad, GroupOwner, millis};
-use crate::place::LoadTarget;
+use crate::owner::{GroupOwner, ScheduledLoad, millis};
+use crate::placement::LoadTarget;
 
 /// Maximum difference between the due times of two schedules of an adapter that count as one.
 const SAME_SCHEDULE_MICROS: u64 = 1_000_000;
@@ -25,21 +25,21 @@
         let adapter = self.adapters.intern(adapter);
         let due = now.plus(due_in_ms.saturating_mul(MICROS_PER_MILLI));
         let from = TimePoint(due.0.saturating_sub(lead_ms.saturating_mul(MICROS_PER_MILLI)));
-        let same = |load: &AheadLoad| {
+        let same = |load: &ScheduledLoad| {
             load.adapter == adapter && load.due.0.abs_diff(due.0) < SAME_SCHEDULE_MICROS
         };
         if self.ahead.len() >= self.settings.schedules || self.ahead.iter().any(same) {
             return;
         }
         let at = self.ahead.partition_point(|load| load.due <= due);
-        self.ahead.insert(at, AheadLoad { due, from, adapter });
+        self.ahead.insert(at, ScheduledLoad { due, from, adapter });
     }
 
     /// Releases the reservation of an adapter whose scheduled request has arrived.
     pub(crate) fn schedule_served(&mut self, now: TimePoint, adapter: u32, class: RequestClass) {
         let near = self.settings.pressing_ms * MICROS_PER_MILLI;
         let served =
-            |load: &AheadLoad| load.adapter == adapter && load.due.0.abs_diff(now.0) < near;
+            |load: &ScheduledLoad| load.adapter == adapter && load.due.0.abs_diff(now.0) < near;
         if class != RequestClass::Scheduled || self.adapters.get(adapter).reserved_until <= now {
             return;
         }
--- a/decision/src/reading.rs
+++ b/decision/src/prefill.rs
@@ -37,20 +37,20 @@
 
 /// Rate at which the engines of a service process prompts, and how long their streams pause.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadingPace {
+pub struct PrefillRate {
     /// Tokens per microsecond; 0 until a first event was received.
     tokens_per_us: f64,
     /// Estimated 95th percentile of the streams' longest pauses, as a fraction of what is allowed.
     long_pause: f64,
 }
 
-impl Default for ReadingPace {
+impl Default for PrefillRate {
     fn default() -> Self {
         Self { tokens_per_us: 0.0, long_pause: INITIAL_PAUSE_FRACTION }
     }
 }
 
-impl ReadingPace {
+impl PrefillRate {
     /// Records that a prompt of `tokens` was sent to an engine with no other prompt to process, and
     /// that its first event arrived `waited_us` later.
     pub fn observe(&mut self, tokens: u64, waited_us: u64) {
--- a/decision/src/routing.rs
+++ b/decision/src/routing.rs
@@ -14,7 +14,7 @@
 value! {
     /// Whether a request that may have run can be retried.
     #[derive(Copy, Eq)]
-    pub enum RepeatRule {
+    pub enum RetryRule {
         /// May run any number of times.
         Idempotent,
         /// May run at most once.
@@ -46,7 +46,7 @@
         /// Services that requests go to, with their weights.
         pub shares: Vec<RouteShare>,
         /// Rule for retries.
-        pub repeat: RepeatRule,
+        pub repeat: RetryRule,
         /// Longest time until the final answer.
         pub timeout: Duration,
         /// Time within which an answer, or the first event of a stream, is on time.
@@ -315,10 +315,10 @@
     }
 }
 
-impl RepeatRule {
+impl RetryRule {
     /// Returns whether a request that may have run can be sent to another server.
     #[must_use]
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::StreamResumable)
     }
 
--- a/decision/src/takeover.rs
+++ b/decision/src/takeover.rs
@@ -258,7 +258,7 @@
 
 /// Whether a VM may dispatch to a loaded slot without a grant, and why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnerlessRuling {
+pub enum OwnerlessDecision {
     /// It may: no load or eviction can be ordered now, so the slot cannot be evicted under the
     /// request.
     Allowed,
@@ -280,20 +280,24 @@
     log_read: bool,
     members: &MemberTable,
     control: &ControlFold,
-) -> OwnerlessRuling {
+) -> OwnerlessDecision {
     if log_read {
-        return OwnerlessRuling::LogUp;
+        return OwnerlessDecision::LogUp;
     }
     if !members.majority(&group.region) {
-        return OwnerlessRuling::NoMajority;
+        return OwnerlessDecision::NoMajority;
     }
     let Some(ownership) = control.owner(group.name.as_str()) else {
-        return OwnerlessRuling::Allowed;
+        return OwnerlessDecision::Allowed;
     };
     let Some(row) = members.row(ownership.owner.vm.as_str()) else {
-        return OwnerlessRuling::Allowed;
+        return OwnerlessDecision::Allowed;
     };
     let long_enough = now.since(row.since()) >= settings.ownerless_ms * MICROS_PER_MILLI;
     let dead = row.identity() != &ownership.owner || row.state() == MemberState::Dead;
-    if dead && long_enough { OwnerlessRuling::Allowed } else { OwnerlessRuling::OwnerMayBeAlive }
+    if dead && long_enough {
+        OwnerlessDecision::Allowed
+    } else {
+        OwnerlessDecision::OwnerMayBeAlive
+    }
 }
--- a/decision/src/usage.rs
+++ b/decision/src/usage.rs
@@ -37,7 +37,7 @@
 
     /// Usage report of a VM or a domain: totals since a start point.
     #[derive(Default)]
-    pub struct ToldUses {
+    pub struct UsageReport {
         /// Identifies the start point among those of the same VM.
         pub life: u64,
         /// Milliseconds since the start point.
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug)]
 struct LedgerRow {
     vm: VmName,
-    report: ToldUses,
+    report: UsageReport,
     received_at: TimePoint,
 }
 
@@ -123,7 +123,7 @@
         &mut self,
         now: TimePoint,
         vm: &VmName,
-        report: &ToldUses,
+        report: &UsageReport,
         own_age_ms: u64,
     ) -> (Vec<CustomerTotal>, u64) {
         let found = self.rows.binary_search_by(|row| row.vm.cmp(vm));
--- a/decision/tests/suite/claim_once.rs
+++ b/decision/tests/suite/claim_once.rs
@@ -3,12 +3,12 @@
 // it did not.
 
 use coltsfoothook_decision::claim::{
-    ClaimAnswer, ClaimAsk, ClaimSettings, ClaimStart, ClaimTable, parse_issued,
+    ClaimAnswer, ClaimRequest, ClaimSettings, ClaimStart, ClaimTable, parse_issued,
 };
 use coltsfoothook_decision::id::{
     MICROS_PER_MILLI, RequestFingerprint, TimePoint, VmIdentity, VmIncarnation,
 };
-use coltsfoothook_decision::message::{RevokeCall, RevokeDoubt, RevokeReply};
+use coltsfoothook_decision::message::{RevokeCall, RevokeReply, RevokeUncertainty};
 use coltsfoothook_decision::outcome::{RefusalReason, RequestOutcome};
 use coltsfoothook_decision::record::ClaimRecord;
 
@@ -22,8 +22,8 @@
     ClaimTable::new(ClaimSettings::default(), vm(name, incarnation))
 }
 
-fn request(key: &str) -> ClaimAsk<'_> {
-    ClaimAsk {
+fn request(key: &str) -> ClaimRequest<'_> {
+    ClaimRequest {
         tenant: "ramsa",
         key,
         fingerprint: RequestFingerprint(5),
@@ -48,10 +48,10 @@
     assert_eq!(b.begin(NOW, &request("k")), ClaimStart::Claiming);
     let (first, second) = (due(&mut a), due(&mut b));
     assert_eq!(a.read_back(0, first.clone())[0].start, ClaimStart::Run);
-    assert_eq!(b.read_back(0, first)[0].start, ClaimStart::AskRevoke(vm("a", 1)));
+    assert_eq!(b.read_back(0, first)[0].start, ClaimStart::RequestRevocation(vm("a", 1)));
     assert!(a.read_back(1, second.clone()).is_empty());
     assert!(b.read_back(1, second).is_empty());
-    assert_eq!(b.begin(NOW, &request("k")), ClaimStart::AskRevoke(vm("a", 1)));
+    assert_eq!(b.begin(NOW, &request("k")), ClaimStart::RequestRevocation(vm("a", 1)));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     assert_eq!(a.begin(NOW, &request("k")), unknown, "while its claim is in flight");
     a.read_back(0, record);
     assert_eq!(a.begin(NOW, &request("k")), unknown, "while it runs");
-    let other = ClaimAsk { fingerprint: RequestFingerprint(6), ..request("k") };
+    let other = ClaimRequest { fingerprint: RequestFingerprint(6), ..request("k") };
     assert_eq!(a.begin(NOW, &other), answer(RequestOutcome::Unknown, RefusalReason::KeyReused));
     a.end("ramsa", "k", RequestOutcome::Done);
     let done = answer(RequestOutcome::Done, RefusalReason::AlreadyClaimed);
@@ -88,20 +88,20 @@
 #[test]
 fn log_outage_refuses_claims() {
     let mut a = table("a", 1);
-    let down = ClaimAsk { log_up: false, ..request("k") };
-    let first = ClaimAsk { first_try: true, ..down };
+    let down = ClaimRequest { log_up: false, ..request("k") };
+    let first = ClaimRequest { first_try: true, ..down };
     let reason = RefusalReason::LogUnavailable;
     assert_eq!(a.begin(NOW, &first), answer(RequestOutcome::NotRun, reason));
     assert_eq!(a.begin(NOW, &down), answer(RequestOutcome::Unknown, reason));
     let issued = a.issue();
-    let request = ClaimAsk { log_up: false, ..request(issued.as_str()) };
+    let request = ClaimRequest { log_up: false, ..request(issued.as_str()) };
     assert_eq!(a.begin(NOW, &request), ClaimStart::Run, "an issued key needs no log");
 }
 
 #[test]
 fn given_up_claim_never_runs() {
     let mut a = table("a", 1);
-    a.begin(NOW, &ClaimAsk { first_try: true, ..request("k") });
+    a.begin(NOW, &ClaimRequest { first_try: true, ..request("k") });
     let record = due(&mut a);
     let given_up = a.give_up("ramsa", "k", RefusalReason::LogUnavailable);
     assert_eq!(given_up.outcome, RequestOutcome::NotRun);
@@ -124,9 +124,12 @@
     let expired = answer(RequestOutcome::Unknown, RefusalReason::KeyExpired);
     assert_eq!(restarted.begin(NOW, &request(key.as_str())), expired);
     let mut b = table("b", 1);
-    assert_eq!(b.begin(NOW, &request(key.as_str())), ClaimStart::AskRevoke(vm("a", 1)));
+    assert_eq!(b.begin(NOW, &request(key.as_str())), ClaimStart::RequestRevocation(vm("a", 1)));
     let call = RevokeCall { tenant: "ramsa".into(), key, fingerprint: RequestFingerprint(5) };
-    assert_eq!(restarted.revoke(&call), RevokeReply::Unknown(RevokeDoubt::EarlierLife));
+    assert_eq!(
+        restarted.revoke(&call),
+        RevokeReply::Unknown(RevokeUncertainty::EarlierIncarnation)
+    );
     assert_eq!(a.revoke(&call), RevokeReply::Revoked);
     let refused = answer(RequestOutcome::NotRun, RefusalReason::AlreadyClaimed);
     assert_eq!(a.begin(NOW, &request(call.key.as_str())), refused, "a revoked key never runs");
@@ -184,5 +187,5 @@
     assert_eq!(a.begin(NOW, &request(keys[0].as_str())), expired);
     let key = keys[0].clone();
     let call = RevokeCall { tenant: "ramsa".into(), key, fingerprint: RequestFingerprint(5) };
-    assert_eq!(a.revoke(&call), RevokeReply::Unknown(RevokeDoubt::NoAnswer));
+    assert_eq!(a.revoke(&call), RevokeReply::Unknown(RevokeUncertainty::NoAnswer));
 }
--- a/decision/tests/suite/domain_news.rs
+++ b/decision/tests/suite/domain_updates.rs
@@ -6,7 +6,7 @@
 
 use coltsfoothook_decision::backend::{BackendTable, ServerOwner};
 use coltsfoothook_decision::counts::LoadFigure;
-use coltsfoothook_decision::domain_news::{ListChange, NewsWriter, parts};
+use coltsfoothook_decision::domain_update::{ListChange, UpdateWriter, split_lists};
 use coltsfoothook_decision::holding::AdapterHolding;
 use coltsfoothook_decision::id::{ServerName, TimePoint};
 use coltsfoothook_decision::routing::{AdapterKey, BackendEntry};
@@ -69,7 +69,7 @@
 #[test]
 fn missed_change() {
     let (mut aggregator, mut good, mut lossy) = (table(1), table(1), table(1));
-    let mut writer = NewsWriter::default();
+    let mut writer = UpdateWriter::default();
     report_by_owner(&mut aggregator, "s000", 1, &[("a1", 0), ("a2", 0)], START);
     let first = writer.changes(&aggregator, usize::MAX, TimePoint(START));
     assert_eq!(first[0].base, None);
@@ -101,7 +101,7 @@
 fn random_losses() {
     let mut random = Pcg64::seed_from_u64(11);
     let (mut aggregator, mut view) = (table(20), table(20));
-    let mut writer = NewsWriter::default();
+    let mut writer = UpdateWriter::default();
     let mut lists: Vec<(u64, Vec<(String, u64)>)> = vec![(1, Vec::new()); 20];
     let mut now = START;
     for step in 0..400 {
@@ -141,7 +141,7 @@
     view.told_loads();
     aggregator.peer_load(&"vm-1".into(), "s000", view.own_load("s000"), now);
     aggregator.peer_load(&"vm-2".into(), "s000", LoadFigure { running: 4, unread: 100 }, now);
-    let mut writer = NewsWriter::default();
+    let mut writer = UpdateWriter::default();
     let other: Vec<(ServerName, LoadFigure)> =
         vec![("s000".into(), LoadFigure { running: 10, unread: 2_000 })];
     writer.take_sums(&"vm-9".into(), other, now);
@@ -171,7 +171,7 @@
     for server in 0..860 {
         report_by_owner(&mut aggregator, &format!("s{server:03}"), 1, &held, START);
     }
-    let parts = parts(NewsWriter::default().changes(&aggregator, usize::MAX, now));
+    let parts = split_lists(UpdateWriter::default().changes(&aggregator, usize::MAX, now));
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 860);
     for part in &parts {
         assert!(
@@ -192,7 +192,7 @@
     for server in 0..500 {
         report_by_owner(&mut aggregator, &format!("s{server:03}"), 1, &held, START);
     }
-    let (mut writer, mut listed_servers) = (NewsWriter::default(), Vec::new());
+    let (mut writer, mut listed_servers) = (UpdateWriter::default(), Vec::new());
     for round in 0..60 {
         let now = START + round * 150;
         let changes = writer.changes(&aggregator, MAX_ENTRIES, TimePoint(now));
@@ -218,7 +218,7 @@
         };
         (0..300).map(load).collect::<Vec<_>>()
     };
-    let mut writer = NewsWriter::default();
+    let mut writer = UpdateWriter::default();
     assert!(writer.news_loads(fleet(&[]), usize::MAX).is_empty());
     assert_eq!(writer.news_loads(fleet(&[(7, 1), (9, 2)]), usize::MAX).len(), 2);
     // The drop to zero is sent several times, since a message may be lost, and then no more.
--- a/decision/tests/suite/encoded_names.rs
+++ b/decision/tests/suite/encoded_names.rs
@@ -5,28 +5,28 @@
 
 use coltsfoothook_decision::budget::RepeatBounds;
 use coltsfoothook_decision::check::{FaultKind, ManifestFault};
-use coltsfoothook_decision::coverage::ToldSpan;
+use coltsfoothook_decision::coverage::ReportedSpan;
 use coltsfoothook_decision::credential::{CredentialHash, CredentialTable};
 use coltsfoothook_decision::customer::{CustomerLimit, CustomerPlan, CustomerTable, LimitMeasure};
-use coltsfoothook_decision::domain_news::{ListChange, ListedHolding};
+use coltsfoothook_decision::domain_update::{ListChange, ListedHolding};
 use coltsfoothook_decision::grant::*;
 use coltsfoothook_decision::holding::AdapterHolding;
 use coltsfoothook_decision::id::*;
-use coltsfoothook_decision::limit::{FleetStanding, LimitExcess};
+use coltsfoothook_decision::lease::{FleetPartition, LeaseRecord, LeaseSettings};
+use coltsfoothook_decision::limit::{BucketState, LimitExcess};
+use coltsfoothook_decision::long_poll::LongPoll;
 use coltsfoothook_decision::manifest::*;
 use coltsfoothook_decision::member::{
     CustomerUsage, ListedState, ListedVm, MemberDigest, MemberFacts, MemberPlace, MemberState,
     ProbeMessage, ProbeReply,
 };
 use coltsfoothook_decision::message::*;
-use coltsfoothook_decision::orderbook::{OrderAction, ServerOrder};
+use coltsfoothook_decision::order_tracker::{OrderAction, ServerOrder};
 use coltsfoothook_decision::outcome::{RefusalReason, RequestClass, RequestOutcome};
-use coltsfoothook_decision::question::HeldQuestion;
 use coltsfoothook_decision::record::*;
 use coltsfoothook_decision::report::{EngineReport, SlotReport};
 use coltsfoothook_decision::routing::*;
-use coltsfoothook_decision::tenure::{FleetShare, TenureRecord, TenureSettings};
-use coltsfoothook_decision::usage::{CustomerTotal, ToldUses, UsageTotal};
+use coltsfoothook_decision::usage::{CustomerTotal, UsageReport, UsageTotal};
 use expect_test::{Expect, expect};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -223,7 +223,7 @@
         host: "a.example".into(),
         prefix: "/x/".into(),
         shares: vec![RouteShare { service: "speech".into(), weight: 1 }],
-        repeat: RepeatRule::Once,
+        repeat: RetryRule::Once,
         timeout: Duration::from_millis(2_500),
         target: Duration::from_secs(3),
         target_gap: Some(Duration::from_secs(4)),
@@ -443,10 +443,10 @@
             RevokeReply::Revoked,
             RevokeReply::Running,
             RevokeReply::Done,
-            RevokeReply::Unknown(RevokeDoubt::EarlierLife),
-            RevokeReply::Unknown(RevokeDoubt::NoAnswer),
-            RevokeReply::Unknown(RevokeDoubt::OtherBody),
-            RevokeReply::Unknown(RevokeDoubt::NotMine),
+            RevokeReply::Unknown(RevokeUncertainty::EarlierIncarnation),
+            RevokeReply::Unknown(RevokeUncertainty::NoAnswer),
+            RevokeReply::Unknown(RevokeUncertainty::OtherBody),
+            RevokeReply::Unknown(RevokeUncertainty::NotMine),
         ],
         expect![[r#"
             "revoked"
@@ -737,12 +737,12 @@
         &[LimitExcess { window_s: 1.5, part: 2.5, slack: 3.5 }],
         expect![[r#"{"window_s":1.5,"part":2.5,"slack":3.5}"#]],
     );
-    let standing = FleetStanding { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
+    let standing = BucketState { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
     same(&[standing], expect![[r#"{"customer":"clinic","level":1.5,"asked_per_s":2.5}"#]]);
     let total = UsageTotal { asked: 1.5, admitted: 2.5 };
     let uses = vec![CustomerTotal { customer: "clinic".into(), total }];
     same(
-        &[ToldUses { life: 1, age_ms: 2, uses }],
+        &[UsageReport { life: 1, age_ms: 2, uses }],
         expect![[
             r#"{"life":1,"age_ms":2,"uses":[{"customer":"clinic","total":{"asked":1.5,"admitted":2.5}}]}"#
         ]],
@@ -770,10 +770,10 @@
     );
     same(
         &[
-            RepeatRule::Idempotent,
-            RepeatRule::Once,
-            RepeatRule::StreamOnce,
-            RepeatRule::StreamResumable,
+            RetryRule::Idempotent,
+            RetryRule::Once,
+            RetryRule::StreamOnce,
+            RetryRule::StreamResumable,
         ],
         expect![[r#"
             "idempotent"
@@ -888,19 +888,19 @@
 
 #[test]
 fn tenures_and_spans() {
-    let shares = vec![FleetShare { topic: 1, part: 2 }];
+    let shares = vec![FleetPartition { topic: 1, part: 2 }];
     same(
-        &[TenureRecord { generation: 3, shares }],
+        &[LeaseRecord { generation: 3, shares }],
         expect![[r#"{"generation":3,"shares":[{"topic":1,"part":2}]}"#]],
     );
     same(
-        &[TenureSettings { topics: 1, parts: 2, lifetime_us: 3, pause_us: 4 }],
+        &[LeaseSettings { topics: 1, parts: 2, lifetime_us: 3, pause_us: 4 }],
         expect![[r#"{"topics":1,"parts":2,"lifetime_us":3,"pause_us":4}"#]],
     );
-    same(&[ToldSpan { since: 1, up_to: 2 }], expect![[r#"{"since":1,"up_to":2}"#]]);
+    same(&[ReportedSpan { since: 1, up_to: 2 }], expect![[r#"{"since":1,"up_to":2}"#]]);
     let (hold, within) = (Duration::from_secs(1), Duration::from_millis(2_500));
     same(
-        &[HeldQuestion { hold, within }],
+        &[LongPoll { hold, within }],
         expect![[r#"{"hold":{"secs":1,"nanos":0},"within":{"secs":2,"nanos":500000000}}"#]],
     );
 }
--- a/decision/tests/suite/fleet_limits.rs
+++ b/decision/tests/suite/fleet_limits.rs
@@ -2,8 +2,8 @@
 
 use coltsfoothook_decision::customer::{CustomerLimit, LimitMeasure};
 use coltsfoothook_decision::id::{TimePoint, VmName};
-use coltsfoothook_decision::limit::{CustomerLimiter, FleetStanding, LimitExcess};
-use coltsfoothook_decision::usage::ToldUses;
+use coltsfoothook_decision::limit::{BucketState, CustomerLimiter, LimitExcess};
+use coltsfoothook_decision::usage::UsageReport;
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -30,9 +30,9 @@
 
 #[derive(Clone, Debug)]
 enum Report {
-    Member(ToldUses),
-    Domain(ToldUses),
-    Standings(Vec<FleetStanding>),
+    Member(UsageReport),
+    Domain(UsageReport),
+    Standings(Vec<BucketState>),
 }
 
 struct Sent {
--- a/decision/tests/suite/load_recovery.rs
+++ b/decision/tests/suite/load_recovery.rs
@@ -6,7 +6,7 @@
 //! has sixty servers, and its store carries 40 loads of 288 ms at once.
 
 use coltsfoothook_decision::id::TimePoint;
-use coltsfoothook_decision::loadtime::{LoadTimes, OrderedLoad, ToldTimes};
+use coltsfoothook_decision::loadtime::{LoadTimes, OrderedLoad, ReportedTimes};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -29,13 +29,13 @@
     load: OrderedLoad,
     done: u64,
     check_at: u64,
-    report: ToldTimes,
+    report: ReportedTimes,
     received_at: u64,
     is_received: bool,
 }
 
-fn report(alone_us: u64, each_us: u64) -> ToldTimes {
-    ToldTimes { alone_us, each_us, is_proven: false }
+fn report(alone_us: u64, each_us: u64) -> ReportedTimes {
+    ReportedTimes { alone_us, each_us, is_proven: false }
 }
 
 struct Fleet {
--- a/decision/tests/suite/order_tenure.rs
+++ b/decision/tests/suite/order_lease.rs
@@ -1,19 +1,19 @@
 //! Leases of partitions: which VM may send orders to a server, never two at a time.
 
 use coltsfoothook_decision::id::{ServerName, TimePoint};
-use coltsfoothook_decision::tenure::{
-    FleetShare, GainedSince, OrderTenure, StoreOutage, StoreWitness, TenureRecord, TenureSettings,
+use coltsfoothook_decision::lease::{
+    FleetPartition, GainedSince, LeaseRecord, LeaseSettings, OrderLease, StoreOutage, StoreWitness,
     judge_outage,
 };
 
 const SECOND: u64 = 1_000_000;
 
-fn settings() -> TenureSettings {
-    TenureSettings { topics: 1, parts: 1, ..TenureSettings::default() }
+fn settings() -> LeaseSettings {
+    LeaseSettings { topics: 1, parts: 1, ..LeaseSettings::default() }
 }
 
-fn partition() -> FleetShare {
-    FleetShare { topic: 0, part: 0 }
+fn partition() -> FleetPartition {
+    FleetPartition { topic: 0, part: 0 }
 }
 
 fn server() -> ServerName {
@@ -25,18 +25,18 @@
 }
 
 /// Renews at `now` and holds the only partition.
-fn renewed(lease: &mut OrderTenure, now: TimePoint, generation: u64, since: &GainedSince) {
+fn renewed(lease: &mut OrderLease, now: TimePoint, generation: u64, since: &GainedSince) {
     lease.renewed(now, now, generation, vec![partition()], since);
 }
 
-fn fence(lease: &OrderTenure, now: TimePoint) -> Option<u64> {
-    lease.fence(&server(), None, StoreOutage::NotKnown, now)
+fn fence(lease: &OrderLease, now: TimePoint) -> Option<u64> {
+    lease.fence(&server(), None, StoreOutage::Unconfirmed, now)
 }
 
 /// Orders of the previous holder of a partition may still be in flight, so the new holder waits.
 #[test]
 fn gained_waits() {
-    let mut lease = OrderTenure::new(settings());
+    let mut lease = OrderLease::new(settings());
     for second in 10..15 {
         renewed(&mut lease, at(second), 7, &GainedSince::Unknown);
     }
@@ -48,7 +48,7 @@
 /// that need a load are told to retry then.
 #[test]
 fn first_active() {
-    let mut lease = OrderTenure::new(settings());
+    let mut lease = OrderLease::new(settings());
     assert_eq!(lease.first_active(at(9)), None);
     renewed(&mut lease, at(10), 7, &GainedSince::Unknown);
     renewed(&mut lease, at(12), 7, &GainedSince::Unknown);
@@ -60,9 +60,9 @@
 /// not from the gain.
 #[test]
 fn known_holder() {
-    let mut lease = OrderTenure::new(settings());
+    let mut lease = OrderLease::new(settings());
     renewed(&mut lease, at(20), 7, &GainedSince::Unknown);
-    let fence_at = |last| lease.fence(&server(), Some(last), StoreOutage::NotKnown, at(21));
+    let fence_at = |last| lease.fence(&server(), Some(last), StoreOutage::Unconfirmed, at(21));
     assert_eq!(fence_at(at(16)), Some(7));
     assert_eq!(fence_at(at(18)), None);
 }
@@ -71,7 +71,7 @@
 /// has renewed, and then waits like any other VM that gained them.
 #[test]
 fn suspended_stops() {
-    let mut lease = OrderTenure::new(settings());
+    let mut lease = OrderLease::new(settings());
     renewed(&mut lease, at(10), 7, &GainedSince::FirstStart);
     assert_eq!(fence(&lease, at(12)), Some(7));
     assert_eq!(fence(&lease, at(14)), None);
@@ -86,12 +86,12 @@
 /// partition, so that loads need not wait. It is no evidence under another generation.
 #[test]
 fn restart_resumes() {
-    let record = TenureRecord { generation: 7, shares: vec![partition()] };
+    let record = LeaseRecord { generation: 7, shares: vec![partition()] };
     let since = GainedSince::Restart(record);
-    let mut same = OrderTenure::new(settings());
+    let mut same = OrderLease::new(settings());
     renewed(&mut same, at(10), 7, &since);
     assert_eq!(fence(&same, at(10)), Some(7));
-    let mut changed = OrderTenure::new(settings());
+    let mut changed = OrderLease::new(settings());
     renewed(&mut changed, at(10), 8, &since);
     assert_eq!(fence(&changed, at(10)), None, "another VM may have held the partition in between");
 }
@@ -100,7 +100,7 @@
 /// recently.
 #[test]
 fn record_active_only() {
-    let mut lease = OrderTenure::new(settings());
+    let mut lease = OrderLease::new(settings());
     renewed(&mut lease, at(10), 7, &GainedSince::Unknown);
     assert_eq!(lease.record(at(11)).shares, Vec::new());
     assert_eq!(lease.record(at(14)).shares, vec![partition()]);
@@ -110,7 +110,7 @@
 /// increases.
 #[test]
 fn refused_stops() {
-    let mut lease = OrderTenure::new(settings());
+    let mut lease = OrderLease::new(settings());
     renewed(&mut lease, at(10), 7, &GainedSince::FirstStart);
     lease.refused(7);
     assert_eq!(fence(&lease, at(11)), None);
@@ -122,11 +122,11 @@
 /// partitions can't be reassigned. A VM that alone can't reach the store stops.
 #[test]
 fn store_outage() {
-    let mut lease = OrderTenure::new(settings());
+    let mut lease = OrderLease::new(settings());
     renewed(&mut lease, at(10), 7, &GainedSince::FirstStart);
     let fence_for = |outage| lease.fence(&server(), None, outage, at(30));
     assert_eq!(fence_for(StoreOutage::ForAll), Some(7));
-    assert_eq!(fence_for(StoreOutage::NotKnown), None);
+    assert_eq!(fence_for(StoreOutage::Unconfirmed), None);
 }
 
 /// An outage for all is assumed only if most other VMs reported recently and none of them reached
@@ -138,7 +138,10 @@
     let reached = StoreWitness { heard_at: now, reached_at: at(100) };
     let unresponsive = StoreWitness { heard_at: at(95), reached_at: at(95) };
     assert_eq!(judge_outage(&[unreached, unreached, unresponsive], now), StoreOutage::ForAll);
-    assert_eq!(judge_outage(&[unreached, reached, unreached], now), StoreOutage::NotKnown);
-    assert_eq!(judge_outage(&[unreached, unresponsive, unresponsive], now), StoreOutage::NotKnown);
-    assert_eq!(judge_outage(&[], now), StoreOutage::NotKnown);
+    assert_eq!(judge_outage(&[unreached, reached, unreached], now), StoreOutage::Unconfirmed);
+    assert_eq!(
+        judge_outage(&[unreached, unresponsive, unresponsive], now),
+        StoreOutage::Unconfirmed
+    );
+    assert_eq!(judge_outage(&[], now), StoreOutage::Unconfirmed);
 }
--- a/decision/tests/suite/order_book.rs
+++ b/decision/tests/suite/order_tracker.rs
@@ -2,9 +2,9 @@
 
 use coltsfoothook_decision::id::{TimePoint, VmName};
 use coltsfoothook_decision::loadtime::{LoadForecast, LoadTimes};
-use coltsfoothook_decision::orderbook::{
-    BookAction, BookSettings, OrderAction, OrderBook, OrderReply, ServerOrder, ToldUse,
-    WaitingRequests,
+use coltsfoothook_decision::order_tracker::{
+    OrderAction, OrderReply, OrderTracker, ReportedUse, ServerOrder, TrackerAction,
+    TrackerSettings, WaitingRequests,
 };
 use coltsfoothook_decision::routing::{
     AdapterKey, HeldAdapter, HeldModel, PendingAdapter, ServerReport,
@@ -32,22 +32,22 @@
 }
 
 /// Returns the tracker of a server that reported `adapters`.
-fn known_tracker(adapters: &[&str], now: TimePoint) -> OrderBook {
-    let mut tracker = OrderBook::new(BookSettings::default(), SLOTS, now);
-    assert_eq!(tracker.next(None, &forecast(), now), Some(BookAction::Ask));
+fn known_tracker(adapters: &[&str], now: TimePoint) -> OrderTracker {
+    let mut tracker = OrderTracker::new(TrackerSettings::default(), SLOTS, now);
+    assert_eq!(tracker.next(None, &forecast(), now), Some(TrackerAction::Query));
     tracker.reported(Some(&report(0, adapters)), &forecast(), now);
     tracker
 }
 
-fn next_order(tracker: &mut OrderBook, now: TimePoint) -> Option<ServerOrder> {
+fn next_order(tracker: &mut OrderTracker, now: TimePoint) -> Option<ServerOrder> {
     match tracker.next(None, &forecast(), now) {
-        Some(BookAction::Order(order)) => Some(order),
-        Some(BookAction::Ask) | None => None,
+        Some(TrackerAction::Order(order)) => Some(order),
+        Some(TrackerAction::Query) | None => None,
     }
 }
 
-fn report_use(vm: &VmName, begun: u32, running: u32) -> ToldUse<'_> {
-    ToldUse { vm, begun, running }
+fn report_use(vm: &VmName, begun: u32, running: u32) -> ReportedUse<'_> {
+    ReportedUse { vm, begun, running }
 }
 
 /// A fourth adapter is requested at a full server while two of three adapters are in use. The idle
@@ -126,11 +126,11 @@
         }
         assert_eq!((tracker.next(None, &forecast(), now), tracker.free(now)), (None, 0));
         let later = now.plus(60 * MILLI);
-        assert_eq!(tracker.next(None, &forecast(), later), Some(BookAction::Ask));
+        assert_eq!(tracker.next(None, &forecast(), later), Some(TrackerAction::Query));
         tracker.reported(None, &forecast(), later);
         assert_eq!((tracker.next(None, &forecast(), later), tracker.free(later)), (None, 0));
         let back = now.plus(700 * MILLI);
-        assert_eq!(tracker.next(None, &forecast(), back), Some(BookAction::Ask));
+        assert_eq!(tracker.next(None, &forecast(), back), Some(TrackerAction::Query));
         tracker.reported(Some(&report(0, &["a1"])), &forecast(), back);
         tracker.wish(&key("a2"), 1, WaitingRequests::default(), back);
         assert!(next_order(&mut tracker, back).is_some());
@@ -149,7 +149,7 @@
     tracker.wish(&key("a5"), 1, WaitingRequests::default(), now);
     assert_eq!(next_order(&mut tracker, now), None);
     let later = now.plus(450 * MILLI);
-    assert_eq!(tracker.next(None, &forecast(), later), Some(BookAction::Ask));
+    assert_eq!(tracker.next(None, &forecast(), later), Some(TrackerAction::Query));
     tracker.reported(Some(&report(1, &["a2", "a3"])), &forecast(), later);
     tracker.wish(&key("a4"), 1, WaitingRequests::default(), later);
     let load = next_order(&mut tracker, later).expect("a slot is free");
@@ -160,14 +160,14 @@
 #[test]
 fn empty_server() {
     let now = TimePoint(0);
-    let mut tracker = OrderBook::new(BookSettings::default(), SLOTS, now);
-    assert_eq!(tracker.next(None, &forecast(), now), Some(BookAction::Ask));
+    let mut tracker = OrderTracker::new(TrackerSettings::default(), SLOTS, now);
+    assert_eq!(tracker.next(None, &forecast(), now), Some(TrackerAction::Query));
     let empty =
         ServerReport { born: 0, orders: 0, busy: false, models: Vec::new(), pending: Vec::new() };
     tracker.reported(Some(&empty), &forecast(), now);
     assert!(tracker.is_empty());
     let model = "base".into();
-    let Some(BookAction::Order(order)) = tracker.next(Some(&model), &forecast(), now) else {
+    let Some(TrackerAction::Order(order)) = tracker.next(Some(&model), &forecast(), now) else {
         panic!("the base model is to be loaded");
     };
     assert_eq!(order.action, OrderAction::LoadModel { model });
@@ -221,7 +221,7 @@
     for seed in 0..200 {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut server = LateServer { accepted: 0, held: Vec::new(), late: Vec::new() };
-        let mut tracker = OrderBook::new(BookSettings::default(), SLOTS, TimePoint(0));
+        let mut tracker = OrderTracker::new(TrackerSettings::default(), SLOTS, TimePoint(0));
         let times = forecast();
         let mut now = TimePoint(0);
         for _ in 0..1_000 {
@@ -237,12 +237,12 @@
                 server.carry_out(&late);
             }
             match tracker.next(None, &forecast(), now) {
-                Some(BookAction::Ask) => tracker.reported(Some(&server.report()), &times, now),
-                Some(BookAction::Order(order)) if random.next_u32().is_multiple_of(3) => {
+                Some(TrackerAction::Query) => tracker.reported(Some(&server.report()), &times, now),
+                Some(TrackerAction::Order(order)) if random.next_u32().is_multiple_of(3) => {
                     server.late.push(order.clone());
                     tracker.replied(&order, OrderReply::Lost, &times, now);
                 }
-                Some(BookAction::Order(order)) => {
+                Some(TrackerAction::Order(order)) => {
                     let reply = server.carry_out(&order);
                     tracker.replied(&order, reply, &times, now);
                 }
@@ -268,7 +268,7 @@
     assert_eq!(load.expected, 1);
     tracker.replied(&load, OrderReply::Conflict, &forecast(), now);
     let later = now.plus(1_000 * MILLI);
-    assert_eq!(tracker.next(None, &forecast(), later), Some(BookAction::Ask));
+    assert_eq!(tracker.next(None, &forecast(), later), Some(TrackerAction::Query));
     tracker.reported(Some(&report(0, &["a2", "a3"])), &forecast(), later);
     tracker.wish(&key("a4"), 1, WaitingRequests::default(), later);
     assert_eq!(next_order(&mut tracker, later).unwrap().expected, 0);
@@ -287,7 +287,7 @@
     let crowded = LoadTimes::default().forecast(200);
     let mut tracker = known_tracker(&[], now);
     let soon = now.plus(700 * MILLI);
-    let request_loads = |tracker: &mut OrderBook| {
+    let request_loads = |tracker: &mut OrderTracker| {
         tracker.wish(&key("a1"), 1, waiting("x", 1, soon), now);
         tracker.wish(&key("a2"), 1, waiting("x", 2, TimePoint(0)), now);
         tracker.wish(&key("a3"), 1, waiting("x", 1, soon), now);
--- a/decision/tests/suite/owner_rules.rs
+++ b/decision/tests/suite/owner_rules.rs
@@ -58,7 +58,7 @@
     }
 
     fn set_live(&mut self, majority: bool) -> Vec<OwnerAction> {
-        self.handle(OwnerEvent::VmLive { vms: vec![vm(0).vm, vm(1).vm], majority })
+        self.handle(OwnerEvent::ListedVms { vms: vec![vm(0).vm, vm(1).vm], majority })
     }
 
     fn report(&mut self, engine: u32, incarnation: u64, slots: &[&str]) -> Vec<OwnerAction> {
@@ -163,7 +163,7 @@
     let mut harness = OwnerHarness::new(2, 1, 1, false);
     harness.set_live(true);
     let evict = Some(SlotName::from("a1@v1#1.7"));
-    harness.handle(OwnerEvent::OldIntent { server: "e0".into(), evict });
+    harness.handle(OwnerEvent::EarlierIntent { server: "e0".into(), evict });
     harness.report(0, 1, &["a1@v1#1.7"]);
     assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)), &[]);
     harness.tick(121 * SECOND);
@@ -176,7 +176,7 @@
 fn held_before_eviction() {
     let mut harness = OwnerHarness::new(2, 1, 1, true);
     let queries = harness.set_live(true);
-    assert!(matches!(&queries[0], OwnerAction::AskHeld { vms } if vms.len() == 2));
+    assert!(matches!(&queries[0], OwnerAction::QueryHeldGrants { vms } if vms.len() == 2));
     let fence = orders(&harness.report(0, 1, &["a1@v1#1.7"]))[0].0;
     harness.order_done(fence, OrderResult::Done);
     assert_eq!(orders(&harness.reserve(2, RequestClass::Urgent)), &[]);
@@ -187,9 +187,9 @@
         slot: "a1@v1#1.7".into(),
         fingerprint: RequestFingerprint(5),
     };
-    harness.handle(OwnerEvent::Held { vm: vm(0), grants: vec![held] });
+    harness.handle(OwnerEvent::GrantsReported { vm: vm(0), grants: vec![held] });
     assert_eq!(orders(&harness.tick(SECOND)), &[], "one VM has not answered");
-    harness.handle(OwnerEvent::Held { vm: vm(1), grants: Vec::new() });
+    harness.handle(OwnerEvent::GrantsReported { vm: vm(1), grants: Vec::new() });
     assert_eq!(orders(&harness.tick(SECOND)), &[], "the slot is held");
     let call = ReleaseCall { holder: vm(0), grant: id, end: GrantEnd::Done, tokens: 1 };
     let freed = orders(&harness.handle(OwnerEvent::Release(call)));
@@ -203,7 +203,7 @@
     let mut harness = OwnerHarness::new(1, 1, 1, true);
     harness.set_live(true);
     for at in 0..2 {
-        harness.handle(OwnerEvent::Held { vm: vm(at), grants: Vec::new() });
+        harness.handle(OwnerEvent::GrantsReported { vm: vm(at), grants: Vec::new() });
     }
     harness.report(0, 1, &["a1@v1#1.7"]);
     harness.set_live(false);
@@ -293,7 +293,7 @@
     harness.set_live(true);
     harness.report(0, 1, &["a1@v1#1.7"]);
     assert_eq!(grants(&harness.reserve(1, RequestClass::Urgent)).len(), 1);
-    harness.handle(OwnerEvent::VmGone { vm: vm(0) });
+    harness.handle(OwnerEvent::VmDead { vm: vm(0) });
     assert_eq!(orders(&harness.reserve(2, RequestClass::Audit)), &[]);
     assert_eq!(orders(&harness.tick(119 * SECOND)), &[]);
     assert_eq!(orders(&harness.reserve(2, RequestClass::Audit)), &[]);
--- a/decision/tests/suite/owner_world.rs
+++ b/decision/tests/suite/owner_world.rs
@@ -306,13 +306,13 @@
                 };
                 self.schedule_in(2 * MILLI, execute);
             }
-            OwnerAction::AskHeld { .. } => {
+            OwnerAction::QueryHeldGrants { .. } => {
                 for at in 0..3 {
                     if self.paused_vm == Some(at) {
                         continue;
                     }
                     let held = self.held_by(at, epoch);
-                    let event = OwnerEvent::Held { vm: vm(at), grants: held };
+                    let event = OwnerEvent::GrantsReported { vm: vm(at), grants: held };
                     self.schedule_in(3 * MILLI, Event::Deliver(epoch, event));
                 }
             }
@@ -518,7 +518,7 @@
         self.owners.push(GroupOwner::new(settings(), topology(&self.engines), epoch, self.now));
         for (by, server, evict) in self.intents.clone() {
             if by <= old {
-                self.deliver(old + 1, OwnerEvent::OldIntent { server, evict });
+                self.deliver(old + 1, OwnerEvent::EarlierIntent { server, evict });
             }
         }
         self.deliver(old + 1, live_vms());
@@ -553,7 +553,7 @@
 }
 
 fn live_vms() -> OwnerEvent {
-    OwnerEvent::VmLive { vms: (0..3).map(|at| vm(at).vm).collect(), majority: true }
+    OwnerEvent::ListedVms { vms: (0..3).map(|at| vm(at).vm).collect(), majority: true }
 }
 
 fn settings() -> OwnerSettings {
--- a/decision/tests/suite/reading_pace.rs
+++ b/decision/tests/suite/prefill_rate.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use coltsfoothook_decision::backend::{BackendTable, ServerOwner};
-use coltsfoothook_decision::choice::{ServerChoice, ServerNeed};
+use coltsfoothook_decision::choice::{ServerChoice, ServerRequirements};
 use coltsfoothook_decision::counts::LoadFigure;
 use coltsfoothook_decision::holding::AdapterHolding;
 use coltsfoothook_decision::id::{DomainName, ModelName, ServiceName, TimePoint};
-use coltsfoothook_decision::reading::ReadingPace;
+use coltsfoothook_decision::prefill::PrefillRate;
 use coltsfoothook_decision::routing::{AdapterKey, BackendEntry, SharedPrompt};
 
 use crate::fixture::engine_entry;
@@ -60,7 +60,7 @@
 ) -> ServerChoice {
     let (service, model) = (ServiceName::from("engines"), ModelName::from("base"));
     let (key, domain) = (key("a1"), DomainName::from("d1"));
-    let need = ServerNeed {
+    let requirements = ServerRequirements {
         service: &service,
         model: Some(&model),
         adapter: Some((&key, 1)),
@@ -70,7 +70,7 @@
         prompt,
         gap,
     };
-    table.choose(&need, 1, now)
+    table.choose(&requirements, 1, now)
 }
 
 fn is_sent(choice: &ServerChoice, to: &str) -> bool {
@@ -81,7 +81,7 @@
 /// and prompts processed together with unknown ones of other VMs hardly change it.
 #[test]
 fn estimated_rate() {
-    let mut rate = ReadingPace::default();
+    let mut rate = PrefillRate::default();
     assert_eq!(rate.bound(GAP), None, "nothing is held back before the rate is known");
     for number in 0..500u64 {
         let tokens = 1_000 + number % 7 * 300;
@@ -102,7 +102,7 @@
 /// that. Ten late streams in a row do.
 #[test]
 fn small_pieces() {
-    let mut rate = ReadingPace::default();
+    let mut rate = PrefillRate::default();
     for number in 0..2_000 {
         let pause = if number % 40 == 0 { GAP * 3 } else { GAP * 9 / 10 };
         rate.stream_ended(pause, GAP);
--- a/decision/tests/suite/record_questions.rs
+++ b/decision/tests/suite/record_questions.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use coltsfoothook_decision::question::{HeldQuestion, QuestionPacer};
+use coltsfoothook_decision::long_poll::{LongPoll, LongPollSchedule};
 use proptest::prelude::*;
 
 /// Fraction of a promise by which an answer may be late, whether at the end of a hold or after a
 /// lost poll: half a second of the two seconds that small sites allow.
 const LATE_FRACTION: f64 = 0.25;
 
-fn held(pacer: &QuestionPacer) -> HeldQuestion {
-    pacer.next().expect("a long poll")
+fn held(schedule: &LongPollSchedule) -> LongPoll {
+    schedule.next().expect("a long poll")
 }
 
 proptest! {
@@ -19,10 +19,10 @@
     #[test]
     fn lost_once(promise_ms in 100u64..3_600_000) {
         let promise = Duration::from_millis(promise_ms);
-        let mut pacer = QuestionPacer::new(promise);
-        let timeout = held(&pacer).within;
-        pacer.failed();
-        prop_assert!(pacer.next().is_none(), "the next poll must be answered at once");
+        let mut schedule = LongPollSchedule::new(promise);
+        let timeout = held(&schedule).within;
+        schedule.failed();
+        prop_assert!(schedule.next().is_none(), "the next poll must be answered at once");
         prop_assert!(timeout + promise.mul_f64(LATE_FRACTION) < promise);
     }
 
@@ -31,7 +31,7 @@
     #[test]
     fn slow_answers(promise_ms in 100u64..3_600_000) {
         let promise = Duration::from_millis(promise_ms);
-        let poll = held(&QuestionPacer::new(promise));
+        let poll = held(&LongPollSchedule::new(promise));
         prop_assert!(poll.hold + promise.mul_f64(LATE_FRACTION) <= poll.within + Duration::from_micros(1));
     }
 }
@@ -39,11 +39,11 @@
 /// After a failure the next poll is answered at once, and after a success polls are held again.
 #[test]
 fn after_an_outage() {
-    let mut pacer = QuestionPacer::new(Duration::from_secs(2));
-    assert!(pacer.next().is_some());
-    pacer.failed();
-    pacer.failed();
-    assert_eq!(pacer.next(), None);
-    pacer.answered();
-    assert!(pacer.next().is_some());
+    let mut schedule = LongPollSchedule::new(Duration::from_secs(2));
+    assert!(schedule.next().is_some());
+    schedule.failed();
+    schedule.failed();
+    assert_eq!(schedule.next(), None);
+    schedule.answered();
+    assert!(schedule.next().is_some());
 }
--- a/decision/tests/suite/removed_keys.rs
+++ b/decision/tests/suite/removed_keys.rs
@@ -8,7 +8,7 @@
 use coltsfoothook_decision::freshness::{ConfigConfirmation, ConfirmationNeed, RemovalPromise};
 use coltsfoothook_decision::id::{ConfigVersion, TimePoint};
 use coltsfoothook_decision::routing::{
-    CallerLimits, RepeatRule, RouteShare, RouteTable, ServingRoute,
+    CallerLimits, RetryRule, RouteShare, RouteTable, ServingRoute,
 };
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -30,7 +30,7 @@
         host: "a.example".to_owned(),
         prefix: format!("/{name}/"),
         shares: vec![RouteShare { service: "plain".into(), weight: 1 }],
-        repeat: RepeatRule::Once,
+        repeat: RetryRule::Once,
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(100),
         target_gap: None,
--- a/decision/tests/suite/route_table.rs
+++ b/decision/tests/suite/route_table.rs
@@ -4,7 +4,7 @@
 
 use coltsfoothook_decision::id::ConfigVersion;
 use coltsfoothook_decision::routing::{
-    CallerLimits, RepeatRule, RouteShare, RouteTable, ServingRoute,
+    CallerLimits, RetryRule, RouteShare, RouteTable, ServingRoute,
 };
 
 fn route(name: &str, host: &str, prefix: &str) -> ServingRoute {
@@ -13,7 +13,7 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         shares: vec![RouteShare { service: "plain".into(), weight: 1 }],
-        repeat: RepeatRule::Once,
+        repeat: RetryRule::Once,
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(100),
         target_gap: None,
@@ -78,7 +78,7 @@
 #[test]
 fn stream_idle_timeout() {
     let mut stream = route("stream", "a.example", "/");
-    stream.repeat = RepeatRule::StreamOnce;
+    stream.repeat = RetryRule::StreamOnce;
     assert_eq!(stream.silence(), Duration::from_secs(2));
     stream.target = Duration::from_millis(800);
     assert_eq!(stream.silence(), Duration::from_millis(3_200));
--- a/decision/tests/suite/server_choice.rs
+++ b/decision/tests/suite/server_choice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfoothook_decision::backend::{BackendTable, EntryChange, ServerOwner};
-use coltsfoothook_decision::choice::{ServerChoice, ServerNeed};
+use coltsfoothook_decision::choice::{ServerChoice, ServerRequirements};
 use coltsfoothook_decision::counts::LoadFigure;
 use coltsfoothook_decision::holding::AdapterHolding;
 use coltsfoothook_decision::id::{DomainName, ModelName, ServerName, ServiceName, TimePoint};
@@ -43,7 +43,7 @@
     AdapterHolding { key: key(adapter), version: 1, heat, ..AdapterHolding::default() }
 }
 
-/// Requirements of a request for `adapter`, with the values that [`ServerNeed`] borrows.
+/// Requirements of a request for `adapter`, with the values that [`ServerRequirements`] borrows.
 struct Need {
     service: ServiceName,
     model: ModelName,
@@ -70,7 +70,7 @@
     }
 
     fn choose(&self, table: &BackendTable, draw: u64, now: TimePoint) -> ServerChoice {
-        let need = ServerNeed {
+        let need = ServerRequirements {
             service: &self.service,
             model: Some(&self.model),
             adapter: Some((&self.key, 1)),
@@ -225,7 +225,7 @@
     assert_eq!(table.load_elsewhere("s0".into(), &other, now).as_str(), "s1");
     assert!(table.list("s1", owner(0), now.0 + 1, vec![]));
     assert_eq!(table.load_elsewhere("s0".into(), &other, now).as_str(), "s0");
-    assert_eq!(table.load_elsewhere("s0".into(), &ServerChoice::Nowhere, now).as_str(), "s0");
+    assert_eq!(table.load_elsewhere("s0".into(), &ServerChoice::Unavailable, now).as_str(), "s0");
     let expired = now.plus(5 * SECOND);
     assert_eq!(table.load_elsewhere("s0".into(), &other, expired).as_str(), "s1");
 }
@@ -252,11 +252,11 @@
     let mut table = table(1, |_| vec!["a1"], now);
     let leaving = BackendEntry { ready: false, ..entry("s0", 5) };
     assert_eq!(table.entry(leaving, now), EntryChange::Leaving);
-    assert_eq!(table.entry(entry("s0", 4), now), EntryChange::Nothing);
-    assert_eq!(table.entry(entry("s0", 6), now), EntryChange::Nothing);
-    assert_eq!(Need::new("a1").choose(&table, 1, now), ServerChoice::Nowhere);
-    assert_eq!(table.remove("s0", 9), EntryChange::Gone);
-    assert_eq!(table.entry(entry("s0", 6), now), EntryChange::Nothing);
+    assert_eq!(table.entry(entry("s0", 4), now), EntryChange::Unchanged);
+    assert_eq!(table.entry(entry("s0", 6), now), EntryChange::Unchanged);
+    assert_eq!(Need::new("a1").choose(&table, 1, now), ServerChoice::Unavailable);
+    assert_eq!(table.remove("s0", 9), EntryChange::Removed);
+    assert_eq!(table.entry(entry("s0", 6), now), EntryChange::Unchanged);
     assert!(table.get("s0").is_none());
 }
 
@@ -267,16 +267,16 @@
 fn removed_stays() {
     let now = TimePoint(SECOND);
     let mut table = table(1, |_| vec!["a1"], now);
-    assert_eq!(table.remove("s0", 20), EntryChange::Gone);
+    assert_eq!(table.remove("s0", 20), EntryChange::Removed);
     for heartbeat in 10..20 {
-        assert_eq!(table.entry(entry("s0", heartbeat), now), EntryChange::Nothing);
+        assert_eq!(table.entry(entry("s0", heartbeat), now), EntryChange::Unchanged);
     }
     let late = BackendEntry { position: 25, ..entry("s0", 19) };
-    assert_eq!(table.entry(late, now), EntryChange::Nothing);
+    assert_eq!(table.entry(late, now), EntryChange::Unchanged);
     assert_eq!(table.entry(entry("s0", 30), now), EntryChange::Appeared);
     assert_eq!(
         table.remove("s0", 20),
-        EntryChange::Nothing,
+        EntryChange::Unchanged,
         "the entry is newer than this removal"
     );
 }
--- a/decision/tests/suite/server_lives.rs
+++ b/decision/tests/suite/server_lives.rs
@@ -51,9 +51,9 @@
     assert_eq!(held(&table), [""; 0]);
     assert!(table.is_life("s0", 200) && !table.is_life("s0", 100));
     let late = BackendEntry { ready: false, ..entry(100, 72, 4) };
-    assert_eq!(table.entry(late, NOW), EntryChange::Nothing);
+    assert_eq!(table.entry(late, NOW), EntryChange::Unchanged);
     assert!(!table.get("s0").unwrap().leaving);
-    assert_eq!(table.entry(entry(200, 2, 5), NOW), EntryChange::Nothing);
+    assert_eq!(table.entry(entry(200, 2, 5), NOW), EntryChange::Unchanged);
 }
 
 /// A list belongs to one incarnation. A late list of an earlier incarnation is ignored although its
@@ -79,10 +79,10 @@
 fn back_after_removal() {
     let mut table = BackendTable::default();
     table.entry(entry(100, 70, 10), NOW);
-    assert_eq!(table.remove("s0", 20), EntryChange::Gone);
-    assert_eq!(table.entry(entry(100, 69, 25), NOW), EntryChange::Nothing);
+    assert_eq!(table.remove("s0", 20), EntryChange::Removed);
+    assert_eq!(table.entry(entry(100, 69, 25), NOW), EntryChange::Unchanged);
     assert_eq!(table.entry(entry(200, 1, 26), NOW), EntryChange::Appeared);
-    assert_eq!(table.entry(entry(100, 90, 27), NOW), EntryChange::Nothing);
+    assert_eq!(table.entry(entry(100, 90, 27), NOW), EntryChange::Unchanged);
 }
 
 /// A report shows a later incarnation before its entry is read. Reported twice, it is one restart.
--- a/decision/tests/suite/takeover_rank.rs
+++ b/decision/tests/suite/takeover_rank.rs
@@ -15,7 +15,7 @@
 use coltsfoothook_decision::record::ControlRecord;
 use coltsfoothook_decision::snapshot::{SnapshotPlan, SnapshotSettings};
 use coltsfoothook_decision::takeover::{
-    OwnerlessRuling, TakeoverGroup, TakeoverPlan, TakeoverSettings, ownerless,
+    OwnerlessDecision, TakeoverGroup, TakeoverPlan, TakeoverSettings, ownerless,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
@@ -151,13 +151,13 @@
         ownerless(ms(now), &settings, &group(), read, &table, &control)
     };
     let dead = [("b", 1, Alive), ("b", 1, Dead), ("c", 1, Alive)];
-    assert_eq!(decide(5_000, false, &dead), OwnerlessRuling::Allowed);
-    assert_eq!(decide(1_000, false, &dead), OwnerlessRuling::OwnerMayBeAlive);
-    assert_eq!(decide(5_000, true, &dead), OwnerlessRuling::LogUp);
+    assert_eq!(decide(5_000, false, &dead), OwnerlessDecision::Allowed);
+    assert_eq!(decide(1_000, false, &dead), OwnerlessDecision::OwnerMayBeAlive);
+    assert_eq!(decide(5_000, true, &dead), OwnerlessDecision::LogUp);
     let alive = [("b", 1, Alive), ("c", 1, Alive)];
-    assert_eq!(decide(5_000, false, &alive), OwnerlessRuling::OwnerMayBeAlive);
+    assert_eq!(decide(5_000, false, &alive), OwnerlessDecision::OwnerMayBeAlive);
     let cut_off = [("b", 1, Dead), ("c", 1, Dead)];
-    assert_eq!(decide(5_000, false, &cut_off), OwnerlessRuling::NoMajority);
+    assert_eq!(decide(5_000, false, &cut_off), OwnerlessDecision::NoMajority);
 }
 
 #[test]
--- a/decision/tests/suite/topic_coverage.rs
+++ b/decision/tests/suite/topic_coverage.rs
@@ -1,6 +1,6 @@
 //! Detection of missed changes by VMs that receive a topic's changes from others.
 
-use coltsfoothook_decision::coverage::{ToldHistory, TopicCoverage};
+use coltsfoothook_decision::coverage::{ReportHistory, TopicCoverage};
 use proptest::prelude::*;
 
 /// Number of messages that repeat each change.
@@ -36,7 +36,7 @@
     #[test]
     fn nothing_missed(steps in prop::collection::vec(step(), 1..200)) {
         let mut end = 0u64;
-        let mut readers = [ToldHistory::new(REPEATS), ToldHistory::new(REPEATS)];
+        let mut readers = [ReportHistory::new(REPEATS), ReportHistory::new(REPEATS)];
         let mut coverage = TopicCoverage::default();
         let mut received: Vec<bool> = Vec::new();
         for step in steps {
@@ -70,7 +70,7 @@
 /// A VM that never read the topic can't know the changes before a message.
 #[test]
 fn never_read() {
-    let mut reader = ToldHistory::new(REPEATS);
+    let mut reader = ReportHistory::new(REPEATS);
     reader.look(7, ());
     assert!(!TopicCoverage::default().told(reader.span()));
 }
@@ -78,7 +78,7 @@
 /// Two messages are lost and the third one repeats their changes.
 #[test]
 fn repeated() {
-    let mut reader = ToldHistory::new(REPEATS);
+    let mut reader = ReportHistory::new(REPEATS);
     let mut coverage = TopicCoverage::default();
     coverage.looked(0);
     reader.look(4, ());
--- a/entry/src/claims.rs
+++ b/entry/src/claims.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfoothook_decision::claim::{ClaimAnswer, ClaimAsk, ClaimOutcome, ClaimStart, ClaimTable};
+use coltsfoothook_decision::claim::{
+    ClaimAnswer, ClaimOutcome, ClaimRequest, ClaimStart, ClaimTable,
+};
 use coltsfoothook_decision::id::{
     CustomerName, IdempotencyKey, MICROS_PER_MILLI, RequestFingerprint, TimePoint, VmIdentity,
 };
@@ -64,7 +66,7 @@
     request: &KeyedRequest<'_>,
 ) -> Result<RunningKey, ClaimAnswer> {
     let now = core.clock.now();
-    let ask = ClaimAsk {
+    let claim_request = ClaimRequest {
         tenant: request.tenant.as_str(),
         key: request.key.as_str(),
         fingerprint: request.fingerprint,
@@ -76,7 +78,7 @@
     // once still finds it.
     let (start, answered) = {
         let mut claims = lock(&core.claims);
-        let start = claims.begin(now, &ask);
+        let start = claims.begin(now, &claim_request);
         let answered = (start == ClaimStart::Claiming).then(|| add_waiter(core, request));
         (start, answered)
     };
@@ -166,7 +168,7 @@
             key: request.key.clone(),
             outcome: RequestOutcome::Unknown,
         }),
-        ClaimStart::AskRevoke(holder) => Err(ask_revoke(core, request, &holder).await),
+        ClaimStart::RequestRevocation(holder) => Err(ask_revoke(core, request, &holder).await),
         ClaimStart::Answer(answer) => Err(answer),
         ClaimStart::Claiming => Err(ClaimAnswer {
             outcome: RequestOutcome::Unknown,
--- a/entry/src/follow.rs
+++ b/entry/src/follow.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfoothook_decision::config::{ConfigRuling, ConfigVerdict};
-use coltsfoothook_decision::control::{ControlRuling, ControlVerdict};
+use coltsfoothook_decision::config::{ConfigResolution, ConfigVerdict};
+use coltsfoothook_decision::control::{ControlResolution, ControlVerdict};
 use coltsfoothook_decision::id::LogOffset;
 use coltsfoothook_decision::owner::OwnerEvent;
 use coltsfoothook_decision::record::{
@@ -163,24 +163,24 @@
     if let ConfigRecord::Snapshot { through, .. } = &record {
         core.health.snapshot_read(CONFIG_STREAM, *through);
     }
-    let rulings = lock(&core.config).fold(offset, record);
-    let changed = rulings.iter().any(|ruling| {
-        matches!(ruling.verdict, ConfigVerdict::Accepted(_) | ConfigVerdict::Adopted(_))
+    let resolutions = lock(&core.config).fold(offset, record);
+    let changed = resolutions.iter().any(|resolution| {
+        matches!(resolution.verdict, ConfigVerdict::Accepted(_) | ConfigVerdict::Adopted(_))
     });
     if changed {
         install_config(core);
     }
-    for ruling in rulings {
-        if let ConfigVerdict::Rejected(faults) = &ruling.verdict {
+    for resolution in resolutions {
+        if let ConfigVerdict::Rejected(faults) = &resolution.verdict {
             let first = faults.first().map(ToString::to_string);
             event!(
                 ConfigRejected,
-                publish_id? = ruling.publish_id,
+                publish_id? = resolution.publish_id,
                 faults = faults.len(),
                 first? = first
             );
         }
-        answer_publisher(core, ruling);
+        answer_publisher(core, resolution);
     }
 }
 
@@ -203,28 +203,28 @@
     configuration_changed(core);
 }
 
-fn answer_publisher(core: &EntryCore, ruling: ConfigRuling) {
-    let Some(publish_id) = ruling.publish_id else { return };
+fn answer_publisher(core: &EntryCore, resolution: ConfigResolution) {
+    let Some(publish_id) = resolution.publish_id else { return };
     let mut waiters = lock(&core.publish_waiters);
     let Some(at) = waiters.iter().position(|waiter| waiter.publish_id == publish_id) else {
         return;
     };
     let waiter = waiters.swap_remove(at);
-    let _ = waiter.answer.send(ruling.verdict);
+    let _ = waiter.answer.send(resolution.verdict);
 }
 
 fn fold_control(core: &Arc<EntryCore>, offset: u64, record: ControlRecord) {
     if let ControlRecord::Snapshot(snapshot) = &record {
         core.health.snapshot_read(CONTROL_STREAM, snapshot.through);
     }
-    let rulings = write(&core.control).fold(offset, record);
-    for ruling in rulings {
-        apply_control(core, ruling);
+    let resolutions = write(&core.control).fold(offset, record);
+    for resolution in resolutions {
+        apply_control(core, resolution);
     }
 }
 
-fn apply_control(core: &Arc<EntryCore>, ruling: ControlRuling) {
-    match ruling.verdict {
+fn apply_control(core: &Arc<EntryCore>, resolution: ControlResolution) {
+    match resolution.verdict {
         ControlVerdict::Owned(ownership) => ownership_changed(core, &ownership),
         ControlVerdict::IntentValid(intent) => {
             tell_intent(core, intent.group.as_str(), intent.epoch, intent.number, true);
--- a/entry/src/jobs.rs
+++ b/entry/src/jobs.rs
@@ -86,15 +86,15 @@
     }
 
     pub(crate) fn fold(&self, core: &EntryCore, offset: u64, record: JobRecord) {
-        let ruling = lock(&self.fold).fold(core.clock.now(), offset, record);
-        if let Some(ruling) = ruling {
-            lock(&self.runner).note(&ruling);
-            match ruling.verdict {
+        let resolution = lock(&self.fold).fold(core.clock.now(), offset, record);
+        if let Some(resolution) = resolution {
+            lock(&self.runner).note(&resolution);
+            match resolution.verdict {
                 JobVerdict::Accepted => {
-                    event!(JobAccepted, job = ruling.job, tenant = ruling.tenant);
+                    event!(JobAccepted, job = resolution.job, tenant = resolution.tenant);
                 }
                 JobVerdict::Finished => {
-                    event!(JobFinished, job = ruling.job, tenant = ruling.tenant);
+                    event!(JobFinished, job = resolution.job, tenant = resolution.tenant);
                 }
                 _ => {}
             }
--- a/entry/src/measure.rs
+++ b/entry/src/measure.rs
@@ -58,7 +58,7 @@
             OwnerNote::Restarted { .. }
             | OwnerNote::Down { .. }
             | OwnerNote::SlotLost { .. }
-            | OwnerNote::InheritedFree
+            | OwnerNote::InheritedEvictable
             | OwnerNote::Deposed => {}
         }
     }
--- a/entry/src/own.rs
+++ b/entry/src/own.rs
@@ -219,7 +219,7 @@
                     shard.drive(&core, OwnerEvent::OrderDone { number, result });
                 });
             }
-            OwnerAction::AskHeld { vms } => {
+            OwnerAction::QueryHeldGrants { vms } => {
                 for vm in vms {
                     let (core, shard) = (Arc::clone(core), Arc::clone(self));
                     tokio::spawn(async move { shard.ask_held(&core, &vm).await });
@@ -243,13 +243,13 @@
             HeldCall { group: self.group.clone(), epoch: self.epoch, asker: core.me.clone() };
         if *vm == core.me.vm {
             let grants = answer_held(core, &call);
-            self.drive(core, OwnerEvent::Held { vm: core.me.clone(), grants });
+            self.drive(core, OwnerEvent::GrantsReported { vm: core.me.clone(), grants });
             return;
         }
         let Some(target) = core.target(vm.as_str()) else { return };
         match core.clients.peers.held(&target, call, HELD_WITHIN).await {
             Ok(reply) => {
-                self.drive(core, OwnerEvent::Held { vm: reply.vm, grants: reply.grants });
+                self.drive(core, OwnerEvent::GrantsReported { vm: reply.vm, grants: reply.grants });
             }
             Err(error) => {
                 event!(HeldUnknown, vm = vm, error = error);
@@ -270,7 +270,7 @@
         };
         let Some(dead) = dead else { return };
         if core.clients.peers.process_ended(target).await {
-            self.drive(core, OwnerEvent::Held { vm: dead, grants: Vec::new() });
+            self.drive(core, OwnerEvent::GrantsReported { vm: dead, grants: Vec::new() });
         }
     }
 }
@@ -471,7 +471,7 @@
 fn first_events(core: &EntryCore, group: &GroupName) -> Vec<OwnerEvent> {
     let control = read(&core.control);
     let mut events = vec![OwnerEvent::Suspects(control.suspects().to_vec())];
-    events.extend(control.intents(group.as_str()).map(|intent| OwnerEvent::OldIntent {
+    events.extend(control.intents(group.as_str()).map(|intent| OwnerEvent::EarlierIntent {
         server: intent.server.clone(),
         evict: intent.evict.clone(),
     }));
@@ -607,7 +607,7 @@
         OwnerNote::SlotLost { server, slot, grants } => {
             event!(SlotLost, group = group, server = server, slot = slot, grants = grants);
         }
-        OwnerNote::InheritedFree => event!(InheritedFree, group = group),
+        OwnerNote::InheritedEvictable => event!(InheritedFree, group = group),
         OwnerNote::Deposed => event!(OwnerLost, group = group),
     }
 }
--- a/entry/src/reserve.rs
+++ b/entry/src/reserve.rs
@@ -12,7 +12,7 @@
 use coltsfoothook_decision::outcome::RefusalReason;
 use coltsfoothook_decision::retry::CallDeadline;
 use coltsfoothook_decision::takeover::{
-    OwnerlessRuling, TakeoverGroup, TakeoverSettings, ownerless,
+    OwnerlessDecision, TakeoverGroup, TakeoverSettings, ownerless,
 };
 use coltsfoothook_peer::{PeerError, PeerTarget};
 use tokio::time::sleep;
@@ -241,5 +241,5 @@
     let members = lock(&core.members);
     let control = read(&core.control);
     let settings = TakeoverSettings::default();
-    ownerless(now, &settings, &group, log_read, &members, &control) == OwnerlessRuling::Allowed
+    ownerless(now, &settings, &group, log_read, &members, &control) == OwnerlessDecision::Allowed
 }
--- a/entry/src/roster.rs
+++ b/entry/src/roster.rs
@@ -124,7 +124,7 @@
                 // table; only this change tells that its earlier life is over.
                 if change.state == MemberState::Dead {
                     let vm = change.vm.clone();
-                    drive_all(&self.core, &OwnerEvent::VmGone { vm });
+                    drive_all(&self.core, &OwnerEvent::VmDead { vm });
                 }
                 let (vm, incarnation) = (change.vm.vm, change.vm.incarnation);
                 match change.state {
--- a/entry/src/serve.rs
+++ b/entry/src/serve.rs
@@ -470,7 +470,7 @@
     if run.call.stream != answer.content_type.starts_with(STREAM_TYPE) {
         hold.end(GrantEnd::Broken, 0);
         let problem = broken("the engine's answer has another form than asked");
-        return Err(FailedTry::new(CallStage::AnswerCrossed, problem));
+        return Err(FailedTry::new(CallStage::AnswerMismatched, problem));
     }
     let mut whole = Vec::new();
     loop {
@@ -518,7 +518,7 @@
 ) -> FailedTry {
     note_crossed(core, error);
     hold.end(GrantEnd::Broken, 0);
-    FailedTry::new(CallStage::AnswerCrossed, broken(&error.to_string()))
+    FailedTry::new(CallStage::AnswerMismatched, broken(&error.to_string()))
 }
 
 fn broken(detail: &str) -> CallProblem {
--- a/entry/src/watch.rs
+++ b/entry/src/watch.rs
@@ -71,9 +71,9 @@
         let gone: Vec<_> = dead.map(|row| row.identity().clone()).collect();
         (vms, gone, majority)
     };
-    shard.drive(core, OwnerEvent::VmLive { vms, majority });
+    shard.drive(core, OwnerEvent::ListedVms { vms, majority });
     for vm in gone {
-        shard.drive(core, OwnerEvent::VmGone { vm });
+        shard.drive(core, OwnerEvent::VmDead { vm });
     }
     shard.drive(core, OwnerEvent::LogState { writable: core.health.writable(now) });
 }
--- a/gateway/src/aggregate.rs
+++ b/gateway/src/aggregate.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use coltsfoothook_decision::counts::LoadFigure;
-use coltsfoothook_decision::domain_news::{NEWS_PAUSE_US, NewsWriter, parts};
+use coltsfoothook_decision::domain_update::{UPDATE_INTERVAL_US, UpdateWriter, split_lists};
 use coltsfoothook_decision::id::{ServerName, TimePoint, VmName};
-use coltsfoothook_decision::loadtime::ToldTimes;
+use coltsfoothook_decision::loadtime::ReportedTimes;
 use coltsfoothook_telemetry::event;
 use tokio::time::sleep;
 
@@ -55,7 +55,7 @@
     pub(crate) aggregates: bool,
     /// Whether a load was shown to be shorter than expected since the last update.
     pub(crate) shorter: bool,
-    writer: NewsWriter,
+    writer: UpdateWriter,
     /// Aggregators of other domains, how many VMs reported their use to them, and when they said
     /// so; sorted by VM.
     other_domains: Vec<(VmName, usize, TimePoint)>,
@@ -80,7 +80,7 @@
     pub(crate) fn is_due(&self, ahead: usize, large_since: TimePoint, now: TimePoint) -> bool {
         let last = self.last_seen.iter().map(|(_, at)| *at).max().unwrap_or_default();
         let idle_us = now.since(last.max(large_since));
-        ahead == 0 || idle_us > AGGREGATOR_TTL_US + NEWS_PAUSE_US * ahead as u64
+        ahead == 0 || idle_us > AGGREGATOR_TTL_US + UPDATE_INTERVAL_US * ahead as u64
     }
 
     pub(crate) fn record_update(&mut self, vm: &VmName, now: TimePoint) {
@@ -160,7 +160,7 @@
 /// Runs for ever, sending updates to the domain while this VM aggregates.
 pub(crate) async fn tell(gateway: Arc<Gateway>) {
     loop {
-        sleep(Duration::from_micros(NEWS_PAUSE_US)).await;
+        sleep(Duration::from_micros(UPDATE_INTERVAL_US)).await;
         if update_role(&gateway) {
             send_updates(&gateway);
         }
@@ -206,7 +206,7 @@
     let fleet = beliefs.domain.writer.news_loads(fleet, bytes / 2 / LOAD_BYTES);
     let times = beliefs.times.told();
     let is_proven = times.is_proven | std::mem::take(&mut beliefs.domain.shorter);
-    let times = ToldTimes { is_proven, ..times };
+    let times = ReportedTimes { is_proven, ..times };
     let vm = gateway.settings.vm.clone();
     let standings = beliefs.limiter.standings(now);
     let uses = beliefs.limiter.sums(now);
@@ -215,7 +215,7 @@
     let aggregators = beliefs.roster.aggregators(now);
     drop(guard);
     let mut loads = server_loads(fleet);
-    for part in parts(lists) {
+    for part in split_lists(lists) {
         let (loads, lists) = (std::mem::take(&mut loads), server_lists(part, times));
         let standings = standings.clone();
         let update = DomainUpdate { vm: vm.clone(), loads, lists, standings, in_touch };
@@ -229,7 +229,7 @@
 
 /// Returns the bytes that one update may use for each of `members` VMs.
 fn update_bytes(link_mbps: f64, members: usize) -> usize {
-    let link_bytes = link_mbps * 1e6 / 8.0 * NEWS_PAUSE_US as f64 / 1e6;
+    let link_bytes = link_mbps * 1e6 / 8.0 * UPDATE_INTERVAL_US as f64 / 1e6;
     (link_bytes * LINK_FRACTION / members.max(1) as f64) as usize
 }
 
--- a/gateway/src/find.rs
+++ b/gateway/src/find.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfoothook_decision::choice::{ServerChoice, ServerNeed, longest_wait};
+use coltsfoothook_decision::choice::{ServerChoice, ServerRequirements, longest_wait};
 use coltsfoothook_decision::id::{ServerName, TimePoint};
 use coltsfoothook_decision::routing::{AdapterKey, ModelNeed};
 use coltsfoothook_telemetry::event;
@@ -66,15 +66,15 @@
             }
             ServerChoice::Wait { until } => Duration::from_micros(until.since(now)),
             ServerChoice::Load { .. } => LOOK_AGAIN,
-            ServerChoice::Nowhere if let Some(orders_in) = nobody_orders(run, now) => {
+            ServerChoice::Unavailable if let Some(orders_in) = nobody_orders(run, now) => {
                 if waited + orders_in > patience {
                     run.come_back = Some(orders_in);
                     break Err("nobody_orders");
                 }
                 LOOK_AGAIN
             }
-            ServerChoice::Nowhere if is_over(&mut nowhere_from, now) => break Err("no_server"),
-            ServerChoice::Nowhere => LOOK_AGAIN,
+            ServerChoice::Unavailable if is_over(&mut nowhere_from, now) => break Err("no_server"),
+            ServerChoice::Unavailable => LOOK_AGAIN,
         };
         if waited > patience {
             break Err("adapter_wait");
@@ -140,7 +140,7 @@
     let not = run.avoided.clone();
     let domain = &run.gateway.settings.domain;
     let gap = beliefs.table.as_ref().and_then(|table| table.least_gap(&run.request.service));
-    let server_need = |not, version| ServerNeed {
+    let server_need = |not, version| ServerRequirements {
         service: &run.request.service,
         model: need.map(|need| &need.model),
         adapter: key.map(|key| (key, version)),
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -6,7 +6,7 @@
 use coltsfoothook_decision::backend::EntryChange;
 use coltsfoothook_decision::freshness::ConfirmationNeed;
 use coltsfoothook_decision::id::TimePoint;
-use coltsfoothook_decision::question::{HeldQuestion, QuestionPacer, is_current};
+use coltsfoothook_decision::long_poll::{LongPoll, LongPollSchedule, is_current};
 use coltsfoothook_decision::routing::{BackendEntry, RouteTable};
 use coltsfoothook_platform::{
     KeyedRecord, KeyedTopic, MetadataError, OperatorRecord, RecordPage, read_operator_record,
@@ -53,7 +53,7 @@
 /// Runs for ever, keeping the operators' records up to date.
 pub(crate) async fn operators(gateway: Arc<Gateway>) {
     let mut link = StoreLink::new(StoreCall::Operators);
-    let mut pacer = QuestionPacer::new(config_limit(&gateway));
+    let mut schedule = LongPollSchedule::new(config_limit(&gateway));
     loop {
         let sent_at = clock::now();
         let mut next = match gateway.store.newest(KeyedTopic::Operators).await {
@@ -71,13 +71,13 @@
             let query = match wait_while_covered(&gateway).await {
                 ReaderWait::Over => break,
                 ReaderWait::UnknownKey => None,
-                ReaderWait::NoReaders => pacer.next(),
+                ReaderWait::NoReaders => schedule.next(),
             };
             let sent_at = clock::now();
             match query_operators(&gateway, next, query, sent_at).await {
                 Ok((page, sent_at)) => {
                     link.record_answer(&gateway);
-                    pacer.answered();
+                    schedule.answered();
                     next = apply_operators(&gateway, &page, sent_at);
                 }
                 Err(MetadataError::Compacted { first }) => {
@@ -86,7 +86,7 @@
                 }
                 Err(error) => {
                     link.record_failure(&gateway, &error);
-                    pacer.failed();
+                    schedule.failed();
                     wait_for_retry(&gateway, sent_at).await;
                 }
             }
@@ -105,7 +105,7 @@
 async fn query_operators(
     gateway: &Gateway,
     from: u64,
-    query: Option<HeldQuestion>,
+    query: Option<LongPoll>,
     sent_at: TimePoint,
 ) -> Result<(RecordPage, TimePoint), MetadataError> {
     tokio::select! {
@@ -377,7 +377,7 @@
     let (due, later) = lapsed.into_iter().partition(|lapsed: &LapsedServer| now >= lapsed.until);
     beliefs.lapsed = later;
     for lapsed in due {
-        if beliefs.backends.remove(&lapsed.server, lapsed.position) == EntryChange::Gone {
+        if beliefs.backends.remove(&lapsed.server, lapsed.position) == EntryChange::Removed {
             event!(ServerGone, server = lapsed.server, position = lapsed.position);
         }
     }
@@ -424,7 +424,7 @@
                 event!(ServerModels, server = entry.server, models = entry.models.len());
                 true
             }
-            EntryChange::Gone | EntryChange::Nothing => false,
+            EntryChange::Removed | EntryChange::Unchanged => false,
         }
     }
 
--- a/gateway/src/group.rs
+++ b/gateway/src/group.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfoothook_decision::id::TimePoint;
-use coltsfoothook_decision::tenure::{GainedSince, TenureRecord};
+use coltsfoothook_decision::lease::{GainedSince, LeaseRecord};
 use coltsfoothook_platform::{GroupMember, GroupMembership, KeyedTopic};
 use coltsfoothook_telemetry::event;
 use tokio::time::sleep;
@@ -56,8 +56,8 @@
     let lifetime =
         Duration::from_millis(gateway.settings.store.least_lifetime_ms * RENEWALS_PER_LIFETIME);
     let mut members_at: Option<TimePoint> = None;
-    let mut written = TenureRecord::default();
-    let mut seen = TenureRecord::default();
+    let mut written = LeaseRecord::default();
+    let mut seen = LeaseRecord::default();
     loop {
         let sent = clock::now();
         let member = GroupMember {
@@ -110,7 +110,7 @@
     let vm = gateway.settings.vm.as_str();
     let own = page.records.into_iter().find(|record| record.key == vm);
     let value = own.and_then(|record| record.value);
-    let record = value.and_then(|value| rmp_serde::from_slice::<TenureRecord>(&value).ok());
+    let record = value.and_then(|value| rmp_serde::from_slice::<LeaseRecord>(&value).ok());
     match record {
         Some(record) => {
             event!(TenureRead, generation = record.generation, shares = record.shares.len());
@@ -212,8 +212,8 @@
 /// Stores the partitions that this VM holds for certain, for the next incarnation of its process.
 async fn write_record(
     gateway: &Arc<Gateway>,
-    record: &TenureRecord,
-    written: &mut TenureRecord,
+    record: &LeaseRecord,
+    written: &mut LeaseRecord,
     link: &mut StoreLink,
 ) {
     if record == written || record.shares.is_empty() {
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The process on an entry VM of the operators' platform: it takes callers' requests to backend
 //! servers and their answers back as bytes, and orders which adapters the servers hold.
 //!
-//! Decisions stand in `coltsfoothook-decision` (`routing`, `backend`, `orderbook`, `tenure`,
+//! Decisions stand in `coltsfoothook-decision` (`routing`, `backend`, `order_tracker`, `lease`,
 //! `budget`), names and formats of the platform in `coltsfoothook-platform`; here is what connects
 //! them to sockets and time. docs/PLATFORM.md tells the way of one request.
 //!
--- a/gateway/src/message.rs
+++ b/gateway/src/message.rs
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 
 use coltsfoothook_decision::counts::LoadFigure;
-use coltsfoothook_decision::coverage::ToldSpan;
-use coltsfoothook_decision::domain_news::ListChange;
+use coltsfoothook_decision::coverage::ReportedSpan;
+use coltsfoothook_decision::domain_update::ListChange;
 use coltsfoothook_decision::id::{DomainName, ServerName, TimePoint, VmName};
-use coltsfoothook_decision::limit::FleetStanding;
+use coltsfoothook_decision::limit::BucketState;
 use coltsfoothook_decision::routing::{AdapterKey, BackendEntry, RouteTable};
-use coltsfoothook_decision::usage::ToldUses;
+use coltsfoothook_decision::usage::UsageReport;
 use coltsfoothook_decision::value;
 
 /// First byte of each datagram. Releases with other messages use other numbers, and datagrams with
@@ -49,7 +49,7 @@
         /// Its requests at servers. `None` in large fleets if the receiver does not aggregate them.
         pub loads: Option<Vec<ServerLoad>>,
         /// Its customers' use, sent to the same VMs as `loads`.
-        pub uses: Option<ToldUses>,
+        pub uses: Option<UsageReport>,
         /// Addresses of some other live VMs, for discovery.
         pub others: Vec<SocketAddr>,
     }
@@ -73,7 +73,7 @@
         /// Its requests at these servers.
         pub loads: Vec<ServerLoad>,
         /// Its customers' use, if it changed.
-        pub uses: Option<ToldUses>,
+        pub uses: Option<UsageReport>,
     }
 
     /// Lists of what servers hold: of one from the VM that orders it, or of several from an
@@ -98,7 +98,7 @@
         /// Changes of what servers hold.
         pub lists: ServerLists,
         /// Bucket states of the customers that have little left of their limits.
-        pub standings: Vec<FleetStanding>,
+        pub standings: Vec<BucketState>,
         /// How many VMs of all domains reported their customers' use recently.
         pub in_touch: usize,
     }
@@ -109,7 +109,7 @@
         /// The requests of the domain's VMs at servers, sorted by server.
         pub loads: Vec<ServerLoad>,
         /// The use of customers over the domain's VMs.
-        pub uses: ToldUses,
+        pub uses: UsageReport,
         /// How many of these VMs reported their use recently.
         pub members: usize,
     }
@@ -191,7 +191,7 @@
         /// Milliseconds since the store last answered its query for the servers' entries.
         pub servers_age_ms: u32,
         /// Offsets of the entries' topic whose changes the message carries.
-        pub span: ToldSpan,
+        pub span: ReportedSpan,
         /// Newly named versions of adapters.
         pub versions: Vec<SharedVersion>,
         /// Servers that appeared, began to leave, or changed their base models.
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use coltsfoothook_decision::backend::ServerOwner;
-use coltsfoothook_decision::domain_news::{ListChange, ListedHolding};
+use coltsfoothook_decision::domain_update::{ListChange, ListedHolding};
 use coltsfoothook_decision::id::{ModelName, ServerName, TimePoint, VmName};
-use coltsfoothook_decision::loadtime::{LoadForecast, ToldTimes};
-use coltsfoothook_decision::orderbook::{
-    BookAction, BookSettings, OrderAction, OrderBook, OrderReply, ServerOrder, ToldUse,
-    WaitingRequests,
+use coltsfoothook_decision::loadtime::{LoadForecast, ReportedTimes};
+use coltsfoothook_decision::order_tracker::{
+    OrderAction, OrderReply, OrderTracker, ReportedUse, ServerOrder, TrackerAction,
+    TrackerSettings, WaitingRequests,
 };
 use coltsfoothook_decision::routing::{AdapterKey, EnginePlan, HeldModel};
 use coltsfoothook_platform::OrderHolder;
@@ -37,7 +37,7 @@
     /// orders and holds nothing.
     born: u64,
     fence: u64,
-    tracker: OrderBook,
+    tracker: OrderTracker,
     reported_revision: u64,
     reported_free: u32,
     reported_at: TimePoint,
@@ -72,7 +72,7 @@
     }
 
     /// Returns the tracker of a server, if this VM orders it.
-    pub(crate) fn get(&mut self, server: &ServerName) -> Option<&mut OrderBook> {
+    pub(crate) fn get(&mut self, server: &ServerName) -> Option<&mut OrderTracker> {
         let at = self.find(server).ok()?;
         Some(&mut self.trackers[at].tracker)
     }
@@ -94,7 +94,7 @@
     }
 
     /// Returns the tracker of a server, if it is for the incarnation that started at `born`.
-    fn of_incarnation(&mut self, server: &ServerName, born: u64) -> Option<&mut OrderBook> {
+    fn of_incarnation(&mut self, server: &ServerName, born: u64) -> Option<&mut OrderTracker> {
         let at = self.find(server).ok()?;
         let entry = &mut self.trackers[at];
         (entry.born == born).then_some(&mut entry.tracker)
@@ -112,7 +112,7 @@
         }
         let at = self.find(server).unwrap_or_else(|at| {
             event!(OwnerTaken, server = server, born = born, fence = fence, places = slots);
-            let tracker = OrderBook::new(BookSettings::default(), slots, now);
+            let tracker = OrderTracker::new(TrackerSettings::default(), slots, now);
             let server = server.clone();
             let entry = ServerTracker {
                 server,
@@ -159,7 +159,7 @@
     address: SocketAddr,
     born: u64,
     fence: u64,
-    action: BookAction,
+    action: TrackerAction,
 }
 
 /// A server's list that is due to be reported.
@@ -266,7 +266,7 @@
         let may_load = model.is_some() && self.books.trackers[at].tracker.is_empty();
         let entry = &mut self.books.trackers[at];
         let action = entry.tracker.next(model.as_ref().filter(|_| may_load), &forecast, now);
-        if let Some(BookAction::Order(order)) = &action
+        if let Some(TrackerAction::Order(order)) = &action
             && matches!(order.action, OrderAction::LoadModel { .. })
         {
             self.books.model_load_at = Some(now);
@@ -356,7 +356,7 @@
 }
 
 /// Builds the message with lists and the expected load times.
-pub(crate) fn server_lists(lists: Vec<ListChange>, times: ToldTimes) -> ServerLists {
+pub(crate) fn server_lists(lists: Vec<ListChange>, times: ReportedTimes) -> ServerLists {
     ServerLists {
         lists,
         load_us: u32::try_from(times.alone_us).unwrap_or(u32::MAX),
@@ -402,7 +402,7 @@
 
 async fn perform(gateway: &Arc<Gateway>, server: &ServerName, call: ServerCall) {
     match &call.action {
-        BookAction::Ask => {
+        TrackerAction::Query => {
             let report = gateway.servers.report(call.address, server).await;
             gateway.metrics.server_call("report", if report.is_some() { "ok" } else { "lost" });
             let now = clock::now();
@@ -423,7 +423,7 @@
             let orders = report.as_ref().map(|report| report.orders);
             event!(ServerReported, server = server, orders? = orders, adapters? = held);
         }
-        BookAction::Order(order) => send_order(gateway, server, &call, order).await,
+        TrackerAction::Order(order) => send_order(gateway, server, &call, order).await,
     }
 }
 
@@ -544,7 +544,7 @@
         let mut beliefs = gateway.beliefs();
         let beliefs = &mut *beliefs;
         let Some(tracker) = beliefs.books.of_incarnation(&used.server, used.born) else { continue };
-        let report = ToldUse { vm, begun: used.count, running: used.running };
+        let report = ReportedUse { vm, begun: used.count, running: used.running };
         tracker.used(&used.key, &report, now);
         let ordered = tracker.ordered(&used.key);
         if used.too_early {
--- a/gateway/src/peer.rs
+++ b/gateway/src/peer.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use coltsfoothook_decision::id::ServerName;
-use coltsfoothook_decision::loadtime::ToldTimes;
-use coltsfoothook_decision::orderbook::WaitingRequests;
+use coltsfoothook_decision::loadtime::ReportedTimes;
+use coltsfoothook_decision::order_tracker::WaitingRequests;
 use coltsfoothook_decision::routing::AdapterKey;
 use coltsfoothook_telemetry::event;
 use rand::seq::SliceRandom;
@@ -404,7 +404,7 @@
     }
     if changed {
         beliefs.domain.shorter |= lists.shorter;
-        beliefs.times.heard(ToldTimes {
+        beliefs.times.heard(ReportedTimes {
             alone_us: u64::from(lists.load_us),
             each_us: u64::from(lists.each_us),
             is_proven: lists.shorter,
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use coltsfoothook_decision::id::ServerName;
-use coltsfoothook_decision::routing::RepeatRule;
+use coltsfoothook_decision::routing::RetryRule;
 use coltsfoothook_exchange::{AnswerBody, ExchangeAnswer};
 use coltsfoothook_platform::pass_on;
 use coltsfoothook_telemetry::event;
@@ -59,7 +59,7 @@
         answer: ExchangeAnswer,
     ) -> Response<AnswerStream> {
         let (status, headers) = (answer.status, stream_headers(&answer.headers));
-        let resumable = run.request.route.repeat == RepeatRule::StreamResumable;
+        let resumable = run.request.route.repeat == RetryRule::StreamResumable;
         let due = Box::pin(tokio::time::sleep(run.left() + DUE_SLACK));
         let relay = Self {
             server,
--- a/gateway/src/roster.rs
+++ b/gateway/src/roster.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use coltsfoothook_decision::id::{DomainName, TimePoint, VmName, stable_hash};
-use coltsfoothook_decision::tenure::StoreWitness;
+use coltsfoothook_decision::lease::StoreWitness;
 
 use crate::message::VmState;
 use crate::peer::{ROTATION_INTERVAL_US, ROTATION_SIZE};
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -154,7 +154,7 @@
     /// Whether another server may run it, although one may have begun to.
     pub(crate) fn may_run_elsewhere(&self) -> bool {
         let route = &self.request.route;
-        route.repeat.may_repeat() && self.ran < route.most_servers && self.left() > LEAST_LEFT
+        route.repeat.may_retry() && self.ran < route.most_servers && self.left() > LEAST_LEFT
     }
 
     /// Whether it may be sent: the first time always, later if the budget of repeats allows it.
--- a/gateway/src/send.rs
+++ b/gateway/src/send.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfoothook_decision::id::ServerName;
-use coltsfoothook_decision::routing::RepeatRule;
+use coltsfoothook_decision::routing::RetryRule;
 use coltsfoothook_exchange::{ExchangeAnswer, ExchangeError, ExchangeRequest};
 use coltsfoothook_platform::{AnswerHead, ForwardMarks, forward_headers, read_answer};
 use coltsfoothook_telemetry::event;
@@ -45,7 +45,7 @@
     last_event: Option<&str>,
 ) -> SendEnd {
     let gateway = Arc::clone(&run.gateway);
-    if run.ran > 0 && !run.request.route.repeat.may_repeat() {
+    if run.ran > 0 && !run.request.route.repeat.may_retry() {
         event!(
             InvariantBroken,
             request_id = run.request.head.id,
@@ -112,7 +112,7 @@
 fn head_time(run: &RequestRun, left: Duration) -> Duration {
     let whole = left + ANSWER_SLACK;
     let more_servers = run.ran + 1 < run.request.route.most_servers;
-    if !run.request.route.repeat.may_repeat() || !more_servers {
+    if !run.request.route.repeat.may_retry() || !more_servers {
         return whole;
     }
     let patience = if run.request.route.repeat.is_stream() { STREAM_PATIENCE } else { PATIENCE };
@@ -125,7 +125,7 @@
 fn piece_time(run: &RequestRun, left: Duration) -> Duration {
     let whole = left + ANSWER_SLACK;
     let route = &run.request.route;
-    let may_go_on = route.repeat == RepeatRule::StreamResumable;
+    let may_go_on = route.repeat == RetryRule::StreamResumable;
     let more_servers = run.ran + 1 < route.most_servers;
     if may_go_on && more_servers { route.silence().min(whole) } else { whole }
 }
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -6,14 +6,14 @@
 use coltsfoothook_decision::admission::WrongKeys;
 use coltsfoothook_decision::backend::BackendTable;
 use coltsfoothook_decision::budget::{RepeatBounds, RepeatBudget};
-use coltsfoothook_decision::coverage::{ToldHistory, TopicCoverage};
-use coltsfoothook_decision::domain_news::NEWS_PAUSE_US;
+use coltsfoothook_decision::coverage::{ReportHistory, TopicCoverage};
+use coltsfoothook_decision::domain_update::UPDATE_INTERVAL_US;
 use coltsfoothook_decision::freshness::ConfigConfirmation;
 use coltsfoothook_decision::id::{ServerName, TimePoint, stable_hash};
+use coltsfoothook_decision::lease::{LeaseSettings, OrderLease, judge_outage};
 use coltsfoothook_decision::limit::CustomerLimiter;
 use coltsfoothook_decision::loadtime::LoadTimes;
 use coltsfoothook_decision::routing::{AdapterKey, RouteTable};
-use coltsfoothook_decision::tenure::{OrderTenure, TenureSettings, judge_outage};
 use coltsfoothook_exchange::{ExchangeClient, ExchangeSettings};
 use coltsfoothook_platform::{HttpMetadata, HttpServers, MetadataStore, ServerCalls};
 use rand::{Rng, SeedableRng};
@@ -96,7 +96,7 @@
     pub(crate) backends: BackendTable,
     pub(crate) budget: RepeatBudget,
     pub(crate) roster: PeerRoster,
-    pub(crate) tenure: OrderTenure,
+    pub(crate) tenure: OrderLease,
     pub(crate) books: ServerTrackers,
     pub(crate) times: LoadTimes,
     pub(crate) wishes: LoadRequests,
@@ -113,7 +113,7 @@
     /// Whether reported entries left a gap since this VM's last own read.
     pub(crate) missed_entries: bool,
     /// Changes that this VM's last reads found, to be reported to others.
-    pub(crate) entry_history: ToldHistory<EntryChanges>,
+    pub(crate) entry_history: ReportHistory<EntryChanges>,
     /// Servers without an entry, sorted by name.
     pub(crate) lapsed: Vec<LapsedServer>,
     /// Servers' entries that could not be parsed.
@@ -176,7 +176,7 @@
     pub(crate) fn new(settings: GatewaySettings, peers: PeerSocket) -> Self {
         let incarnation = incarnation();
         let promises = &settings.promises;
-        let tenure = TenureSettings {
+        let tenure = LeaseSettings {
             topics: PARTITION_TOPICS,
             parts: settings.store.parts,
             lifetime_us: settings.store.least_lifetime_ms * RENEWALS_PER_LIFETIME * 1_000,
@@ -200,13 +200,13 @@
             confirmation: ConfigConfirmation::new(promises.key_removal()),
             wrong_keys: WrongKeys::default(),
             unknown_key_queried_at: None,
-            limiter: CustomerLimiter::new(promises.limit_excess(), NEWS_PAUSE_US),
+            limiter: CustomerLimiter::new(promises.limit_excess(), UPDATE_INTERVAL_US),
             untold_uses: false,
             versions: Vec::new(),
             backends: BackendTable::default(),
             budget: RepeatBudget::new(budget),
             roster: PeerRoster::default(),
-            tenure: OrderTenure::new(tenure),
+            tenure: OrderLease::new(tenure),
             books: ServerTrackers::default(),
             times: LoadTimes::default(),
             wishes: LoadRequests::default(),
@@ -216,7 +216,7 @@
             entries_known_at: TimePoint(0),
             coverage: TopicCoverage::default(),
             missed_entries: false,
-            entry_history: ToldHistory::new(UPDATE_REPEATS),
+            entry_history: ReportHistory::new(UPDATE_REPEATS),
             lapsed: Vec::new(),
             skipped: SkippedKeys::default(),
             answers: AnswerTimes::default(),
--- a/gateway/src/waits.rs
+++ b/gateway/src/waits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use coltsfoothook_decision::id::{TimePoint, VmName};
-use coltsfoothook_decision::orderbook::WaitingRequests;
+use coltsfoothook_decision::order_tracker::WaitingRequests;
 use coltsfoothook_decision::routing::AdapterKey;
 
 use crate::state::Gateway;
--- a/gateway/tests/unit/encoded_names.rs
+++ b/gateway/tests/unit/encoded_names.rs
@@ -3,14 +3,14 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-use coltsfoothook_decision::coverage::ToldSpan;
-use coltsfoothook_decision::domain_news::{ListChange, ListedHolding};
+use coltsfoothook_decision::coverage::ReportedSpan;
+use coltsfoothook_decision::domain_update::{ListChange, ListedHolding};
 use coltsfoothook_decision::id::{ConfigVersion, TimePoint};
-use coltsfoothook_decision::limit::FleetStanding;
+use coltsfoothook_decision::limit::BucketState;
 use coltsfoothook_decision::routing::{
     AdapterKey, BackendEntry, CallerLimits, HeldAdapter, HeldModel, RouteTable,
 };
-use coltsfoothook_decision::usage::{CustomerTotal, ToldUses, UsageTotal};
+use coltsfoothook_decision::usage::{CustomerTotal, UsageReport, UsageTotal};
 use expect_test::{Expect, expect};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -46,10 +46,10 @@
     vec![ServerLoad { server: "s-1".into(), running: 11, unread: 12 }]
 }
 
-fn uses() -> ToldUses {
+fn uses() -> UsageReport {
     let total = UsageTotal { asked: 1.5, admitted: 2.5 };
     let uses = vec![CustomerTotal { customer: "clinic".into(), total }];
-    ToldUses { life: 13, age_ms: 14, uses }
+    UsageReport { life: 13, age_ms: 14, uses }
 }
 
 fn lists() -> ServerLists {
@@ -182,7 +182,7 @@
         config: 1,
         operators_age_ms: 2,
         servers_age_ms: 3,
-        span: ToldSpan { since: 4, up_to: 5 },
+        span: ReportedSpan { since: 4, up_to: 5 },
         versions: versions(),
         entries: vec![entry()],
         gone: vec![RemovedServer { server: "s-2".into(), position: 6 }],
@@ -218,7 +218,7 @@
 
 #[test]
 fn domain_news() {
-    let standing = FleetStanding { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
+    let standing = BucketState { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
     let news = DomainUpdate {
         vm: "vm-1".into(),
         loads: loads(),
--- a/gateway/tests/unit/told_records.rs
+++ b/gateway/tests/unit/told_records.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfoothook_decision::coverage::ToldSpan;
+use coltsfoothook_decision::coverage::ReportedSpan;
 use coltsfoothook_decision::id::{ConfigVersion, TimePoint, VmName};
 use coltsfoothook_decision::routing::{CallerLimits, RouteTable};
 
@@ -52,7 +52,7 @@
         config: 1,
         operators_age_ms,
         servers_age_ms,
-        span: ToldSpan { since: 0, up_to: 9 },
+        span: ReportedSpan { since: 0, up_to: 9 },
         versions: Vec::new(),
         entries: Vec::new(),
         gone: Vec::new(),
--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -1,7 +1,9 @@
 //! Requests and jobs at a VM of the soak: grants, runs, claims, retries and releases.
 
 use coltsfoothook_decision::attempt::{AttemptNext, AttemptState, CallStage};
-use coltsfoothook_decision::claim::{ClaimAnswer, ClaimAsk, ClaimStart, ClaimTable, parse_issued};
+use coltsfoothook_decision::claim::{
+    ClaimAnswer, ClaimRequest, ClaimStart, ClaimTable, parse_issued,
+};
 use coltsfoothook_decision::grant::{
     GrantEnd, GrantRefusal, ReleaseCall, RequestSpec, ReserveCall, SlotGrant,
 };
@@ -445,7 +447,7 @@
         let subject = RunSubject { name: key.clone(), adapter, once: true };
         let mut call = self.open(now, Some(number), subject, false);
         call.key = key;
-        let ask = ClaimAsk {
+        let claim_request = ClaimRequest {
             tenant: TENANT,
             key: &call.key,
             fingerprint: RequestFingerprint(1),
@@ -453,7 +455,7 @@
             wall_ms,
             log_up: self.log_up,
         };
-        let mut start = self.claims.begin(now, &ask);
+        let mut start = self.claims.begin(now, &claim_request);
         if self.breaks_claim(&call.key, &start) {
             start = ClaimStart::Run;
         }
@@ -466,7 +468,7 @@
         });
         match self.broken {
             BrokenSafeguard::ClaimUnread => *start == ClaimStart::Claiming,
-            BrokenSafeguard::RevokeUnasked => matches!(start, ClaimStart::AskRevoke(_)),
+            BrokenSafeguard::RevokeUnasked => matches!(start, ClaimStart::RequestRevocation(_)),
             BrokenSafeguard::IssuedReused => earlier,
             _ => false,
         }
@@ -485,7 +487,7 @@
                 call.phase = CallPhase::Serving;
             }
             ClaimStart::Claiming => call.phase = CallPhase::Claiming,
-            ClaimStart::AskRevoke(vm) => {
+            ClaimStart::RequestRevocation(vm) => {
                 self.ask_revoke(&call, &vm, out);
                 call.phase = CallPhase::Revoking { asked: now };
             }
@@ -613,7 +615,7 @@
                 out.push(VmOutput::Peer(from, message));
             }
             PeerMessage::HeldReply(group, epoch, reply) => {
-                let event = OwnerEvent::Held { vm: reply.vm, grants: reply.grants };
+                let event = OwnerEvent::GrantsReported { vm: reply.vm, grants: reply.grants };
                 self.owner(now, &group, epoch, event, rng, out);
             }
             PeerMessage::Revoke(id, call) => {
--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -9,7 +9,7 @@
 use bpaf::Bpaf;
 use coltsfoothook_decision::id::{AdapterVersion, TimePoint};
 use coltsfoothook_decision::outcome::RequestClass;
-use coltsfoothook_decision::owner::PlaceQuery;
+use coltsfoothook_decision::owner::SlotQuery;
 use coltsfoothook_decision::suspect::SuspectVerdict;
 use hdrhistogram::Histogram;
 use rand::RngExt;
@@ -132,7 +132,7 @@
     let Ok(groups) = fleet.map.route(adapter.adapter.as_str(), REGION) else { return false };
     let owner = &fleet.owners[groups[0].place()];
     let Some(number) = owner.adapter_index(adapter) else { return false };
-    let query = PlaceQuery {
+    let query = SlotQuery {
         class: RequestClass::Urgent,
         standing: SuspectVerdict::Clear,
         prefix: 0,
--- a/load/src/ours.rs
+++ b/load/src/ours.rs
@@ -201,7 +201,7 @@
     fn tick(&mut self, model: &mut PlaceModel) {
         if self.reported_at == 0 || model.now >= self.reported_at + REPORT_MICROS {
             self.reported_at = model.now.max(1);
-            let event = OwnerEvent::VmLive { vms: vec![asker().vm], majority: true };
+            let event = OwnerEvent::ListedVms { vms: vec![asker().vm], majority: true };
             self.deliver(model, event);
             self.report(model);
             self.tell_schedules(model);
--- a/load/src/ownership.rs
+++ b/load/src/ownership.rs
@@ -57,7 +57,8 @@
             self.owners.push(OwnedGroup { group: group.name.clone(), owner, fenced: Vec::new() });
             let intents: Vec<_> = self.control.intents(group.name.as_str()).cloned().collect();
             for intent in intents.into_iter().filter(|intent| intent.epoch < owned.epoch) {
-                let event = OwnerEvent::OldIntent { server: intent.server, evict: intent.evict };
+                let event =
+                    OwnerEvent::EarlierIntent { server: intent.server, evict: intent.evict };
                 self.owner(now, &group.name, owned.epoch, event, rng, out);
             }
             self.owner(now, &group.name, owned.epoch, self.vm_live(), rng, out);
@@ -115,7 +116,7 @@
         let region = self.members.own().place().region.as_str();
         let own = std::iter::once(self.identity.vm.clone());
         let others = self.members.others().iter().map(|row| row.identity().vm.clone());
-        OwnerEvent::VmLive {
+        OwnerEvent::ListedVms {
             vms: own.chain(others).collect(),
             majority: self.members.majority(region),
         }
@@ -191,7 +192,7 @@
                 let incarnation = Some(incarnation);
                 out.push(VmOutput::Order { group, epoch, number, server, incarnation, order });
             }
-            OwnerAction::AskHeld { vms } => self.ask_held(now, group, epoch, vms, rng, out),
+            OwnerAction::QueryHeldGrants { vms } => self.ask_held(now, group, epoch, vms, rng, out),
             OwnerAction::RecordCrash { server, incarnation, suspects } => {
                 let record = ControlRecord::Crash { server, incarnation, suspects };
                 out.push(VmOutput::Append(LogRecord::Control(record)));
@@ -218,14 +219,14 @@
             if self.broken == BrokenSafeguard::HeldUnasked {
                 let Some(row) = self.members.row(vm.as_str()) else { continue };
                 let vm = row.identity().clone();
-                let event = OwnerEvent::Held { vm, grants: Vec::new() };
+                let event = OwnerEvent::GrantsReported { vm, grants: Vec::new() };
                 self.owner(now, group, epoch, event, rng, out);
                 continue;
             }
             let call = HeldCall { group: group.clone(), epoch, asker: self.identity.clone() };
             if vm == self.identity.vm {
                 let reply = self.held(&call);
-                let event = OwnerEvent::Held { vm: reply.vm, grants: reply.grants };
+                let event = OwnerEvent::GrantsReported { vm: reply.vm, grants: reply.grants };
                 self.owner(now, group, epoch, event, rng, out);
             } else {
                 out.push(VmOutput::Peer(vm, PeerMessage::Held(call)));
--- a/load/src/vm.rs
+++ b/load/src/vm.rs
@@ -228,7 +228,7 @@
                 MemberAction::Changed(change) => {
                     if change.state == MemberState::Dead {
                         self.drop_tickets(now, &change.vm.vm, rng, out);
-                        let event = OwnerEvent::VmGone { vm: change.vm };
+                        let event = OwnerEvent::VmDead { vm: change.vm };
                         self.tell_owners(now, &event, rng, out);
                     }
                 }
