--- a/decision/benches/fleet_cost.rs
+++ b/decision/benches/fleet_cost.rs
@@ -35,16 +35,16 @@
 fn list(table: &mut BackendTable, server: usize, first: usize, revision: u64) {
     let holding = |number| AdapterHolding { key: key(number), version: 1, ..Default::default() };
     let holdings = (first..first + SLOTS).map(holding).collect();
-    let owner = ServerOwner { vm: "vm-1".into(), born: 1, fence: 1, at: NOW, free: 2 };
+    let owner = ServerOwner { vm: "vm-1".into(), incarnation: 1, fence: 1, at: NOW, free: 2 };
     table.list(&name(server), owner, revision, holdings);
 }
 
 fn fleet(servers: usize) -> BackendTable {
     let mut table = BackendTable::default();
     for server in 0..servers {
-        table.entry(BackendEntry { born: 1, ..engine_entry(&name(server)) }, NOW);
+        table.entry(BackendEntry { incarnation: 1, ..engine_entry(&name(server)) }, NOW);
         list(&mut table, server, server * SLOTS, 1);
-        let figure = LoadFigure { running: (server % 12) as u32, unread: 700 };
+        let figure = LoadFigure { running: (server % 12) as u32, pending_prompt_tokens: 700 };
         table.fleet_load(&name(server), figure, NOW);
     }
     table
--- a/decision/src/attempt.rs
+++ b/decision/src/attempt.rs
@@ -250,9 +250,9 @@
         let decision = stage_rule(stage).decision(self.repeatable);
         self.may_have_run |= decision.outcome != NotRun;
         let outcome = self.outcome(decision.outcome);
-        let min_left = budget.settings().least_left_ms;
+        let min_left = budget.settings().min_left_ms;
         let too_late = self.deadline.left_ms(now).is_some_and(|left| left < min_left);
-        let exhausted = self.tries >= budget.settings().tries;
+        let exhausted = self.tries >= budget.settings().max_attempts;
         if decision.retry == RetryAdvice::Never || too_late || exhausted || !budget.take() {
             return AttemptNext::End(outcome);
         }
--- a/decision/src/backend.rs
+++ b/decision/src/backend.rs
@@ -37,8 +37,8 @@
 pub struct ServerOwner {
     /// Name of the owning VM.
     pub vm: VmName,
-    /// Incarnation of the server that it owns, as in [`BackendEntry::born`].
-    pub born: u64,
+    /// Incarnation of the server that it owns, as in [`BackendEntry::incarnation`].
+    pub incarnation: u64,
     /// Fencing number; a higher one supersedes lower ones.
     pub fence: u64,
     /// Time of its last report.
@@ -51,7 +51,7 @@
     /// Returns whether both are the same VM with the same fencing number, for the same incarnation
     /// of the server.
     pub(crate) fn is_same(&self, other: &Self) -> bool {
-        (&self.vm, self.born, self.fence) == (&other.vm, other.born, other.fence)
+        (&self.vm, self.incarnation, self.fence) == (&other.vm, other.incarnation, other.fence)
     }
 }
 
@@ -130,7 +130,7 @@
     /// Position of the removal's record in the topic of entries.
     position: u64,
     /// Latest known incarnation and heartbeat.
-    born: u64,
+    incarnation: u64,
     heartbeat: u64,
 }
 
@@ -172,14 +172,14 @@
             }
         };
         let state = &mut self.servers[at];
-        if entry.born > state.entry.born {
+        if entry.incarnation > state.entry.incarnation {
             state.restart(entry, now);
             return EntryChange::Restarted;
         }
         // Heartbeats count per incarnation and can't be compared between incarnations.
         let stale =
             entry.heartbeat < state.entry.heartbeat || entry.position < state.entry.position;
-        if entry.born < state.entry.born || stale {
+        if entry.incarnation < state.entry.incarnation || stale {
             return EntryChange::Unchanged;
         }
         let leaves = !entry.ready && !state.leaving;
@@ -210,10 +210,10 @@
             return true;
         };
         let removed = &mut self.removed[at];
-        let newer = (entry.born, entry.heartbeat) > (removed.born, removed.heartbeat);
+        let newer = (entry.incarnation, entry.heartbeat) > (removed.incarnation, removed.heartbeat);
         if entry.position <= removed.position || !newer {
-            (removed.born, removed.heartbeat) =
-                (removed.born, removed.heartbeat).max((entry.born, entry.heartbeat));
+            (removed.incarnation, removed.heartbeat) =
+                (removed.incarnation, removed.heartbeat).max((entry.incarnation, entry.heartbeat));
             return false;
         }
         self.removed.remove(at);
@@ -229,16 +229,16 @@
                 return EntryChange::Unchanged;
             }
             let entry = self.servers.remove(at).entry;
-            last = (entry.born, entry.heartbeat);
+            last = (entry.incarnation, entry.heartbeat);
         }
         if let Some(at) = self.removed.iter().position(|removed| removed.server.as_str() == server)
         {
             let before = self.removed.remove(at);
-            last = last.max((before.born, before.heartbeat));
+            last = last.max((before.incarnation, before.heartbeat));
         }
-        let (born, heartbeat) = last;
+        let (incarnation, heartbeat) = last;
         let server = ServerName::from(server);
-        self.removed.push(RemovedServer { server, position, born, heartbeat });
+        self.removed.push(RemovedServer { server, position, incarnation, heartbeat });
         let excess = self.removed.len().saturating_sub(MAX_REMOVED);
         self.removed.drain(..excess);
         if found.is_ok() { EntryChange::Removed } else { EntryChange::Unchanged }
@@ -246,8 +246,8 @@
 
     /// Returns whether a server is known in this incarnation, so that results from it apply.
     #[must_use]
-    pub fn is_life(&self, server: &str, born: u64) -> bool {
-        self.get(server).is_some_and(|state| state.entry.born == born)
+    pub fn is_life(&self, server: &str, incarnation: u64) -> bool {
+        self.get(server).is_some_and(|state| state.entry.incarnation == incarnation)
     }
 
     /// Starts a later incarnation of a known server that was reported by the server or its owner
@@ -256,17 +256,17 @@
     pub fn reborn(
         &mut self,
         server: &str,
-        born: u64,
+        incarnation: u64,
         models: &[HeldModel],
         now: TimePoint,
     ) -> bool {
         let Some(state) = self.get_mut(server) else { return false };
-        if born <= state.entry.born {
+        if incarnation <= state.entry.incarnation {
             return false;
         }
         // Its entry is read with its next heartbeat.
         let models = models.to_vec();
-        let entry = BackendEntry { born, heartbeat: 0, models, ..state.entry.clone() };
+        let entry = BackendEntry { incarnation, heartbeat: 0, models, ..state.entry.clone() };
         state.restart(entry, now);
         true
     }
@@ -281,9 +281,9 @@
         revision: u64,
         holdings: Vec<AdapterHolding>,
     ) -> bool {
-        self.reborn(server, owner.born, &[], owner.at);
+        self.reborn(server, owner.incarnation, &[], owner.at);
         let Some(state) = self.get_mut(server) else { return false };
-        if owner.born < state.entry.born {
+        if owner.incarnation < state.entry.incarnation {
             return false;
         }
         let known = state.owner.as_ref().map_or(0, |known| known.fence);
@@ -335,9 +335,9 @@
     /// to process before it.
     pub fn sent(&mut self, server: &str, tokens: u64, now: TimePoint) -> u64 {
         let Some(state) = self.get_mut(server) else { return 0 };
-        let before = state.load(now).unread;
+        let before = state.load(now).pending_prompt_tokens;
         state.counts.own.running += 1;
-        state.counts.own.unread += tokens;
+        state.counts.own.pending_prompt_tokens += tokens;
         before
     }
 
@@ -345,7 +345,8 @@
     /// the time since it was sent, if the server had no other prompt to process then.
     pub fn read(&mut self, server: &str, tokens: u64, alone_us: Option<u64>) {
         let Some(state) = self.get_mut(server) else { return };
-        state.counts.own.unread = state.counts.own.unread.saturating_sub(tokens);
+        state.counts.own.pending_prompt_tokens =
+            state.counts.own.pending_prompt_tokens.saturating_sub(tokens);
         let Some(waited_us) = alone_us else { return };
         let service = state.entry.service.clone();
         self.prefill_rate_mut(service).observe(tokens, waited_us);
@@ -372,12 +373,13 @@
         found.map_or_else(|_| PrefillRate::default(), |at| self.rates[at].1)
     }
 
-    /// Records the end of a request of this VM at a server. `unread` are its prompt tokens that
-    /// were not passed to [`Self::read`].
-    pub fn ended(&mut self, server: &str, unread: u64) {
+    /// Records the end of a request of this VM at a server. `pending_prompt_tokens` are its prompt
+    /// tokens that were not passed to [`Self::read`].
+    pub fn ended(&mut self, server: &str, pending_prompt_tokens: u64) {
         let Some(state) = self.get_mut(server) else { return };
         state.counts.own.running = state.counts.own.running.saturating_sub(1);
-        state.counts.own.unread = state.counts.own.unread.saturating_sub(unread);
+        state.counts.own.pending_prompt_tokens =
+            state.counts.own.pending_prompt_tokens.saturating_sub(pending_prompt_tokens);
     }
 
     /// Avoids a server that could not be reached or broke off an answer, longer after each further
@@ -536,8 +538,8 @@
     /// Returns the prompt tokens that the server has yet to process, as far as known. Counts of
     /// other VMs are reduced by what the server has processed since they were reported, so that
     /// requests are not held back for prompts already processed.
-    pub(crate) fn unread(&self, rate: PrefillRate, now: TimePoint) -> u64 {
-        self.counts.unread(rate, now)
+    pub(crate) fn pending_prompt_tokens(&self, rate: PrefillRate, now: TimePoint) -> u64 {
+        self.counts.pending_prompt_tokens(rate, now)
     }
 
     /// Takes the adapters from the entry unless the owner's list is recent.
--- a/decision/src/choice.rs
+++ b/decision/src/choice.rs
@@ -166,9 +166,11 @@
         let Some(bound) = gap.and_then(|gap| rate.bound(gap)) else {
             return send(best, copy);
         };
-        let excess = |state: &BackendState| match state.unread(rate, now) {
+        let excess = |state: &BackendState| match state.pending_prompt_tokens(rate, now) {
             0 => 0,
-            unread => (unread + requirements.prompt).saturating_sub(bound),
+            pending_prompt_tokens => {
+                (pending_prompt_tokens + requirements.prompt).saturating_sub(bound)
+            }
         };
         if excess(best) == 0 {
             return send(best, copy);
@@ -237,9 +239,9 @@
             let saved = |state: &BackendState| {
                 if state.name() == first { requirements.shared.tokens } else { 0 }
             };
-            let unread =
+            let pending_prompt_tokens =
                 |state: &&&BackendState| cost(state) + requirements.shared.tokens - saved(state);
-            return among.iter().min_by_key(unread).copied();
+            return among.iter().min_by_key(pending_prompt_tokens).copied();
         }
         if among.len() <= 2 {
             return among.iter().min_by_key(cost).copied();
@@ -395,7 +397,7 @@
     if total == 0 {
         return MIN_COPY_SHARE;
     }
-    let held = all.iter().filter_map(|state| Some(u64::from(state.held.find(key)?.heat)));
+    let held = all.iter().filter_map(|state| Some(u64::from(state.held.find(key)?.usage_score)));
     let (holders, score) = held.fold((0u64, 0u64), |(count, sum), score| (count + 1, sum + score));
     let fair = total as f64 / all.len() as f64;
     score as f64 / holders.max(1) as f64 / fair
@@ -423,11 +425,11 @@
 impl BackendState {
     /// Returns the sum of the usage scores of its adapters, as its owner counts them.
     fn demand(&self) -> u64 {
-        self.holdings().iter().map(|holding| u64::from(holding.heat)).sum()
+        self.holdings().iter().map(|holding| u64::from(holding.usage_score)).sum()
     }
 
     fn usage_score(&self, key: &AdapterKey) -> u64 {
-        self.held.find(key).map_or(0, |holding| u64::from(holding.heat))
+        self.held.find(key).map_or(0, |holding| u64::from(holding.usage_score))
     }
 
     /// Returns its rank for an item with this hash; the same at all VMs.
@@ -440,7 +442,9 @@
     fn cost(&self, typical: TypicalCondition, now: TimePoint) -> u64 {
         let load = self.load(now);
         let over = u64::from(load.running.saturating_sub(self.entry.slots));
-        let tokens = load.unread + RUNNING_TOKENS * u64::from(load.running) + QUEUED_TOKENS * over;
+        let tokens = load.pending_prompt_tokens
+            + RUNNING_TOKENS * u64::from(load.running)
+            + QUEUED_TOKENS * over;
         let condition = self.condition;
         let slower = if typical.latency_us > 0.0 && condition.latency_us > 0.0 {
             (condition.latency_us / typical.latency_us).max(1.0)
--- a/decision/src/counts.rs
+++ b/decision/src/counts.rs
@@ -28,20 +28,25 @@
     /// Requests that were sent and whose response has not ended.
     pub running: u32,
     /// Prompt tokens of those requests for which no first response event was received.
-    pub unread: u64,
+    pub pending_prompt_tokens: u64,
 }
 
 impl LoadFigure {
     /// Returns the sum of both.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
-        Self { running: self.running + other.running, unread: self.unread + other.unread }
+        Self {
+            running: self.running + other.running,
+            pending_prompt_tokens: self.pending_prompt_tokens + other.pending_prompt_tokens,
+        }
     }
 
     fn saturating_minus(self, other: Self) -> Self {
         Self {
             running: self.running.saturating_sub(other.running),
-            unread: self.unread.saturating_sub(other.unread),
+            pending_prompt_tokens: self
+                .pending_prompt_tokens
+                .saturating_sub(other.pending_prompt_tokens),
         }
     }
 }
@@ -116,16 +121,17 @@
 
     /// Estimates the prompt tokens that the server still has to process: other VMs' counts are
     /// reduced by what it has processed since they were reported.
-    pub(crate) fn unread(&self, rate: PrefillRate, now: TimePoint) -> u64 {
-        let remaining = |unread: u64, at: TimePoint| {
+    pub(crate) fn pending_prompt_tokens(&self, rate: PrefillRate, now: TimePoint) -> u64 {
+        let remaining = |pending_prompt_tokens: u64, at: TimePoint| {
             let age_us = now.since(at).saturating_sub(UNREDUCED_US);
-            unread.saturating_sub(rate.tokens_in(age_us))
+            pending_prompt_tokens.saturating_sub(rate.tokens_in(age_us))
         };
         if let Some((others, at)) = self.others(now) {
-            return self.own.unread + remaining(others.unread, at);
+            return self.own.pending_prompt_tokens + remaining(others.pending_prompt_tokens, at);
         }
         let peers = self.valid_peers(PEER_LOAD_TTL_US, now);
-        self.own.unread + peers.map(|peer| remaining(peer.figure.unread, peer.at)).sum::<u64>()
+        self.own.pending_prompt_tokens
+            + peers.map(|peer| remaining(peer.figure.pending_prompt_tokens, peer.at)).sum::<u64>()
     }
 
     /// Returns the requests of this VM and of the VMs that report to it.
--- a/decision/src/digest.rs
+++ b/decision/src/digest.rs
@@ -58,8 +58,8 @@
         #[serde(default)]
         pub per_ks: u64,
         /// Total requests, refused ones included.
-        #[serde(default)]
-        pub asked: u64,
+        #[serde(default, rename = "asked")]
+        pub demand: u64,
         /// Total requests admitted.
         #[serde(default)]
         pub admitted: u64,
@@ -91,7 +91,8 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub target: Option<VmName>,
         /// Digests of other VMs; at most [`crate::member::MemberSettings::digests`].
-        pub news: Vec<MemberDigest>,
+        #[serde(rename = "news")]
+        pub updates: Vec<MemberDigest>,
     }
 
     /// Reply to a probe.
@@ -104,7 +105,8 @@
         pub reached: bool,
         /// Digests of other VMs; more for a VM that has just started
         /// ([`crate::member::MemberSettings::join_digests`]).
-        pub news: Vec<MemberDigest>,
+        #[serde(rename = "news")]
+        pub updates: Vec<MemberDigest>,
     }
 
     /// Entry of the platform's list of VMs, which may lag behind reality.
--- a/decision/src/domain_update.rs
+++ b/decision/src/domain_update.rs
@@ -40,7 +40,8 @@
         /// Milliseconds until the adapter can be used; 0 if it already can.
         pub usable_in_ms: u32,
         /// Usage score of the adapter at this server.
-        pub heat: u32,
+        #[serde(rename = "heat")]
+        pub usage_score: u32,
         /// Whether the adapter was loaded from the server's own memory.
         pub from_memory: bool,
     }
@@ -51,7 +52,8 @@
         /// The server.
         pub server: ServerName,
         /// Incarnation of the server.
-        pub born: u64,
+        #[serde(rename = "born")]
+        pub incarnation: u64,
         /// VM that manages the server.
         pub vm: VmName,
         /// Fencing number of that VM.
@@ -78,7 +80,7 @@
             key: holding.key.clone(),
             version: holding.version,
             usable_in_ms: u32::try_from(usable_in_us.div_ceil(1_000)).unwrap_or(u32::MAX),
-            heat: holding.heat,
+            usage_score: holding.usage_score,
             from_memory: holding.from_memory,
         }
     }
@@ -88,7 +90,7 @@
             key: self.key,
             version: self.version,
             usable_from: now.plus(u64::from(self.usable_in_ms) * 1_000),
-            heat: self.heat,
+            usage_score: self.usage_score,
             from_memory: self.from_memory,
         }
     }
@@ -98,9 +100,9 @@
     /// Applies a complete list or a change of one, and returns whether the list was updated. A
     /// change to a revision that is not present is dropped; the next complete list replaces it.
     pub fn change(&mut self, change: ListChange, now: TimePoint) -> bool {
-        let ListChange { server, born, vm, fence, revision, base, free, adapters, dropped } =
+        let ListChange { server, incarnation, vm, fence, revision, base, free, adapters, dropped } =
             change;
-        let owner = ServerOwner { vm, born, fence, at: now, free };
+        let owner = ServerOwner { vm, incarnation, fence, at: now, free };
         let mut holdings: Vec<AdapterHolding> =
             adapters.into_iter().map(|listed| listed.into_holding(now)).collect();
         if let Some(base) = base {
@@ -158,7 +160,7 @@
 #[derive(Clone, Debug)]
 struct SentList {
     server: ServerName,
-    born: u64,
+    incarnation: u64,
     revision: (u64, u64),
     holdings: Vec<AdapterHolding>,
     sent_at: TimePoint,
@@ -241,7 +243,9 @@
         });
         self.reported.sort_unstable();
         if fleet.len() > max {
-            fleet.sort_by_key(|(_, figure)| std::cmp::Reverse((figure.unread, figure.running)));
+            fleet.sort_by_key(|(_, figure)| {
+                std::cmp::Reverse((figure.pending_prompt_tokens, figure.running))
+            });
             fleet.truncate(max);
         }
         fleet
@@ -277,7 +281,8 @@
         let server = &state.entry.server;
         let found = self.sent.binary_search_by(|sent| sent.server.cmp(server));
         let sent = found.ok().map(|at| &self.sent[at]);
-        let sent = sent.filter(|sent| sent.born == owner.born && sent.revision.0 == owner.fence);
+        let sent = sent
+            .filter(|sent| sent.incarnation == owner.incarnation && sent.revision.0 == owner.fence);
         let sent = sent.filter(|sent| now.since(sent.full_sent_at) < FULL_LIST_INTERVAL_US);
         let changed = sent.is_none_or(|sent| sent.revision != state.list_revision);
         if !changed && sent.is_some_and(|sent| now.since(sent.sent_at) < KEEPALIVE_INTERVAL_US) {
@@ -287,7 +292,7 @@
         let (adapters, dropped) = difference(previous, state.holdings(), now);
         let change = ListChange {
             server: server.clone(),
-            born: owner.born,
+            incarnation: owner.incarnation,
             vm: owner.vm.clone(),
             fence: owner.fence,
             revision: state.list_revision.1,
@@ -299,7 +304,7 @@
         let full_sent_at = sent.map_or(now, |sent| sent.full_sent_at);
         let list = SentList {
             server: server.clone(),
-            born: owner.born,
+            incarnation: owner.incarnation,
             revision: state.list_revision,
             holdings: state.holdings().to_vec(),
             sent_at: now,
--- a/decision/src/event.rs
+++ b/decision/src/event.rs
@@ -48,7 +48,7 @@
         /// Chosen by the process; never reused.
         ticket: u64,
         /// The requesting VM.
-        asker: VmIdentity,
+        requester: VmIdentity,
         /// The request to place.
         spec: RequestSpec,
     },
--- a/decision/src/fleet.rs
+++ b/decision/src/fleet.rs
@@ -164,12 +164,12 @@
             return;
         }
         let known = |fingerprint: &RequestFingerprint| {
-            self.book.verdict(*fingerprint) != SuspectVerdict::Clear
+            self.suspects.verdict(*fingerprint) != SuspectVerdict::Clear
         };
         if suspects.iter().any(known) {
             suspects.retain(known);
         }
-        self.book.crash(&suspects);
+        self.suspects.crash(&suspects);
         let engine = &self.engines[at];
         actions.push(OwnerAction::RecordCrash {
             server: engine.info.server.clone(),
@@ -245,7 +245,7 @@
             extra: false,
             reported: reported.running,
             prefix: 0,
-            doomed_until: self.engines[at].doom_of(&reported.slot),
+            at_risk_until: self.engines[at].doom_of(&reported.slot),
         };
         let slot = self.engines[at].add_slot(slot);
         let choice = SlotChoice { server: at as u16, slot: slot as u16 };
@@ -349,7 +349,7 @@
     }
 
     fn ask_held(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
-        if self.inherited_free || !self.vms_known {
+        if self.inherited_evictable || !self.vms_known {
             return;
         }
         let window = self.settings.zombie_window_ms * MICROS_PER_MILLI;
@@ -359,13 +359,15 @@
         let vms: Vec<VmName> =
             self.vms.iter().filter(unanswered).map(|holder| holder.vm.clone()).collect();
         if vms.is_empty() {
-            self.inherited_free = true;
+            self.inherited_evictable = true;
             actions.push(OwnerAction::Note(OwnerNote::InheritedEvictable));
             return;
         }
-        let interval = self.settings.ask_held_ms * MICROS_PER_MILLI;
-        if self.asked_at == TimePoint::default() || now.since(self.asked_at) >= interval {
-            self.asked_at = now;
+        let interval = self.settings.held_query_interval_ms * MICROS_PER_MILLI;
+        if self.held_queried_at == TimePoint::default()
+            || now.since(self.held_queried_at) >= interval
+        {
+            self.held_queried_at = now;
             actions.push(OwnerAction::QueryHeldGrants { vms });
         }
     }
--- a/decision/src/grant.rs
+++ b/decision/src/grant.rs
@@ -75,7 +75,8 @@
         /// Milliseconds that it waited for room on an engine.
         pub queue_ms: u64,
         /// Why this engine was chosen, for `explain`.
-        pub why: PlacementReason,
+        #[serde(rename = "why")]
+        pub reason: PlacementReason,
     }
 
     /// Why an engine was chosen.
@@ -98,7 +99,8 @@
     /// Requests a grant from an owner.
     pub struct ReserveCall {
         /// The requesting VM.
-        pub asker: VmIdentity,
+        #[serde(rename = "asker")]
+        pub requester: VmIdentity,
         /// The group that the requester assigns the adapter to.
         pub group: GroupName,
         /// The request to place.
--- a/decision/src/holding.rs
+++ b/decision/src/holding.rs
@@ -15,7 +15,8 @@
         /// Time from which it can be used, on this process's clock.
         pub usable_from: TimePoint,
         /// Usage score of the adapter at the server, as counted by the server's owner.
-        pub heat: u32,
+        #[serde(rename = "heat")]
+        pub usage_score: u32,
         /// Whether it was loaded from the server's own memory and not from the weight store.
         pub from_memory: bool,
     }
--- a/decision/src/lease.rs
+++ b/decision/src/lease.rs
@@ -29,7 +29,8 @@
         /// Number of its topic.
         pub topic: u32,
         /// Partition number within the topic.
-        pub part: u32,
+        #[serde(rename = "part")]
+        pub partition: u32,
     }
 
     /// Number of partitions, and times of their leases.
@@ -38,19 +39,21 @@
         /// Number of topics with partitions.
         pub topics: u32,
         /// Number of partitions in each topic.
-        pub parts: u32,
+        #[serde(rename = "parts")]
+        pub partitions: u32,
         /// Time after which the platform reassigns the partitions of an unresponsive member, in
         /// microseconds.
         pub lifetime_us: u64,
         /// Minimum time between the last order of one holder and the first of the next, in
         /// microseconds.
-        pub pause_us: u64,
+        #[serde(rename = "pause_us")]
+        pub takeover_delay_us: u64,
     }
 }
 
 impl Default for LeaseSettings {
     fn default() -> Self {
-        Self { topics: 4, parts: 12, lifetime_us: 3_000_000, pause_us: 4_000_000 }
+        Self { topics: 4, partitions: 12, lifetime_us: 3_000_000, takeover_delay_us: 4_000_000 }
     }
 }
 
@@ -61,7 +64,8 @@
         /// Generation at which they were held.
         pub generation: u64,
         /// Partitions whose servers the VM could send orders to.
-        pub shares: Vec<FleetPartition>,
+        #[serde(rename = "shares")]
+        pub partitions: Vec<FleetPartition>,
     }
 }
 
@@ -91,7 +95,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StoreWitness {
     /// Time of the last message from it.
-    pub heard_at: TimePoint,
+    pub last_seen: TimePoint,
     /// Time of its last successful call to the store, on this process's clock.
     pub reached_at: TimePoint,
 }
@@ -99,7 +103,7 @@
 /// Determines whether the store is unavailable to all. `witnesses` are all other known VMs.
 #[must_use]
 pub fn judge_outage(witnesses: &[StoreWitness], now: TimePoint) -> StoreOutage {
-    let fresh = |witness: &&StoreWitness| now.since(witness.heard_at) < WITNESS_TTL_US;
+    let fresh = |witness: &&StoreWitness| now.since(witness.last_seen) < WITNESS_TTL_US;
     let fresh: Vec<&StoreWitness> = witnesses.iter().filter(fresh).collect();
     let unreached =
         fresh.iter().all(|witness| now.since(witness.reached_at) > WITNESS_UNREACHED_US);
@@ -126,7 +130,7 @@
             Self::Unknown => false,
             Self::FirstStart => true,
             Self::Restart(record) => {
-                record.generation == generation && record.shares.contains(&partition)
+                record.generation == generation && record.partitions.contains(&partition)
             }
         }
     }
@@ -175,7 +179,7 @@
             let active_from = match before {
                 Ok(at) if !expired => self.held[at].active_from,
                 _ if since.covers(generation, partition) => now,
-                _ => now.plus(self.settings.pause_us),
+                _ => now.plus(self.settings.takeover_delay_us),
             };
             HeldPartition { partition, active_from }
         });
@@ -207,7 +211,7 @@
         let partition = self.partition_of(server);
         let at = self.held.binary_search_by_key(&partition, |held| held.partition).ok()?;
         let from = match other_at {
-            Some(other) => other.plus(self.settings.pause_us),
+            Some(other) => other.plus(self.settings.takeover_delay_us),
             None => self.held[at].active_from,
         };
         (now >= from).then_some(self.generation)
@@ -224,8 +228,8 @@
     #[must_use]
     pub fn record(&self, now: TimePoint) -> LeaseRecord {
         let active = self.held.iter().filter(|held| now >= held.active_from);
-        let shares = active.map(|held| held.partition).collect();
-        LeaseRecord { generation: self.generation, shares }
+        let partitions = active.map(|held| held.partition).collect();
+        LeaseRecord { generation: self.generation, partitions }
     }
 
     /// Returns when the first partition becomes active, if some are held and none is active yet.
@@ -243,9 +247,12 @@
     }
 
     fn partition_of(&self, server: &ServerName) -> FleetPartition {
-        let partitions = u64::from(self.settings.parts.max(1));
+        let partitions = u64::from(self.settings.partitions.max(1));
         let total = partitions * u64::from(self.settings.topics.max(1));
         let number = stable_hash(&["share", server.as_str()]) % total;
-        FleetPartition { topic: (number / partitions) as u32, part: (number % partitions) as u32 }
+        FleetPartition {
+            topic: (number / partitions) as u32,
+            partition: (number % partitions) as u32,
+        }
     }
 }
--- a/decision/src/limit.rs
+++ b/decision/src/limit.rs
@@ -83,11 +83,11 @@
     /// negative if overdrawn.
     pub level: f64,
     /// Fleet-wide demand of the customer per second, refused requests included.
-    pub asked_per_s: f64,
+    pub demand_per_s: f64,
     /// Fraction of the rate that this VM takes as its share.
-    pub own_part: f64,
+    pub own_fraction: f64,
     /// Fraction of the rate that this VM and those reachable from it admit.
-    pub fleet_part: f64,
+    pub fleet_fraction: f64,
 }
 
 value! {
@@ -109,7 +109,8 @@
         /// Level of the bucket, in the limit's unit; negative if overdrawn.
         pub level: f64,
         /// Demand per second, refused requests included.
-        pub asked_per_s: f64,
+        #[serde(rename = "asked_per_s")]
+        pub demand_per_s: f64,
     }
 }
 
@@ -349,7 +350,7 @@
             let Ok(at) = found else { continue };
             let bucket = &mut self.buckets[at];
             bucket.advance(now, fraction);
-            bucket.fleet_demand.add(now, used.total.asked);
+            bucket.fleet_demand.add(now, used.total.demand);
             if interval_us < GRADUAL_DEBIT_US {
                 bucket.level -= used.total.admitted;
             } else {
@@ -378,7 +379,7 @@
             let Some(standing) = named else { continue };
             let unreported = bucket.own.admitted - bucket.reported.admitted;
             bucket.level = standing.level.min(bucket.capacity(fraction)) - unreported;
-            bucket.fleet_demand.set(now, standing.asked_per_s);
+            bucket.fleet_demand.set(now, standing.demand_per_s);
         }
     }
 
@@ -389,23 +390,23 @@
         let mut standings = Vec::new();
         for bucket in &mut self.buckets {
             bucket.advance(now, fraction);
-            let asked_per_s = bucket.fleet_demand.get(now);
-            if asked_per_s < MIN_DEMAND_PER_S && bucket.level >= bucket.capacity(fraction) {
+            let demand_per_s = bucket.fleet_demand.get(now);
+            if demand_per_s < MIN_DEMAND_PER_S && bucket.level >= bucket.capacity(fraction) {
                 continue;
             }
             let (customer, level) = (bucket.customer.clone(), bucket.level);
-            standings.push(BucketState { customer, level, asked_per_s });
+            standings.push(BucketState { customer, level, demand_per_s });
         }
         standings
     }
 
-    /// Returns this VM's usage report and marks the usage as reported. `life` identifies this
+    /// Returns this VM's usage report and marks the usage as reported. `start_id` identifies this
     /// incarnation of the process.
-    pub fn tell(&mut self, now: TimePoint, life: u64) -> UsageReport {
+    pub fn tell(&mut self, now: TimePoint, start_id: u64) -> UsageReport {
         for bucket in &mut self.buckets {
             bucket.reported = bucket.own;
         }
-        UsageReport { life, age_ms: self.age_ms(now), uses: self.totals(|bucket| bucket.own) }
+        UsageReport { start_id, age_ms: self.age_ms(now), uses: self.totals(|bucket| bucket.own) }
     }
 
     /// Starts to aggregate the usage of this VM and of those that report to it, from zero.
@@ -426,7 +427,7 @@
             sum
         });
         let age_ms = now.since(self.sums_since) / MICROS_PER_MILLI;
-        UsageReport { life: self.sums_since.0, age_ms, uses }
+        UsageReport { start_id: self.sums_since.0, age_ms, uses }
     }
 
     fn age_ms(&self, now: TimePoint) -> u64 {
@@ -438,7 +439,7 @@
             customer: bucket.customer.clone(),
             total: total(bucket),
         });
-        used.filter(|used| used.total.asked > 0.0).collect()
+        used.filter(|used| used.total.demand > 0.0).collect()
     }
 
     fn index_of(&self, customer: &str) -> Option<usize> {
@@ -465,13 +466,13 @@
     /// most demand, sorted by customer.
     pub fn usage(&mut self, now: TimePoint) -> Vec<CustomerUsage> {
         let mut used = self.tell(now, 0).uses;
-        used.sort_by(|a, b| b.total.asked.total_cmp(&a.total.asked));
+        used.sort_by(|a, b| b.total.demand.total_cmp(&a.total.demand));
         used.truncate(MAX_SPREAD_CUSTOMERS);
         used.sort_by(|a, b| a.customer.cmp(&b.customer));
         let usage = used.into_iter().map(|used| CustomerUsage {
             per_ks: self.asked_per_ks(now, &used.customer),
             tenant: used.customer,
-            asked: used.total.asked as u64,
+            demand: used.total.demand as u64,
             admitted: used.total.admitted.max(0.0) as u64,
         });
         usage.collect()
@@ -490,11 +491,11 @@
         for row in rows {
             let uses = row.facts().usage.iter().map(|usage| CustomerTotal {
                 customer: usage.tenant.clone(),
-                total: UsageTotal { asked: usage.asked as f64, admitted: usage.admitted as f64 },
+                total: UsageTotal { demand: usage.demand as f64, admitted: usage.admitted as f64 },
             });
             let uses: Vec<CustomerTotal> = uses.collect();
-            let VmIncarnation(life) = row.identity().incarnation;
-            let report = UsageReport { life, age_ms: u64::MAX, uses };
+            let VmIncarnation(start_id) = row.identity().incarnation;
+            let report = UsageReport { start_id, age_ms: u64::MAX, uses };
             self.member_use(now, &VmName::from(row.name()), &report);
         }
     }
@@ -560,7 +561,7 @@
         let fraction = view.fraction;
         self.own_demand.add(now, cost);
         self.fleet_demand.add(now, cost);
-        self.own.asked += cost;
+        self.own.demand += cost;
         self.advance(now, fraction);
         self.start_interval(now, view);
         if view.level_valid && self.level > 0.0 && self.spent <= self.spend_limit {
@@ -579,9 +580,9 @@
         Err(LimitRefusal {
             retry_after_ms,
             level: self.level,
-            asked_per_s: self.fleet_demand.get(now),
-            own_part: self.own_fraction,
-            fleet_part: fraction,
+            demand_per_s: self.fleet_demand.get(now),
+            own_fraction: self.own_fraction,
+            fleet_fraction: fraction,
         })
     }
 
--- a/decision/src/loadtime.rs
+++ b/decision/src/loadtime.rs
@@ -84,37 +84,37 @@
     /// Time of the order.
     pub at: TimePoint,
     /// Whether the server had the adapter in its own memory.
-    pub again: bool,
+    pub from_memory: bool,
     /// Number of loads in flight from the store at that time, over all servers, including this one.
-    pub beside: u32,
+    pub in_flight: u32,
     /// Expected time, in microseconds; 0 if it was found done.
     pub expected_us: u64,
     /// Time from the order until requests first check, in microseconds; 0 once one of them came too
     /// early, since later ones don't show how long the load took.
-    pub look_us: u64,
+    pub check_us: u64,
 }
 
 impl OrderedLoad {
     /// Returns a load that was found done at `now`, after an unknown time.
     #[must_use]
     pub fn done(now: TimePoint) -> Self {
-        Self { at: now, again: false, beside: 0, expected_us: 0, look_us: 0 }
+        Self { at: now, from_memory: false, in_flight: 0, expected_us: 0, check_us: 0 }
     }
 
     /// Returns the load with the expected time of `forecast` if that is much shorter, so that
     /// requests don't keep waiting for an estimate that was shown to be wrong.
     #[must_use]
     pub fn shortened(&self, forecast: &LoadForecast) -> Option<Self> {
-        let expected_us = forecast.expected_beside(self.beside, self.again);
+        let expected_us = forecast.expected_in_flight(self.in_flight, self.from_memory);
         let much = (expected_us as f64) < self.expected_us as f64 * MUCH_SHORTER_RATIO;
-        let look_us = self.look_us.min(expected_us);
-        much.then_some(Self { expected_us, look_us, ..*self })
+        let check_us = self.check_us.min(expected_us);
+        much.then_some(Self { expected_us, check_us, ..*self })
     }
 
     /// Returns whether requests check before it is expected to be done.
     #[must_use]
     pub fn is_early(&self) -> bool {
-        self.look_us < self.expected_us
+        self.check_us < self.expected_us
     }
 }
 
@@ -122,7 +122,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LoadForecast {
     /// Number of loads in flight from the store, including the next one.
-    pub beside: u32,
+    pub in_flight: u32,
     /// Expected time from the store.
     store_us: u64,
     /// Expected time from the server's own memory.
@@ -149,30 +149,30 @@
         self.crowded_us > CROWDED_US
     }
 
-    /// Returns the expected time of the load, in microseconds; `again` if the server has the
+    /// Returns the expected time of the load, in microseconds; `from_memory` if the server has the
     /// adapter in its own memory.
     #[must_use]
-    pub fn expected_us(&self, again: bool) -> u64 {
-        if again { self.memory_us } else { self.store_us }
+    pub fn expected_us(&self, from_memory: bool) -> u64 {
+        if from_memory { self.memory_us } else { self.store_us }
     }
 
-    /// Returns the expected time of a load that had `beside` loads in flight, including itself.
-    fn expected_beside(&self, beside: u32, again: bool) -> u64 {
-        if again {
+    /// Returns the expected time of a load that had `in_flight` loads in flight, including itself.
+    fn expected_in_flight(&self, in_flight: u32, from_memory: bool) -> u64 {
+        if from_memory {
             return self.memory_us;
         }
-        self.alone_us.max(self.crowded_us * u64::from(beside) / u64::from(self.beside.max(1)))
+        self.alone_us.max(self.crowded_us * u64::from(in_flight) / u64::from(self.in_flight.max(1)))
     }
 
     /// Returns the load as ordered at `at`.
     #[must_use]
-    pub fn load(&self, at: TimePoint, again: bool) -> OrderedLoad {
-        let expected_us = self.expected_us(again);
+    pub fn load(&self, at: TimePoint, from_memory: bool) -> OrderedLoad {
+        let expected_us = self.expected_us(from_memory);
         let early_us = (expected_us as f64 * self.check_fraction) as u64;
-        let slowed = !again && self.crowded_us > self.alone_us;
+        let slowed = !from_memory && self.crowded_us > self.alone_us;
         let min_us = if slowed { (self.alone_us as f64 * ALONE_MARGIN) as u64 } else { 0 };
-        let look_us = early_us.max(min_us).min(expected_us);
-        OrderedLoad { at, again, beside: self.beside, expected_us, look_us }
+        let check_us = early_us.max(min_us).min(expected_us);
+        OrderedLoad { at, from_memory, in_flight: self.in_flight, expected_us, check_us }
     }
 }
 
@@ -184,7 +184,7 @@
     /// Time that each load in flight adds where many are, in microseconds.
     pub each_us: u64,
     /// Whether a load was shown to be clearly shorter than expected since the last report.
-    pub is_proven: bool,
+    pub is_shortened: bool,
 }
 
 /// Estimated time.
@@ -246,7 +246,7 @@
     /// Successful early checks in a row.
     early_hits: u32,
     /// Whether an estimate was shown to be clearly too long since the last report.
-    is_proven: bool,
+    is_shortened: bool,
 }
 
 impl Default for LoadTimes {
@@ -261,7 +261,7 @@
             early_checks: 0,
             eager_fraction: None,
             early_hits: 0,
-            is_proven: false,
+            is_shortened: false,
         }
     }
 }
@@ -305,15 +305,15 @@
         // slow.
         let max_shown = load.expected_us as f64 * MAX_SHOWN_RATIO;
         let shown = (elapsed_us as f64 + TOO_EARLY_MARGIN_US).min(max_shown);
-        let beside = f64::from(load.beside);
-        let limits = self.each.us * beside > self.alone.us;
-        if load.again {
+        let in_flight = f64::from(load.in_flight);
+        let limits = self.each.us * in_flight > self.alone.us;
+        if load.from_memory {
             self.from_memory.raise(shown, MAX_LOAD_US);
-        } else if load.beside >= MIN_CONCURRENT_LOADS
+        } else if load.in_flight >= MIN_CONCURRENT_LOADS
             && (limits || shown > self.alone.us * ALONE_RATIO)
         {
             self.each_is_measured = true;
-            self.each.raise(shown / beside, MAX_LOAD_US / beside);
+            self.each.raise(shown / in_flight, MAX_LOAD_US / in_flight);
         } else {
             self.alone.raise(shown, MAX_LOAD_US);
         }
@@ -321,10 +321,10 @@
 
     /// Records that a request found its adapter loaded at its first check.
     pub fn in_time(&mut self, load: OrderedLoad) {
-        if load.look_us == 0 || !load.is_early() {
+        if load.check_us == 0 || !load.is_early() {
             return;
         }
-        let check_fraction = load.look_us as f64 / load.expected_us as f64;
+        let check_fraction = load.check_us as f64 / load.expected_us as f64;
         self.eager_fraction = Some((check_fraction * check_fraction).max(MIN_EARLY_FRACTION));
         self.early_hits += 1;
         if self.early_hits < MIN_EARLY_HITS {
@@ -332,20 +332,20 @@
         }
         let clear = self.early_hits >= CLEAR_EARLY_HITS || check_fraction < WRONG_RATIO;
         let weight = if clear { CLEAR_HIT_WEIGHT } else { EARLY_HIT_WEIGHT };
-        self.is_proven |= clear;
-        let shown = load.look_us as f64 + CHECK_SLACK_US;
+        self.is_shortened |= clear;
+        let shown = load.check_us as f64 + CHECK_SLACK_US;
         if shown < load.expected_us as f64 * WRONG_RATIO {
             self.early_check_interval = INITIAL_EARLY_CHECK_INTERVAL;
         }
-        if load.again {
+        if load.from_memory {
             self.from_memory.lower(shown, weight, MIN_LOAD_US);
             return;
         }
         // Either limit alone would have allowed at most this time.
-        let limits = self.each.us * f64::from(load.beside) > self.alone.us;
+        let limits = self.each.us * f64::from(load.in_flight) > self.alone.us;
         self.each_is_measured |= limits;
         self.alone.lower(shown, weight, MIN_LOAD_US);
-        self.each.lower(shown / f64::from(load.beside.max(1)), weight, MIN_EACH_US);
+        self.each.lower(shown / f64::from(load.in_flight.max(1)), weight, MIN_EACH_US);
     }
 
     /// Applies another VM's report. Each VM sees few loads and all share one store, so their
@@ -353,7 +353,7 @@
     pub fn heard(&mut self, reported: ReportedTimes) {
         self.alone.heard(reported.alone_us);
         self.each.heard(reported.each_us);
-        if reported.is_proven {
+        if reported.is_shortened {
             if (reported.alone_us as f64) < self.alone.us * WRONG_RATIO {
                 self.early_check_interval = INITIAL_EARLY_CHECK_INTERVAL;
             }
@@ -362,19 +362,19 @@
         }
     }
 
-    /// Returns the report for other VMs and resets its `is_proven`.
+    /// Returns the report for other VMs and resets its `is_shortened`.
     pub fn told(&mut self) -> ReportedTimes {
-        let is_proven = std::mem::take(&mut self.is_proven);
-        ReportedTimes { alone_us: self.alone.us as u64, each_us: self.each.us as u64, is_proven }
+        let is_shortened = std::mem::take(&mut self.is_shortened);
+        ReportedTimes { alone_us: self.alone.us as u64, each_us: self.each.us as u64, is_shortened }
     }
 
     /// Returns the expected time of a load that is ordered now, with `under_way` others in flight.
     #[must_use]
     pub fn forecast(&self, under_way: usize) -> LoadForecast {
-        let beside = u32::try_from(under_way + 1).unwrap_or(u32::MAX);
-        let crowded_us = self.each.us * f64::from(beside);
+        let in_flight = u32::try_from(under_way + 1).unwrap_or(u32::MAX);
+        let crowded_us = self.each.us * f64::from(in_flight);
         LoadForecast {
-            beside,
+            in_flight,
             store_us: self.alone.us.max(crowded_us) as u64,
             memory_us: self.from_memory.us as u64,
             crowded_us: crowded_us as u64,
--- a/decision/src/member.rs
+++ b/decision/src/member.rs
@@ -146,12 +146,12 @@
             digest,
             place,
             listed: None,
-            heard: true,
+            received: true,
             since: TimePoint(0),
-            born: TimePoint(0),
+            incarnation_since: TimePoint(0),
             urgent: true,
-            pushed: None,
-            told: 0,
+            pushed_at: None,
+            times_sent: 0,
         };
         Self {
             settings,
@@ -222,8 +222,8 @@
     /// Returns whether the platform's list was read and a digest was received from every VM in the
     /// table. Until then a VM that does not answer cannot be told from one that was not probed yet.
     #[must_use]
-    pub fn acquainted(&self) -> bool {
-        self.own.listed.is_some() && self.rows.iter().all(|row| row.heard)
+    pub fn all_members_seen(&self) -> bool {
+        self.own.listed.is_some() && self.rows.iter().all(|row| row.received)
     }
 
     /// Returns the row of `vm`, or `None` if it is unknown.
@@ -258,7 +258,7 @@
         let mut known = 0_u32;
         let mut answering = 0_u32;
         for row in all.filter(|row| row.place.region.as_str() == region) {
-            known += u32::from(row.listed.is_some() || row.answers() || row.recent_death());
+            known += u32::from(row.listed.is_some() || row.answers() || row.counts_for_majority());
             answering += u32::from(row.answers());
         }
         answering * 2 > known
@@ -304,7 +304,7 @@
         for row in &mut self.rows {
             let expired = now.since(row.since) >= limit;
             if row.digest.state == MemberState::Suspect && expired {
-                row.turn(now, MemberState::Dead, actions);
+                row.set_state(now, MemberState::Dead, actions);
             }
         }
     }
@@ -341,7 +341,7 @@
         let Ok(at) = self.find(vm) else { return };
         let row = &mut self.rows[at];
         if row.answers() {
-            row.turn(now, MemberState::Suspect, actions);
+            row.set_state(now, MemberState::Suspect, actions);
         }
     }
 
@@ -371,13 +371,13 @@
     /// alone the last VMs of a large fleet would learn of a death too late to keep callers away
     /// from it within 3 s. Changes within the push interval are sent together.
     fn push_urgent(&mut self, now: TimePoint, rng: &mut dyn Rng, actions: &mut Vec<MemberAction>) {
-        let pending = self.rows.iter().any(|row| row.urgent && row.pushed.is_none());
+        let pending = self.rows.iter().any(|row| row.urgent && row.pushed_at.is_none());
         if !pending || now < self.next_push {
             return;
         }
         self.next_push = now.plus(PUSH_INTERVAL_MS * MICROS_PER_MILLI);
         for row in &mut self.rows {
-            row.pushed = Some(now);
+            row.pushed_at = Some(now);
         }
         let no_target = VmName::default();
         for to in self.pick_helpers(&no_target, rng) {
@@ -480,10 +480,10 @@
                 let row = &mut self.rows[at];
                 let was = row.state();
                 row.listed = Some(entry.state);
-                if !row.heard {
+                if !row.received {
                     row.place = entry.place;
                 }
-                row.report(was, actions);
+                row.emit_change(was, actions);
             }
             Err(at) if self.rows.len() < self.settings.members => {
                 self.rows.insert(at, MemberRow::listed(now, entry));
@@ -528,7 +528,7 @@
     ) {
         let from = message.from.vm.clone();
         let joining = self.row(from.vm.as_str()).is_none_or(|row| *row.identity() != from);
-        self.merge_all(now, message.from, message.news, actions);
+        self.merge_all(now, message.from, message.updates, actions);
         let target = message.target.filter(|target| target.as_str() != self.own.name());
         let Some(target) = target else {
             let mut reply = self.reply(now, message.number, true, Some(&from));
@@ -554,7 +554,7 @@
     fn handle_reply(&mut self, now: TimePoint, reply: ProbeReply, actions: &mut Vec<MemberAction>) {
         let number = reply.number;
         let reached = reply.reached;
-        self.merge_all(now, reply.from, reply.news, actions);
+        self.merge_all(now, reply.from, reply.updates, actions);
         let Some(at) = self.probes.iter().position(|probe| probe.number == number) else { return };
         let probe = self.probes.remove(at);
         match probe.purpose {
@@ -630,8 +630,8 @@
             return;
         }
         match self.find(digest.vm.vm.as_str()) {
-            Ok(at) if digest.rank() > self.rows[at].digest.rank() || !self.rows[at].heard => {
-                self.rows[at].take(now, digest, actions);
+            Ok(at) if digest.rank() > self.rows[at].digest.rank() || !self.rows[at].received => {
+                self.rows[at].merge(now, digest, actions);
             }
             Ok(_) => {}
             Err(at) => self.insert(now, at, digest, actions),
@@ -650,7 +650,7 @@
         if digest.state == MemberState::Dead {
             return;
         }
-        let row = MemberRow::heard(now, digest, place);
+        let row = MemberRow::from_digest(now, digest, place);
         let change = MemberChange { vm: row.digest.vm.clone(), was: None, state: row.state() };
         self.rows.insert(at, row);
         actions.push(MemberAction::Changed(change));
@@ -673,8 +673,8 @@
     ) -> ProbeMessage {
         let from = self.own.digest.clone();
         let to = self.row(to.as_str()).map(|row| row.identity().clone());
-        let news = self.select_updates(now, to.as_ref());
-        ProbeMessage { number, from, target, news }
+        let updates = self.select_updates(now, to.as_ref());
+        ProbeMessage { number, from, target, updates }
     }
 
     fn reply(
@@ -685,8 +685,8 @@
         to: Option<&VmIdentity>,
     ) -> ProbeReply {
         let from = self.own.digest.clone();
-        let news = self.select_updates(now, to);
-        ProbeReply { number, from, reached, news }
+        let updates = self.select_updates(now, to);
+        ProbeReply { number, from, reached, updates }
     }
 
     /// Selects the digests for a message: what the receiver must refute about itself first, then
@@ -697,26 +697,26 @@
         for (at, row) in self.rows.iter().enumerate() {
             let receiver = to.filter(|to| to.vm == row.digest.vm.vm);
             let must_refute = receiver.is_some_and(|to| *to != row.digest.vm || !row.answers());
-            let spread = receiver.is_none() && row.told < rounds;
-            if row.heard && (must_refute || spread) {
-                candidates.push((!must_refute, !row.urgent, row.told, at));
+            let spread = receiver.is_none() && row.times_sent < rounds;
+            if row.received && (must_refute || spread) {
+                candidates.push((!must_refute, !row.urgent, row.times_sent, at));
             }
         }
         candidates.sort_unstable();
         candidates.truncate(self.settings.digests);
-        candidates.into_iter().map(|(_, _, _, at)| self.rows[at].tell(now)).collect()
+        candidates.into_iter().map(|(_, _, _, at)| self.rows[at].digest_to_send(now)).collect()
     }
 
     /// Fills the reply to a VM that has just started with randomly selected other VMs, so that it
     /// knows a large fleet within a few probes.
     fn fill_joiner_reply(&self, reply: &mut ProbeReply, rng: &mut dyn Rng) {
         let mut order: Vec<usize> = (0..self.rows.len()).collect();
-        while reply.news.len() < self.settings.join_digests && !order.is_empty() {
+        while reply.updates.len() < self.settings.join_digests && !order.is_empty() {
             let at = order.swap_remove(rng.random_range(0..order.len()));
             let row = &self.rows[at];
-            let included = reply.news.iter().any(|digest| digest.vm == row.digest.vm);
-            if row.heard && row.answers() && !included {
-                reply.news.push(row.digest_with_place(true));
+            let included = reply.updates.iter().any(|digest| digest.vm == row.digest.vm);
+            if row.received && row.answers() && !included {
+                reply.updates.push(row.digest_with_place(true));
             }
         }
     }
--- a/decision/src/message.rs
+++ b/decision/src/message.rs
@@ -24,7 +24,8 @@
         /// Epoch of the new owner; the receiver accepts no grant of an older epoch from now on.
         pub epoch: OwnerEpoch,
         /// The new owner.
-        pub asker: VmIdentity,
+        #[serde(rename = "asker")]
+        pub requester: VmIdentity,
     }
 
     /// Grants that a VM holds in a group.
@@ -38,7 +39,8 @@
     /// Cancels a pending request for a grant, because its caller disconnected.
     pub struct WithdrawCall {
         /// VM that requested the grant.
-        pub asker: VmIdentity,
+        #[serde(rename = "asker")]
+        pub requester: VmIdentity,
         /// The group.
         pub group: GroupName,
         /// The request.
@@ -128,7 +130,8 @@
         /// Offset after the last record of the stream, as last reported by the log.
         pub end: u64,
         /// Milliseconds since the log last answered a read of the stream.
-        pub silent_ms: u64,
+        #[serde(rename = "silent_ms")]
+        pub since_answer_ms: u64,
     }
 
     /// Status of a group at its owner.
--- a/decision/src/order.rs
+++ b/decision/src/order.rs
@@ -138,7 +138,7 @@
         let number = self.number();
         let engine = &mut self.engines[choice.server as usize];
         let slot = &mut engine.slots[choice.slot as usize];
-        let unused = slot.pins == 0 && (!slot.inherited || self.inherited_free);
+        let unused = slot.pins == 0 && (!slot.inherited || self.inherited_evictable);
         self.invariants.check(InvariantName::NoEvictionInUse, unused, || {
             format!("slot {} is evicted with {} outstanding grants", slot.name, slot.pins)
         });
@@ -181,7 +181,7 @@
             extra: load.extra,
             reported: 0,
             prefix: 0,
-            doomed_until: TimePoint::default(),
+            at_risk_until: TimePoint::default(),
         });
         let choice = SlotChoice { server: order.server as u16, slot: slot as u16 };
         self.adapters.get_mut(load.adapter).copies.push(choice);
@@ -326,7 +326,7 @@
         rng: &mut dyn Rng,
         actions: &mut Vec<OwnerAction>,
     ) {
-        let (initial, max) = (self.settings.load_backoff_ms, self.settings.load_backoff_most_ms);
+        let (initial, max) = (self.settings.load_backoff_ms, self.settings.max_load_backoff_ms);
         let state = self.adapters.get_mut(load.adapter);
         state.failures += 1;
         let doubled = initial.saturating_mul(1 << (state.failures - 1).min(20)).min(max);
--- a/decision/src/order_tracker.rs
+++ b/decision/src/order_tracker.rs
@@ -270,8 +270,8 @@
                 key: slot.key.clone(),
                 version: slot.version,
                 usable_from,
-                heat: slot.score_at(half_life, now).round() as u32,
-                from_memory: load.again,
+                usage_score: slot.score_at(half_life, now).round() as u32,
+                from_memory: load.from_memory,
             }),
             SlotStatus::Evicting { .. } => None,
         };
@@ -369,7 +369,7 @@
             let expected = load.at.plus(load.expected_us);
             let next = if expected > now { expected } else { later };
             *usable_from = (*usable_from).max(next);
-            load.look_us = 0;
+            load.check_us = 0;
             self.revision += 1;
         }
     }
@@ -415,7 +415,7 @@
                 continue;
             }
             if let Some(shorter) = load.shortened(forecast) {
-                *usable_from = (*usable_from).min(now.max(load.at.plus(shorter.look_us)));
+                *usable_from = (*usable_from).min(now.max(load.at.plus(shorter.check_us)));
                 *load = shorter;
                 self.revision += 1;
             }
@@ -563,7 +563,7 @@
                     true => OrderedLoad::done(now),
                     false => forecast.load(now, from_memory),
                 };
-                self.set_slot(key, *version, now.plus(load.look_us), load);
+                self.set_slot(key, *version, now.plus(load.check_us), load);
                 self.load_requests.retain(|request| request.key != *key);
                 self.recently_held.retain(|other| other != key);
             }
--- a/decision/src/owner.rs
+++ b/decision/src/owner.rs
@@ -110,14 +110,14 @@
     pub(crate) orders: Vec<LoadOrder>,
     pub(crate) budget: LoadBudget,
     /// Loads required by schedules, sorted by due time.
-    pub(crate) ahead: Vec<ScheduledLoad>,
-    pub(crate) book: SuspectTracker,
+    pub(crate) scheduled_loads: Vec<ScheduledLoad>,
+    pub(crate) suspects: SuspectTracker,
     pub(crate) vms: Vec<PendingHolder>,
     pub(crate) vms_known: bool,
     /// When VMs were last queried for their grants of earlier epochs.
-    pub(crate) asked_at: TimePoint,
+    pub(crate) held_queried_at: TimePoint,
     /// Whether slots inherited from earlier epochs may be evicted.
-    pub(crate) inherited_free: bool,
+    pub(crate) inherited_evictable: bool,
     pub(crate) majority: bool,
     pub(crate) log_writable: bool,
     pub(crate) deposed: bool,
@@ -155,12 +155,12 @@
             grants: Vec::new(),
             foreign: Vec::new(),
             orders: Vec::new(),
-            ahead: Vec::new(),
-            book: SuspectTracker::default(),
+            scheduled_loads: Vec::new(),
+            suspects: SuspectTracker::default(),
             vms: Vec::new(),
             vms_known: false,
-            asked_at: TimePoint::default(),
-            inherited_free: false,
+            held_queried_at: TimePoint::default(),
+            inherited_evictable: false,
             majority: false,
             log_writable: true,
             deposed: false,
@@ -180,8 +180,8 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         match event {
-            OwnerEvent::Reserve { ticket, asker, spec } => {
-                self.reserve(now, ticket, asker, spec, actions);
+            OwnerEvent::Reserve { ticket, requester, spec } => {
+                self.reserve(now, ticket, requester, spec, actions);
             }
             OwnerEvent::Withdraw { ticket } => self.withdraw(ticket),
             OwnerEvent::Release(call) => self.release(now, &call, actions),
@@ -204,7 +204,7 @@
             OwnerEvent::Schedule { adapter, due_in_ms, lead_ms } => {
                 self.schedule(now, &adapter, due_in_ms, lead_ms);
             }
-            OwnerEvent::Suspects(entries) => self.book.set_recorded(entries),
+            OwnerEvent::Suspects(entries) => self.suspects.set_recorded(entries),
             OwnerEvent::LogState { writable } => self.log_writable = writable,
             OwnerEvent::Tick => self.tick(now, rng, actions),
         }
@@ -302,7 +302,7 @@
         &mut self,
         now: TimePoint,
         ticket: u64,
-        asker: VmIdentity,
+        requester: VmIdentity,
         spec: RequestSpec,
         actions: &mut Vec<OwnerAction>,
     ) {
@@ -317,11 +317,11 @@
         let deadline = now.plus(left.saturating_mul(MICROS_PER_MILLI));
         let stalled = !self.is_ready(now, adapter);
         let arriving =
-            ArrivingRequest { ticket, asker, spec, adapter, deadline: Some(deadline), stalled };
+            ArrivingRequest { ticket, requester, spec, adapter, deadline: Some(deadline), stalled };
         let choice = if stalled { None } else { self.choose_for(now, &arriving.spec, adapter) };
         if let Some(choice) = choice {
             let grant =
-                self.grant(now, choice, &arriving.asker, &arriving.spec, WaitTimes::default());
+                self.grant(now, choice, &arriving.requester, &arriving.spec, WaitTimes::default());
             actions.push(OwnerAction::Grant { ticket, grant });
             return;
         }
@@ -337,7 +337,7 @@
         if spec.deadline_left_ms == Some(0) {
             return refuse(RefusalReason::DeadlinePassed, self.wait_for_room_ms(spec.class));
         }
-        if self.book.verdict(spec.fingerprint) == SuspectVerdict::Condemned {
+        if self.suspects.verdict(spec.fingerprint) == SuspectVerdict::Condemned {
             return refuse(RefusalReason::Condemned, self.settings.max_retry_ms as f64);
         }
         if !self.engines.iter().any(EngineState::hopeful) {
@@ -443,7 +443,7 @@
             GrantEnd::Done => {
                 let took = millis(now.since(grant.granted));
                 self.service_ms += (took - self.service_ms) * MEAN_SMOOTHING;
-                if self.book.clear(grant.fingerprint) {
+                if self.suspects.clear(grant.fingerprint) {
                     let fingerprint = grant.fingerprint;
                     actions.push(OwnerAction::RecordCleared { fingerprint });
                 }
@@ -514,7 +514,7 @@
                 self.adapters.get_mut(request.adapter).waiting -= 1;
                 let waited = WaitTimes::of(&request, now);
                 let ticket = request.ticket;
-                let grant = self.grant(now, choice, &request.asker, &request.spec, waited);
+                let grant = self.grant(now, choice, &request.requester, &request.spec, waited);
                 actions.push(OwnerAction::Grant { ticket, grant });
             }
         }
@@ -540,7 +540,7 @@
         self.check_grant(now, choice, spec, suspect);
         let engine = &mut self.engines[choice.server as usize];
         let slot = &mut engine.slots[choice.slot as usize];
-        let why = match (suspect, slot.ahead, slot.extra, waited.stall_ms > 0) {
+        let reason = match (suspect, slot.ahead, slot.extra, waited.stall_ms > 0) {
             (true, ..) => PlacementReason::Isolated,
             (_, true, ..) => PlacementReason::LoadedAhead,
             (_, _, true, _) => PlacementReason::ExtraCopy,
@@ -562,7 +562,7 @@
             use_within_ms: waited.stall_ms + waited.queue_ms + self.settings.use_grace_ms,
             stall_ms: waited.stall_ms,
             queue_ms: waited.queue_ms,
-            why,
+            reason,
         };
         self.grants.push(GrantState {
             number,
@@ -590,7 +590,7 @@
         self.invariants.check(InvariantName::RightAdapter, right, || {
             format!("request {} for {} granted {}", spec.id, spec.adapter, slot.name)
         });
-        let ready = slot.phase == SlotPhase::Ready && slot.doomed_until <= now;
+        let ready = slot.phase == SlotPhase::Ready && slot.at_risk_until <= now;
         self.invariants.check(InvariantName::NoEvictionInUse, ready, || {
             format!("request {} granted {} in phase {:?}", spec.id, slot.name, slot.phase)
         });
--- a/decision/src/placement.rs
+++ b/decision/src/placement.rs
@@ -54,7 +54,7 @@
             let engine = &self.engines[choice.server as usize];
             let slot = &engine.slots[choice.slot as usize];
             let usable = slot.phase == SlotPhase::Ready && engine.is_fenced(slot);
-            if !usable || slot.doomed_until > now {
+            if !usable || slot.at_risk_until > now {
                 continue;
             }
             let excluded = query.confined.is_some_and(|allowed| !allowed.contains(&choice.server));
@@ -117,7 +117,7 @@
             .iter()
             .filter(|engine| engine.broken.iter().any(|run| run.fingerprint == fingerprint));
         let broken = broken.count();
-        match (self.book.verdict(fingerprint), broken) {
+        match (self.suspects.verdict(fingerprint), broken) {
             (SuspectVerdict::Clear, 0) => SuspectVerdict::Clear,
             (SuspectVerdict::Clear, 1) | (SuspectVerdict::Isolated, 0) => SuspectVerdict::Isolated,
             _ => SuspectVerdict::Condemned,
@@ -162,7 +162,7 @@
         self.adapters.get(adapter).copies.iter().any(|&copy| {
             let engine = &self.engines[copy.server as usize];
             let slot = &engine.slots[copy.slot as usize];
-            engine.usable() && slot.phase == SlotPhase::Ready && slot.doomed_until <= now
+            engine.usable() && slot.phase == SlotPhase::Ready && slot.at_risk_until <= now
         })
     }
 
@@ -325,8 +325,8 @@
         slot.phase == SlotPhase::Ready
             && slot.pins == 0
             && slot.reported == 0
-            && slot.doomed_until <= now
-            && (!slot.inherited || self.inherited_free)
+            && slot.at_risk_until <= now
+            && (!slot.inherited || self.inherited_evictable)
             && !needed
             && !reserved
             && !self.is_ordered(server, slot)
--- a/decision/src/plan.rs
+++ b/decision/src/plan.rs
@@ -28,23 +28,25 @@
         let same = |load: &ScheduledLoad| {
             load.adapter == adapter && load.due.0.abs_diff(due.0) < SAME_SCHEDULE_MICROS
         };
-        if self.ahead.len() >= self.settings.schedules || self.ahead.iter().any(same) {
+        if self.scheduled_loads.len() >= self.settings.schedules
+            || self.scheduled_loads.iter().any(same)
+        {
             return;
         }
-        let at = self.ahead.partition_point(|load| load.due <= due);
-        self.ahead.insert(at, ScheduledLoad { due, from, adapter });
+        let at = self.scheduled_loads.partition_point(|load| load.due <= due);
+        self.scheduled_loads.insert(at, ScheduledLoad { due, from, adapter });
     }
 
     /// Releases the reservation of an adapter whose scheduled request has arrived.
     pub(crate) fn schedule_served(&mut self, now: TimePoint, adapter: u32, class: RequestClass) {
-        let near = self.settings.pressing_ms * MICROS_PER_MILLI;
+        let near = self.settings.urgent_load_ms * MICROS_PER_MILLI;
         let served =
             |load: &ScheduledLoad| load.adapter == adapter && load.due.0.abs_diff(now.0) < near;
         if class != RequestClass::Scheduled || self.adapters.get(adapter).reserved_until <= now {
             return;
         }
-        if let Some(at) = self.ahead.iter().position(served) {
-            self.ahead.remove(at);
+        if let Some(at) = self.scheduled_loads.iter().position(served) {
+            self.scheduled_loads.remove(at);
             self.adapters.get_mut(adapter).reserved_until = now;
         }
     }
@@ -52,8 +54,8 @@
     /// Reserves adapters whose schedule is near, and drops schedules that are past.
     pub(crate) fn keep_scheduled(&mut self, now: TimePoint) {
         let grace = self.settings.schedule_grace_ms * MICROS_PER_MILLI;
-        self.ahead.retain(|load| load.due.plus(grace) > now);
-        for load in &self.ahead {
+        self.scheduled_loads.retain(|load| load.due.plus(grace) > now);
+        for load in &self.scheduled_loads {
             if load.from <= now {
                 let state = self.adapters.get_mut(load.adapter);
                 state.reserved_until = state.reserved_until.max(load.due.plus(grace));
@@ -133,7 +135,7 @@
             };
             merge_request(&mut load_requests, load_request);
         }
-        for load in self.ahead.iter().filter(|load| load.from <= now && load.due > now) {
+        for load in self.scheduled_loads.iter().filter(|load| load.from <= now && load.due > now) {
             let state = self.adapters.get(load.adapter);
             if state.retry_at > now
                 || self.is_loading(load.adapter)
@@ -159,7 +161,7 @@
 
     /// Returns whether a deadline is so near that a load must start now.
     fn is_due_soon(&self, now: TimePoint, deadline: Option<TimePoint>) -> bool {
-        let margin = (self.settings.pressing_ms as f64).max(4.0 * self.load_ms);
+        let margin = (self.settings.urgent_load_ms as f64).max(4.0 * self.load_ms);
         deadline.is_some_and(|due| millis(due.since(now)) < margin)
     }
 
--- a/decision/src/queue.rs
+++ b/decision/src/queue.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
     pub(crate) ticket: u64,
-    pub(crate) asker: VmIdentity,
+    pub(crate) requester: VmIdentity,
     pub(crate) spec: RequestSpec,
     pub(crate) adapter: u32,
     pub(crate) arrived: TimePoint,
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ArrivingRequest {
     pub(crate) ticket: u64,
-    pub(crate) asker: VmIdentity,
+    pub(crate) requester: VmIdentity,
     pub(crate) spec: RequestSpec,
     pub(crate) adapter: u32,
     pub(crate) deadline: Option<TimePoint>,
@@ -117,7 +117,7 @@
         clock.waiting[class] += 1;
         let request = WaitingRequest {
             ticket: arriving.ticket,
-            asker: arriving.asker,
+            requester: arriving.requester,
             spec: arriving.spec,
             adapter: arriving.adapter,
             arrived: now,
--- a/decision/src/retry.rs
+++ b/decision/src/retry.rs
@@ -11,15 +11,15 @@
     /// Maximum number of retries saved up while few are needed.
     pub burst: u64,
     /// Maximum attempts per request, the first included.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Minimum milliseconds left until the deadline for a retry; with less the request ends
     /// instead.
-    pub least_left_ms: u64,
+    pub min_left_ms: u64,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
-        Self { per_mille: 100, burst: 20, tries: 4, least_left_ms: 20 }
+        Self { per_mille: 100, burst: 20, max_attempts: 4, min_left_ms: 20 }
     }
 }
 
--- a/decision/src/routing.rs
+++ b/decision/src/routing.rs
@@ -56,7 +56,8 @@
         /// Rank among the routes; 0 goes first.
         pub priority: u8,
         /// Maximum number of servers that may run one request.
-        pub most_servers: u32,
+        #[serde(rename = "most_servers")]
+        pub max_servers: u32,
         /// Whether requests need no key if the configuration has customers.
         #[serde(default)]
         pub public: bool,
@@ -83,7 +84,8 @@
         /// Memory for weights and adapters together, in MB.
         pub weights_mb: f64,
         /// Number of adapter slots at a server.
-        pub adapter_places: usize,
+        #[serde(rename = "adapter_places")]
+        pub adapter_slots: usize,
         /// Base models that may be loaded from the weight store per second, over all servers.
         pub loads_per_second: f64,
         /// Base models that its servers may hold.
@@ -95,7 +97,8 @@
         /// Unique name, which routes refer to.
         pub service: ServiceName,
         /// Maximum number of connections that a server accepts from all callers together.
-        pub most_connections: usize,
+        #[serde(rename = "most_connections")]
+        pub max_connections: usize,
         /// Set for model engines; `None` for plain services.
         pub engine: Option<EnginePlan>,
     }
@@ -370,8 +373,8 @@
         pub server: crate::id::ServerName,
         /// Start time of this incarnation, in Unix milliseconds as the server states it; 0 if not
         /// stated. Compared only between incarnations with the same name, never with a clock.
-        #[serde(default)]
-        pub born: u64,
+        #[serde(default, rename = "born")]
+        pub incarnation: u64,
         /// Service that it belongs to.
         pub service: ServiceName,
         /// Address for requests.
@@ -410,9 +413,9 @@
 
     /// State that a server reports on request; up to some hundred milliseconds old.
     pub struct ServerReport {
-        /// Start time of this incarnation, as in [`BackendEntry::born`].
-        #[serde(default)]
-        pub born: u64,
+        /// Start time of this incarnation, as in [`BackendEntry::incarnation`].
+        #[serde(default, rename = "born")]
+        pub incarnation: u64,
         /// Number of orders that this incarnation accepted so far.
         pub orders: u64,
         /// Whether a base model is being loaded or unloaded.
--- a/decision/src/row.rs
+++ b/decision/src/row.rs
@@ -7,7 +7,7 @@
 use crate::id::{MICROS_PER_MILLI, TimePoint, VmIdentity};
 
 /// Milliseconds for which updates about a new incarnation include its place.
-const PLACE_UPDATE_MS: u64 = 60_000;
+const ADDRESSES_INCLUDED_MS: u64 = 60_000;
 
 /// View of another VM, or of this VM itself.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,17 +16,17 @@
     pub(crate) place: MemberPlace,
     pub(crate) listed: Option<ListedState>,
     /// Whether an update about it was received; false while it is known from the list alone.
-    pub(crate) heard: bool,
+    pub(crate) received: bool,
     /// When it entered its state, by this VM's clock.
     pub(crate) since: TimePoint,
     /// When its incarnation became known, by this VM's clock.
-    pub(crate) born: TimePoint,
+    pub(crate) incarnation_since: TimePoint,
     /// Whether the last update changed its state; such updates are sent first.
     pub(crate) urgent: bool,
     /// When it was last sent ahead of the probe interval; `None` if not since the last update.
-    pub(crate) pushed: Option<TimePoint>,
+    pub(crate) pushed_at: Option<TimePoint>,
     /// Number of messages in which the last update was sent.
-    pub(crate) told: u32,
+    pub(crate) times_sent: u32,
 }
 
 impl MemberRow {
@@ -90,39 +90,39 @@
             place: None,
             facts: MemberFacts::default(),
         };
-        let mut row = Self::heard(now, digest, entry.place);
-        row.heard = false;
+        let mut row = Self::from_digest(now, digest, entry.place);
+        row.received = false;
         row.listed = Some(entry.state);
         row
     }
 
-    pub(crate) fn heard(now: TimePoint, digest: MemberDigest, place: MemberPlace) -> Self {
-        let (since, born) = (now, now);
+    pub(crate) fn from_digest(now: TimePoint, digest: MemberDigest, place: MemberPlace) -> Self {
+        let (since, incarnation_since) = (now, now);
         Self {
             digest,
             place,
             listed: None,
-            heard: true,
+            received: true,
             since,
-            born,
+            incarnation_since,
             urgent: false,
-            pushed: None,
-            told: 0,
+            pushed_at: None,
+            times_sent: 0,
         }
     }
 
     pub(crate) fn probed(&self) -> bool {
-        self.digest.state != MemberState::Dead || !self.heard
+        self.digest.state != MemberState::Dead || !self.received
     }
 
     /// Whether a VM that is not alive still counts towards the majority: until the platform's list
     /// drops it or it is forgotten. Otherwise the smaller side of a partition would count itself as
     /// the whole.
-    pub(crate) fn recent_death(&self) -> bool {
-        self.heard && self.digest.state != MemberState::Alive
+    pub(crate) fn counts_for_majority(&self) -> bool {
+        self.received && self.digest.state != MemberState::Alive
     }
 
-    pub(crate) fn turn(
+    pub(crate) fn set_state(
         &mut self,
         now: TimePoint,
         state: MemberState,
@@ -132,12 +132,12 @@
         self.digest.state = state;
         self.since = now;
         self.urgent = true;
-        self.pushed = None;
-        self.told = 0;
-        self.report(was, actions);
+        self.pushed_at = None;
+        self.times_sent = 0;
+        self.emit_change(was, actions);
     }
 
-    pub(crate) fn report(&self, was: MemberState, actions: &mut Vec<MemberAction>) {
+    pub(crate) fn emit_change(&self, was: MemberState, actions: &mut Vec<MemberAction>) {
         let state = self.state();
         if was != state {
             let vm = self.digest.vm.clone();
@@ -145,7 +145,7 @@
         }
     }
 
-    pub(crate) fn take(
+    pub(crate) fn merge(
         &mut self,
         now: TimePoint,
         digest: MemberDigest,
@@ -159,15 +159,15 @@
             self.place = place.clone();
         }
         self.digest = digest;
-        self.heard = true;
+        self.received = true;
         self.urgent = state_changed;
-        self.pushed = None;
-        self.told = 0;
+        self.pushed_at = None;
+        self.times_sent = 0;
         if state_changed {
             self.since = now;
         }
         if restarted {
-            self.born = now;
+            self.incarnation_since = now;
             // Reports the earlier incarnation as dead even if it was never detected as dead: an
             // owner whose grants it held waits for its end.
             let earlier = MemberChange { vm: before, was: Some(was), state: MemberState::Dead };
@@ -176,12 +176,12 @@
             actions.push(MemberAction::Changed(MemberChange { vm, was: None, state }));
             return;
         }
-        self.report(was, actions);
+        self.emit_change(was, actions);
     }
 
-    pub(crate) fn tell(&mut self, now: TimePoint) -> MemberDigest {
-        self.told += 1;
-        let recent = now.since(self.born) < PLACE_UPDATE_MS * MICROS_PER_MILLI;
+    pub(crate) fn digest_to_send(&mut self, now: TimePoint) -> MemberDigest {
+        self.times_sent += 1;
+        let recent = now.since(self.incarnation_since) < ADDRESSES_INCLUDED_MS * MICROS_PER_MILLI;
         self.digest_with_place(recent)
     }
 
--- a/decision/src/slot.rs
+++ b/decision/src/slot.rs
@@ -69,7 +69,7 @@
     /// Prefix hash of the last prompt, which the engine may have cached.
     pub(crate) prefix: u64,
     /// Time until which it must not be used, because a deposed owner may still evict it.
-    pub(crate) doomed_until: TimePoint,
+    pub(crate) at_risk_until: TimePoint,
 }
 
 /// Incarnation of an engine that ended, and when a report of the next one was received.
@@ -210,7 +210,7 @@
     /// ignore the engine for ever.
     pub(crate) fn is_past(&self, now: TimePoint, incarnation: ServerIncarnation, lag: u64) -> bool {
         let known = self.past.iter().find(|past| past.incarnation == incarnation);
-        known.is_some_and(|life| now.since(life.ended) < lag)
+        known.is_some_and(|past| now.since(past.ended) < lag)
     }
 
     /// Starts a new incarnation, with no slot loaded.
@@ -251,7 +251,7 @@
     /// Records that a deposed owner may evict `name` until `until`, so that nothing new may use it.
     pub(crate) fn doom(&mut self, name: SlotName, until: TimePoint) {
         if let Some(at) = self.slot(&name) {
-            self.slots[at].doomed_until = until;
+            self.slots[at].at_risk_until = until;
         }
         if self.at_risk.len() == MAX_EXPIRING_NAMES {
             self.at_risk.remove(0);
--- a/decision/src/takeover.rs
+++ b/decision/src/takeover.rs
@@ -127,7 +127,7 @@
     ) -> Vec<ControlRecord> {
         self.pauses.observe(now);
         let waited = now.since(self.started) >= self.settings.settle_ms * MICROS_PER_MILLI;
-        let settled = waited || members.acquainted();
+        let settled = waited || members.all_members_seen();
         let region = members.own().place().region.as_str();
         let eligible =
             members.own().state() == MemberState::Alive && !control.vm_drains(members.own().name());
--- a/decision/src/topology.rs
+++ b/decision/src/topology.rs
@@ -18,7 +18,7 @@
     /// Milliseconds before the first retry of a failed load; doubled for each further one.
     pub load_backoff_ms: u64,
     /// Upper bound of that delay in milliseconds.
-    pub load_backoff_most_ms: u64,
+    pub max_load_backoff_ms: u64,
     /// Milliseconds for which a VM that is considered dead may still use its grants.
     pub zombie_window_ms: u64,
     /// Milliseconds from the grant within which the requester must send the request.
@@ -36,13 +36,13 @@
     /// confirmed it.
     pub fence_retry_ms: u64,
     /// Milliseconds between queries to VMs that have not reported the grants they hold.
-    pub ask_held_ms: u64,
+    pub held_query_interval_ms: u64,
     /// Initial estimate of the load time in milliseconds, until one was measured.
     pub initial_load_ms: u64,
     /// Initial estimate of the service time in milliseconds, until one was measured.
     pub initial_service_ms: u64,
     /// Milliseconds before a deadline from which a load for it is ordered before less urgent loads.
-    pub pressing_ms: u64,
+    pub urgent_load_ms: u64,
     /// Milliseconds for which a scheduled adapter is kept after its due time.
     pub schedule_grace_ms: u64,
     /// Upper bound of pending scheduled loads.
@@ -62,7 +62,7 @@
             order_timeout_ms: 20_000,
             load_attempts: 3,
             load_backoff_ms: 500,
-            load_backoff_most_ms: 30_000,
+            max_load_backoff_ms: 30_000,
             zombie_window_ms: 120_000,
             use_grace_ms: 2_000,
             urgent_reserve_percent: 10,
@@ -70,10 +70,10 @@
             report_lag_ms: 5_000,
             broken_settle_ms: 1_500,
             fence_retry_ms: 1_000,
-            ask_held_ms: 1_000,
+            held_query_interval_ms: 1_000,
             initial_load_ms: 1_000,
             initial_service_ms: 1_000,
-            pressing_ms: 10_000,
+            urgent_load_ms: 10_000,
             schedule_grace_ms: 30_000,
             schedules: 65_536,
             grants: 65_536,
--- a/decision/src/usage.rs
+++ b/decision/src/usage.rs
@@ -22,7 +22,8 @@
     #[derive(Copy, Default)]
     pub struct UsageTotal {
         /// Demand, refused requests included.
-        pub asked: f64,
+        #[serde(rename = "asked")]
+        pub demand: f64,
         /// Admitted and not refunded.
         pub admitted: f64,
     }
@@ -39,7 +40,8 @@
     #[derive(Default)]
     pub struct UsageReport {
         /// Identifies the start point among those of the same VM.
-        pub life: u64,
+        #[serde(rename = "life")]
+        pub start_id: u64,
         /// Milliseconds since the start point.
         pub age_ms: u64,
         /// Totals of customers with demand since the start point; a customer without any may be
@@ -50,11 +52,11 @@
 
 impl UsageTotal {
     pub(crate) fn since(self, earlier: Self) -> Self {
-        Self { asked: self.asked - earlier.asked, admitted: self.admitted - earlier.admitted }
+        Self { demand: self.demand - earlier.demand, admitted: self.admitted - earlier.admitted }
     }
 
     pub(crate) fn add(&mut self, other: Self) {
-        self.asked += other.asked;
+        self.demand += other.demand;
         self.admitted += other.admitted;
     }
 }
@@ -136,7 +138,7 @@
             }
         };
         self.rows.retain(|row| now.since(row.received_at) < LEDGER_RETENTION_US);
-        let previous = previous.filter(|previous| previous.report.life == report.life);
+        let previous = previous.filter(|previous| previous.report.start_id == report.start_id);
         if previous.is_none() && report.age_ms > own_age_ms.saturating_add(START_TOLERANCE_MS) {
             return (Vec::new(), 0);
         }
--- a/decision/tests/suite/domain_updates.rs
+++ b/decision/tests/suite/domain_updates.rs
@@ -20,7 +20,7 @@
 const START: u64 = 100 * SECOND;
 
 fn entry(server: &str) -> BackendEntry {
-    BackendEntry { born: 1, ..engine_entry(server) }
+    BackendEntry { incarnation: 1, ..engine_entry(server) }
 }
 
 fn table(servers: usize) -> BackendTable {
@@ -49,7 +49,8 @@
         usable_from: TimePoint(*usable_from),
         ..AdapterHolding::default()
     };
-    let owner = ServerOwner { vm: "owner".into(), born: 1, fence: 7, at: TimePoint(now), free: 3 };
+    let owner =
+        ServerOwner { vm: "owner".into(), incarnation: 1, fence: 7, at: TimePoint(now), free: 3 };
     assert!(table.list(server, owner, revision, held.iter().map(holding).collect()));
 }
 
@@ -140,17 +141,28 @@
     view.sent("s000", 900, now);
     view.told_loads();
     aggregator.peer_load(&"vm-1".into(), "s000", view.own_load("s000"), now);
-    aggregator.peer_load(&"vm-2".into(), "s000", LoadFigure { running: 4, unread: 100 }, now);
+    aggregator.peer_load(
+        &"vm-2".into(),
+        "s000",
+        LoadFigure { running: 4, pending_prompt_tokens: 100 },
+        now,
+    );
     let mut writer = UpdateWriter::default();
     let other: Vec<(ServerName, LoadFigure)> =
-        vec![("s000".into(), LoadFigure { running: 10, unread: 2_000 })];
+        vec![("s000".into(), LoadFigure { running: 10, pending_prompt_tokens: 2_000 })];
     writer.take_sums(&"vm-9".into(), other, now);
     let fleet = writer.fleet_loads(&aggregator.member_loads(now), now);
-    assert_eq!(fleet[0].1, LoadFigure { running: 15, unread: 3_000 });
+    assert_eq!(fleet[0].1, LoadFigure { running: 15, pending_prompt_tokens: 3_000 });
     view.fleet_load("s000", fleet[0].1, now);
-    assert_eq!(view.get("s000").unwrap().load(now), LoadFigure { running: 15, unread: 3_000 });
+    assert_eq!(
+        view.get("s000").unwrap().load(now),
+        LoadFigure { running: 15, pending_prompt_tokens: 3_000 }
+    );
     view.sent("s000", 500, now);
-    assert_eq!(view.get("s000").unwrap().load(now), LoadFigure { running: 16, unread: 3_500 });
+    assert_eq!(
+        view.get("s000").unwrap().load(now),
+        LoadFigure { running: 16, pending_prompt_tokens: 3_500 }
+    );
     // Expired sums of another aggregator, and an expired sum over the fleet, are not counted.
     let late = TimePoint(START + 2 * SECOND);
     assert_eq!(
@@ -209,7 +221,7 @@
 /// be.
 #[test]
 fn busy_servers() {
-    let figure = |running| LoadFigure { running, unread: 0 };
+    let figure = |running| LoadFigure { running, pending_prompt_tokens: 0 };
     let fleet = |busy: &[(usize, u32)]| {
         let load = |number: usize| {
             let found = busy.iter().find(|(server, _)| *server == number);
--- a/decision/tests/suite/encoded_names.rs
+++ b/decision/tests/suite/encoded_names.rs
@@ -67,7 +67,7 @@
 }
 
 fn digest() -> MemberDigest {
-    let usage = CustomerUsage { tenant: "clinic".into(), per_ks: 1, asked: 2, admitted: 3 };
+    let usage = CustomerUsage { tenant: "clinic".into(), per_ks: 1, demand: 2, admitted: 3 };
     let facts = MemberFacts {
         config: ConfigVersion(4),
         control: 5,
@@ -228,7 +228,7 @@
         target: Duration::from_secs(3),
         target_gap: Some(Duration::from_secs(4)),
         priority: 5,
-        most_servers: 6,
+        max_servers: 6,
         public: true,
     }
 }
@@ -239,11 +239,11 @@
         batch: 3,
         memory_tokens: 4,
         weights_mb: 5.5,
-        adapter_places: 6,
+        adapter_slots: 6,
         loads_per_second: 7.5,
         models: vec![model],
     };
-    ServicePlan { service: "speech".into(), most_connections: 8, engine: Some(engine) }
+    ServicePlan { service: "speech".into(), max_connections: 8, engine: Some(engine) }
 }
 
 fn held_model() -> HeldModel {
@@ -352,11 +352,11 @@
         use_within_ms: 6,
         stall_ms: 7,
         queue_ms: 8,
-        why: Why::Loaded,
+        reason: Why::Loaded,
     };
     let refused = GrantRefusal { reason: RefusalReason::NoServer, retry_after_ms: 9 };
     same(
-        &[ReserveCall { asker: vm(), group: "nbo/base/000".into(), spec: spec() }],
+        &[ReserveCall { requester: vm(), group: "nbo/base/000".into(), spec: spec() }],
         expect![[
             r#"{"asker":{"vm":"nbo-1","incarnation":1},"group":"nbo/base/000","spec":{"id":"r-1","tenant":"clinic","adapter":{"adapter":"swahili","version":"v2"},"model":"base","class":"urgent","deadline_left_ms":4,"repeatable":true,"fingerprint":5,"prefix":6,"prompt_tokens":7,"max_tokens":8,"avoid":["s-1"]}}"#
         ]],
@@ -420,7 +420,7 @@
         fingerprint: RequestFingerprint(5),
     };
     same(
-        &[HeldCall { group: "nbo/base/000".into(), epoch: OwnerEpoch(2), asker: vm() }],
+        &[HeldCall { group: "nbo/base/000".into(), epoch: OwnerEpoch(2), requester: vm() }],
         expect![[r#"{"group":"nbo/base/000","epoch":2,"asker":{"vm":"nbo-1","incarnation":1}}"#]],
     );
     same(
@@ -430,7 +430,7 @@
         ]],
     );
     same(
-        &[WithdrawCall { asker: vm(), group: "nbo/base/000".into(), id: "r-1".into() }],
+        &[WithdrawCall { requester: vm(), group: "nbo/base/000".into(), id: "r-1".into() }],
         expect![[r#"{"asker":{"vm":"nbo-1","incarnation":1},"group":"nbo/base/000","id":"r-1"}"#]],
     );
     let fingerprint = RequestFingerprint(5);
@@ -495,7 +495,12 @@
         vm: vm(),
         state: MemberState::Leaving,
         config: ConfigVersion(4),
-        streams: vec![StreamStatus { stream: "config".into(), next: 5, end: 6, silent_ms: 7 }],
+        streams: vec![StreamStatus {
+            stream: "config".into(),
+            next: 5,
+            end: 6,
+            since_answer_ms: 7,
+        }],
         owners: vec![ownership()],
         groups: vec![group],
         live: vec!["nbo-1".into()],
@@ -557,16 +562,16 @@
         "suspect"
         "dead""#]],
     );
-    let (from, news) = (digest(), vec![digest()]);
+    let (from, updates) = (digest(), vec![digest()]);
     same(
-        &[ProbeMessage { number: 1, from, target: Some("nbo-2".into()), news }],
+        &[ProbeMessage { number: 1, from, target: Some("nbo-2".into()), updates }],
         expect![[
             r#"{"number":1,"from":{"vm":{"vm":"nbo-1","incarnation":1},"sequence":7,"state":"alive","place":{"caller":"10.0.0.1:80","peer":"10.0.0.1:81","domain":"d1","region":"nbo"},"facts":{"config":4,"control":5,"reads_log":true,"weight":6,"usage":[{"tenant":"clinic","per_ks":1,"asked":2,"admitted":3}]}},"target":"nbo-2","news":[{"vm":{"vm":"nbo-1","incarnation":1},"sequence":7,"state":"alive","place":{"caller":"10.0.0.1:80","peer":"10.0.0.1:81","domain":"d1","region":"nbo"},"facts":{"config":4,"control":5,"reads_log":true,"weight":6,"usage":[{"tenant":"clinic","per_ks":1,"asked":2,"admitted":3}]}}]}"#
         ]],
     );
-    let (from, news) = (digest(), vec![digest()]);
+    let (from, updates) = (digest(), vec![digest()]);
     same(
-        &[ProbeReply { number: 1, from, reached: true, news }],
+        &[ProbeReply { number: 1, from, reached: true, updates }],
         expect![[
             r#"{"number":1,"from":{"vm":{"vm":"nbo-1","incarnation":1},"sequence":7,"state":"alive","place":{"caller":"10.0.0.1:80","peer":"10.0.0.1:81","domain":"d1","region":"nbo"},"facts":{"config":4,"control":5,"reads_log":true,"weight":6,"usage":[{"tenant":"clinic","per_ks":1,"asked":2,"admitted":3}]}},"reached":true,"news":[{"vm":{"vm":"nbo-1","incarnation":1},"sequence":7,"state":"alive","place":{"caller":"10.0.0.1:80","peer":"10.0.0.1:81","domain":"d1","region":"nbo"},"facts":{"config":4,"control":5,"reads_log":true,"weight":6,"usage":[{"tenant":"clinic","per_ks":1,"asked":2,"admitted":3}]}}]}"#
         ]],
@@ -737,12 +742,12 @@
         &[LimitExcess { window_s: 1.5, part: 2.5, slack: 3.5 }],
         expect![[r#"{"window_s":1.5,"part":2.5,"slack":3.5}"#]],
     );
-    let standing = BucketState { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
+    let standing = BucketState { customer: "clinic".into(), level: 1.5, demand_per_s: 2.5 };
     same(&[standing], expect![[r#"{"customer":"clinic","level":1.5,"asked_per_s":2.5}"#]]);
-    let total = UsageTotal { asked: 1.5, admitted: 2.5 };
+    let total = UsageTotal { demand: 1.5, admitted: 2.5 };
     let uses = vec![CustomerTotal { customer: "clinic".into(), total }];
     same(
-        &[UsageReport { life: 1, age_ms: 2, uses }],
+        &[UsageReport { start_id: 1, age_ms: 2, uses }],
         expect![[
             r#"{"life":1,"age_ms":2,"uses":[{"customer":"clinic","total":{"asked":1.5,"admitted":2.5}}]}"#
         ]],
@@ -800,7 +805,7 @@
 fn server_entries() {
     let entry = BackendEntry {
         server: "s-1".into(),
-        born: 1,
+        incarnation: 1,
         service: "speech".into(),
         address: ([10, 0, 0, 2], 80).into(),
         domain: "d1".into(),
@@ -817,7 +822,7 @@
         ]],
     );
     let report = ServerReport {
-        born: 1,
+        incarnation: 1,
         orders: 2,
         busy: true,
         models: vec![held_model()],
@@ -860,16 +865,27 @@
     );
     let usable_from = TimePoint(2);
     same(
-        &[AdapterHolding { key: key(), version: 1, usable_from, heat: 3, from_memory: true }],
+        &[AdapterHolding {
+            key: key(),
+            version: 1,
+            usable_from,
+            usage_score: 3,
+            from_memory: true,
+        }],
         expect![[
             r#"{"key":{"model":"base","adapter":"swahili"},"version":1,"usable_from":2,"heat":3,"from_memory":true}"#
         ]],
     );
-    let listed =
-        ListedHolding { key: key(), version: 1, usable_in_ms: 2, heat: 3, from_memory: true };
+    let listed = ListedHolding {
+        key: key(),
+        version: 1,
+        usable_in_ms: 2,
+        usage_score: 3,
+        from_memory: true,
+    };
     let change = ListChange {
         server: "s-1".into(),
-        born: 4,
+        incarnation: 4,
         vm: "nbo-1".into(),
         fence: 5,
         revision: 6,
@@ -888,13 +904,13 @@
 
 #[test]
 fn tenures_and_spans() {
-    let shares = vec![FleetPartition { topic: 1, part: 2 }];
+    let partitions = vec![FleetPartition { topic: 1, partition: 2 }];
     same(
-        &[LeaseRecord { generation: 3, shares }],
+        &[LeaseRecord { generation: 3, partitions }],
         expect![[r#"{"generation":3,"shares":[{"topic":1,"part":2}]}"#]],
     );
     same(
-        &[LeaseSettings { topics: 1, parts: 2, lifetime_us: 3, pause_us: 4 }],
+        &[LeaseSettings { topics: 1, partitions: 2, lifetime_us: 3, takeover_delay_us: 4 }],
         expect![[r#"{"topics":1,"parts":2,"lifetime_us":3,"pause_us":4}"#]],
     );
     same(&[ReportedSpan { since: 1, up_to: 2 }], expect![[r#"{"since":1,"up_to":2}"#]]);
--- a/decision/tests/suite/fixture.rs
+++ b/decision/tests/suite/fixture.rs
@@ -11,7 +11,7 @@
         domain: "d1".into(),
         slots: 16,
         ready: true,
-        born: 0,
+        incarnation: 0,
         heartbeat: 1,
         position: 1,
         models: vec![HeldModel { model: "base".into(), adapters: Vec::new() }],
--- a/decision/tests/suite/load_recovery.rs
+++ b/decision/tests/suite/load_recovery.rs
@@ -35,7 +35,7 @@
 }
 
 fn report(alone_us: u64, each_us: u64) -> ReportedTimes {
-    ReportedTimes { alone_us, each_us, is_proven: false }
+    ReportedTimes { alone_us, each_us, is_shortened: false }
 }
 
 struct Fleet {
@@ -64,7 +64,7 @@
             let forecast = self.vms[load.by].forecast(0);
             if let Some(shorter) = load.load.shortened(&forecast) {
                 load.load = shorter;
-                load.check_at = load.check_at.min(now.max(load.load.at.0 + shorter.look_us));
+                load.check_at = load.check_at.min(now.max(load.load.at.0 + shorter.check_us));
             }
         }
         for vm in 0..self.vms.len() {
@@ -98,7 +98,7 @@
                 times.too_early(load.load, elapsed);
                 let expected = load.load.at.0 + load.load.expected_us;
                 load.check_at = expected.max(now + (elapsed / 4).max(MIN_RETRY_DELAY));
-                load.load.look_us = 0;
+                load.load.check_us = 0;
             } else {
                 times.in_time(load.load);
                 load.check_at = u64::MAX;
@@ -127,7 +127,7 @@
                 by: vm,
                 load,
                 done: now + ALONE.max(ALONE * others / FULL_SPEED),
-                check_at: now + load.look_us,
+                check_at: now + load.check_us,
                 report: self.vms[vm].told(),
                 received_at,
                 is_received: false,
@@ -194,12 +194,12 @@
         let others = random.random_range(0..30);
         let forecast = times.forecast(others);
         let load = times.early_look(forecast).load(TimePoint(0), false);
-        let takes = ALONE.max(ALONE * u64::from(load.beside) / FULL_SPEED);
-        let mut elapsed = load.look_us;
+        let takes = ALONE.max(ALONE * u64::from(load.in_flight) / FULL_SPEED);
+        let mut elapsed = load.check_us;
         let mut first = load;
         while elapsed < takes {
             times.too_early(first, elapsed);
-            first.look_us = 0;
+            first.check_us = 0;
             refused += u32::from(number >= 200);
             elapsed = (elapsed + (elapsed / 4).max(MIN_RETRY_DELAY)).max(load.expected_us);
         }
--- a/decision/tests/suite/load_times.rs
+++ b/decision/tests/suite/load_times.rs
@@ -10,8 +10,8 @@
 const ALONE: u64 = 250 * MILLI;
 const FULL_SPEED: u64 = 8;
 
-fn takes(beside: u32) -> u64 {
-    ALONE.max(ALONE * u64::from(beside) / FULL_SPEED)
+fn takes(in_flight: u32) -> u64 {
+    ALONE.max(ALONE * u64::from(in_flight) / FULL_SPEED)
 }
 
 fn ordered(times: &mut LoadTimes, others: usize) -> OrderedLoad {
@@ -23,9 +23,9 @@
 /// again after a quarter of the time so far. Returns the number of early attempts.
 fn wait_for(times: &mut LoadTimes, others: usize) -> u32 {
     let load = ordered(times, others);
-    let mut elapsed = load.look_us;
+    let mut elapsed = load.check_us;
     let mut refused = 0;
-    while elapsed < takes(load.beside) {
+    while elapsed < takes(load.in_flight) {
         times.too_early(load, elapsed);
         refused += 1;
         elapsed = (elapsed + (elapsed / 4).max(45 * MILLI)).max(load.expected_us);
@@ -48,7 +48,7 @@
     assert!(refused <= 40, "{refused} of 400 came too early");
     for others in [0, 7, 20, 60] {
         let load = ordered(&mut times, others);
-        let late = load.expected_us as f64 / takes(load.beside) as f64;
+        let late = load.expected_us as f64 / takes(load.in_flight) as f64;
         assert!((0.9..1.35).contains(&late), "beside {others} others: {late}");
     }
 }
--- a/decision/tests/suite/member_probes.rs
+++ b/decision/tests/suite/member_probes.rs
@@ -97,7 +97,7 @@
             match action {
                 MemberAction::SendProbe { to, message, .. }
                 | MemberAction::SendIndirect { via: to, message, .. } => {
-                    self.digests = self.digests.max(message.news.len());
+                    self.digests = self.digests.max(message.updates.len());
                     self.send(at, to.as_str(), Message::Probe(message));
                 }
                 MemberAction::Reply { call, reply } => {
--- a/decision/tests/suite/order_lease.rs
+++ b/decision/tests/suite/order_lease.rs
@@ -9,11 +9,11 @@
 const SECOND: u64 = 1_000_000;
 
 fn settings() -> LeaseSettings {
-    LeaseSettings { topics: 1, parts: 1, ..LeaseSettings::default() }
+    LeaseSettings { topics: 1, partitions: 1, ..LeaseSettings::default() }
 }
 
 fn partition() -> FleetPartition {
-    FleetPartition { topic: 0, part: 0 }
+    FleetPartition { topic: 0, partition: 0 }
 }
 
 fn server() -> ServerName {
@@ -86,7 +86,7 @@
 /// partition, so that loads need not wait. It is no evidence under another generation.
 #[test]
 fn restart_resumes() {
-    let record = LeaseRecord { generation: 7, shares: vec![partition()] };
+    let record = LeaseRecord { generation: 7, partitions: vec![partition()] };
     let since = GainedSince::Restart(record);
     let mut same = OrderLease::new(settings());
     renewed(&mut same, at(10), 7, &since);
@@ -102,8 +102,8 @@
 fn record_active_only() {
     let mut lease = OrderLease::new(settings());
     renewed(&mut lease, at(10), 7, &GainedSince::Unknown);
-    assert_eq!(lease.record(at(11)).shares, Vec::new());
-    assert_eq!(lease.record(at(14)).shares, vec![partition()]);
+    assert_eq!(lease.record(at(11)).partitions, Vec::new());
+    assert_eq!(lease.record(at(14)).partitions, vec![partition()]);
 }
 
 /// After a server rejected the fencing number as too old, no orders are sent until the generation
@@ -134,9 +134,9 @@
 #[test]
 fn outage_witnesses() {
     let now = at(100);
-    let unreached = StoreWitness { heard_at: now, reached_at: at(95) };
-    let reached = StoreWitness { heard_at: now, reached_at: at(100) };
-    let unresponsive = StoreWitness { heard_at: at(95), reached_at: at(95) };
+    let unreached = StoreWitness { last_seen: now, reached_at: at(95) };
+    let reached = StoreWitness { last_seen: now, reached_at: at(100) };
+    let unresponsive = StoreWitness { last_seen: at(95), reached_at: at(95) };
     assert_eq!(judge_outage(&[unreached, unreached, unresponsive], now), StoreOutage::ForAll);
     assert_eq!(judge_outage(&[unreached, reached, unreached], now), StoreOutage::Unconfirmed);
     assert_eq!(
--- a/decision/tests/suite/order_tracker.rs
+++ b/decision/tests/suite/order_tracker.rs
@@ -28,7 +28,7 @@
     let adapters =
         adapters.iter().map(|name| HeldAdapter { adapter: (*name).into(), version: 1 }).collect();
     let models = vec![HeldModel { model: "base".into(), adapters }];
-    ServerReport { born: 0, orders, busy: false, models, pending: Vec::new() }
+    ServerReport { incarnation: 0, orders, busy: false, models, pending: Vec::new() }
 }
 
 /// Returns the tracker of a server that reported `adapters`.
@@ -162,8 +162,13 @@
     let now = TimePoint(0);
     let mut tracker = OrderTracker::new(TrackerSettings::default(), SLOTS, now);
     assert_eq!(tracker.next(None, &forecast(), now), Some(TrackerAction::Query));
-    let empty =
-        ServerReport { born: 0, orders: 0, busy: false, models: Vec::new(), pending: Vec::new() };
+    let empty = ServerReport {
+        incarnation: 0,
+        orders: 0,
+        busy: false,
+        models: Vec::new(),
+        pending: Vec::new(),
+    };
     tracker.reported(Some(&empty), &forecast(), now);
     assert!(tracker.is_empty());
     let model = "base".into();
--- a/decision/tests/suite/owner_rules.rs
+++ b/decision/tests/suite/owner_rules.rs
@@ -99,7 +99,7 @@
             max_tokens: 1,
             avoid: Vec::new(),
         };
-        self.handle(OwnerEvent::Reserve { ticket: self.tickets, asker: vm(0), spec })
+        self.handle(OwnerEvent::Reserve { ticket: self.tickets, requester: vm(0), spec })
     }
 
     fn tick(&mut self, elapsed: u64) -> Vec<OwnerAction> {
@@ -336,7 +336,7 @@
         "the scheduled adapter is kept"
     );
     let granted = grants(&harness.reserve(9, RequestClass::Scheduled));
-    assert_eq!(granted[0].why, PlacementReason::LoadedAhead);
+    assert_eq!(granted[0].reason, PlacementReason::LoadedAhead);
 }
 
 // A draining server gets no new grants; if all drain, requests are refused.
@@ -415,10 +415,10 @@
     let granted = grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 5));
     harness.release(&granted[0], GrantEnd::Broken);
     let again = grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 5));
-    assert_eq!(again[0].why, PlacementReason::Isolated);
+    assert_eq!(again[0].reason, PlacementReason::Isolated);
     harness.release(&again[0], GrantEnd::Done);
     harness.tick(2 * SECOND);
     harness.report(0, 1, &["a1@v1#1.7"]);
     let settled = grants(&harness.reserve_as(1, RequestClass::Urgent, "t", 5));
-    assert_eq!(settled[0].why, PlacementReason::Loaded);
+    assert_eq!(settled[0].reason, PlacementReason::Loaded);
 }
--- a/decision/tests/suite/owner_world.rs
+++ b/decision/tests/suite/owner_world.rs
@@ -257,8 +257,8 @@
             owner: self.current(),
         });
         let ticket = self.requests.len() as u64 - 1;
-        let asker = vm(ticket as usize % 3);
-        self.deliver(self.current(), OwnerEvent::Reserve { ticket, asker, spec });
+        let requester = vm(ticket as usize % 3);
+        self.deliver(self.current(), OwnerEvent::Reserve { ticket, requester, spec });
         ticket
     }
 
--- a/decision/tests/suite/prefill_rate.rs
+++ b/decision/tests/suite/prefill_rate.rs
@@ -30,15 +30,15 @@
     for (number, score) in scores.iter().enumerate() {
         let server = format!("s{number}");
         table.entry(BackendEntry { slots: 48, ..engine_entry(&server) }, now);
-        let holding = |name: &str, heat| AdapterHolding {
+        let holding = |name: &str, usage_score| AdapterHolding {
             key: key(name),
             version: 1,
-            heat,
+            usage_score,
             ..AdapterHolding::default()
         };
         let mut holdings = vec![holding("other", 5)];
         holdings.extend(score.map(|score| holding("a1", score)));
-        let owner = ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free: 4 };
+        let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
         assert!(table.list(&server, owner, 1, holdings));
     }
     table.sent("s0", 1_900, now);
@@ -121,7 +121,7 @@
     let now = TimePoint(1_000_000);
     let mut table = engines(&[Some(1), None], now);
     assert!(is_sent(&choose(&table, 1_400, Some(GAP), now), "s0"));
-    let figure = |unread| LoadFigure { running: 2, unread };
+    let figure = |pending_prompt_tokens| LoadFigure { running: 2, pending_prompt_tokens };
     table.peer_load(&"b".into(), "s0", figure(2_800), now);
     let ServerChoice::Hold { until, .. } = choose(&table, 1_400, Some(GAP), now) else {
         panic!("it is not held back")
@@ -137,7 +137,12 @@
 fn other_holder() {
     let now = TimePoint(1_000_000);
     let mut table = engines(&[Some(5), Some(5)], now);
-    table.peer_load(&"b".into(), "s0", LoadFigure { running: 3, unread: 4_000 }, now);
+    table.peer_load(
+        &"b".into(),
+        "s0",
+        LoadFigure { running: 3, pending_prompt_tokens: 4_000 },
+        now,
+    );
     assert!(is_sent(&choose(&table, 1_400, Some(GAP), now), "s1"));
 }
 
@@ -147,7 +152,12 @@
 fn old_counts() {
     let reported = TimePoint(1_000_000);
     let mut table = engines(&[Some(1)], reported);
-    table.peer_load(&"b".into(), "s0", LoadFigure { running: 3, unread: 4_000 }, reported);
+    table.peer_load(
+        &"b".into(),
+        "s0",
+        LoadFigure { running: 3, pending_prompt_tokens: 4_000 },
+        reported,
+    );
     let held = |after_ms: u64| {
         let now = reported.plus(after_ms * 1_000);
         matches!(choose(&table, 1_400, Some(GAP), now), ServerChoice::Hold { .. })
@@ -163,7 +173,7 @@
     let now = TimePoint(1_000_000);
     let mut table = engines(&[Some(1)], now);
     assert!(is_sent(&choose(&table, 4_500, Some(GAP), now), "s0"));
-    table.peer_load(&"b".into(), "s0", LoadFigure { running: 1, unread: 900 }, now);
+    table.peer_load(&"b".into(), "s0", LoadFigure { running: 1, pending_prompt_tokens: 900 }, now);
     assert!(matches!(choose(&table, 4_500, Some(GAP), now), ServerChoice::Hold { .. }));
     assert!(is_sent(&choose(&table, 4_500, None, now), "s0"));
 }
@@ -175,7 +185,12 @@
     let now = TimePoint(1_000_000);
     let held_with = |scores: &[Option<u32>]| {
         let mut table = engines(scores, now);
-        table.peer_load(&"b".into(), "s0", LoadFigure { running: 4, unread: 4_000 }, now);
+        table.peer_load(
+            &"b".into(),
+            "s0",
+            LoadFigure { running: 4, pending_prompt_tokens: 4_000 },
+            now,
+        );
         match choose(&table, 1_400, Some(GAP), now) {
             ServerChoice::Hold { copy, .. } => copy,
             other => panic!("not held: {other:?}"),
--- a/decision/tests/suite/removed_keys.rs
+++ b/decision/tests/suite/removed_keys.rs
@@ -35,7 +35,7 @@
         target: Duration::from_millis(100),
         target_gap: None,
         priority,
-        most_servers: 1,
+        max_servers: 1,
         public,
     };
     let plan = CustomerPlan {
--- a/decision/tests/suite/route_table.rs
+++ b/decision/tests/suite/route_table.rs
@@ -18,7 +18,7 @@
         target: Duration::from_millis(100),
         target_gap: None,
         priority: 0,
-        most_servers: 1,
+        max_servers: 1,
         public: false,
     }
 }
--- a/decision/tests/suite/server_choice.rs
+++ b/decision/tests/suite/server_choice.rs
@@ -34,13 +34,13 @@
 }
 
 fn list(table: &mut BackendTable, server: &str, adapters: &[&str], now: TimePoint) {
-    let owner = ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free: 4 };
+    let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
     let holdings = adapters.iter().map(|name| holding(name, 0)).collect();
     assert!(table.list(server, owner, now.0, holdings));
 }
 
-fn holding(adapter: &str, heat: u32) -> AdapterHolding {
-    AdapterHolding { key: key(adapter), version: 1, heat, ..AdapterHolding::default() }
+fn holding(adapter: &str, usage_score: u32) -> AdapterHolding {
+    AdapterHolding { key: key(adapter), version: 1, usage_score, ..AdapterHolding::default() }
 }
 
 /// Requirements of a request for `adapter`, with the values that [`ServerRequirements`] borrows.
@@ -99,7 +99,7 @@
     let need = Need::new("a1");
     table.sent("s0", 5_000, now);
     assert_eq!(sent_to(&need.choose(&table, 7, now)), "s1");
-    let figure = LoadFigure { running: 40, unread: 20_000 };
+    let figure = LoadFigure { running: 40, pending_prompt_tokens: 20_000 };
     table.peer_load(&"b".into(), "s1", figure, now);
     assert_eq!(sent_to(&need.choose(&table, 7, now)), "s0");
 }
@@ -130,7 +130,7 @@
 fn overloaded_copy() {
     let now = TimePoint(SECOND);
     let mut table = table(4, |number| if number == 0 { vec!["a1"] } else { vec![] }, now);
-    let busy = |running| LoadFigure { running, unread: 100 * u64::from(running) };
+    let busy = |running| LoadFigure { running, pending_prompt_tokens: 100 * u64::from(running) };
     for (server, running) in [("s0", 60), ("s1", 20), ("s2", 20), ("s3", 5)] {
         table.peer_load(&"b".into(), server, busy(running), now);
     }
@@ -138,7 +138,7 @@
     let copy = Some("s3".into());
     assert_eq!(choice, ServerChoice::Send { server: "s0".into(), copy });
     // One copy in flight is enough.
-    let owner = ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free: 4 };
+    let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
     let in_flight = AdapterHolding { usable_from: now.plus(SECOND), ..holding("a1", 0) };
     table.list("s3", owner, now.0 + 1, vec![in_flight]);
     let choice = Need::new("a1").choose(&table, 1, now);
@@ -151,13 +151,18 @@
 fn rarely_used_not_copied() {
     let now = TimePoint(SECOND);
     let mut table = table(4, |_| vec![], now);
-    let owner = ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free: 4 };
+    let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
     let mixed = vec![holding("a1", 50), holding("a2", 1)];
     assert!(table.list("s0", owner.clone(), now.0 + 1, mixed));
     for server in ["s1", "s2", "s3"] {
         assert!(table.list(server, owner.clone(), now.0 + 1, vec![holding("a3", 20)]));
     }
-    table.peer_load(&"b".into(), "s0", LoadFigure { running: 60, unread: 9_000 }, now);
+    table.peer_load(
+        &"b".into(),
+        "s0",
+        LoadFigure { running: 60, pending_prompt_tokens: 9_000 },
+        now,
+    );
     let copy = |adapter: &str| match Need::new(adapter).choose(&table, 1, now) {
         ServerChoice::Send { copy, .. } => copy.is_some(),
         other => panic!("not sent: {other:?}"),
@@ -190,15 +195,15 @@
 fn demanded_copies() {
     let now = TimePoint(SECOND);
     let mut table = table(8, |_| vec![], now);
-    let owner = ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free: 4 };
+    let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
     let mut held: Vec<String> = vec!["s0".into()];
     for round in 1..=8 {
-        let heat = 200 / held.len() as u32;
+        let usage_score = 200 / held.len() as u32;
         for number in 0..8 {
             let server = format!("s{number}");
             let mut holdings = vec![holding("b", 75)];
             if held.contains(&server) {
-                holdings.push(holding("a1", heat));
+                holdings.push(holding("a1", usage_score));
             }
             assert!(table.list(&server, owner.clone(), now.0 + round, holdings));
         }
@@ -221,7 +226,7 @@
     let now = TimePoint(SECOND);
     let mut table = table(2, |_| vec![], now);
     let other = ServerChoice::Load { server: "s1".into() };
-    let owner = |free| ServerOwner { vm: "a".into(), born: 0, fence: 1, at: now, free };
+    let owner = |free| ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free };
     assert_eq!(table.load_elsewhere("s0".into(), &other, now).as_str(), "s1");
     assert!(table.list("s1", owner(0), now.0 + 1, vec![]));
     assert_eq!(table.load_elsewhere("s0".into(), &other, now).as_str(), "s0");
@@ -237,7 +242,8 @@
     let now = TimePoint(SECOND);
     let mut table = table(1, |_| vec!["a1"], now);
     let holdings = vec![holding("a2", 0)];
-    let owner = |vm: &str, fence| ServerOwner { vm: vm.into(), born: 0, fence, at: now, free: 0 };
+    let owner =
+        |vm: &str, fence| ServerOwner { vm: vm.into(), incarnation: 0, fence, at: now, free: 0 };
     assert!(!table.list("s0", owner("a", 1), 3, holdings.clone()));
     assert!(table.list("s0", owner("b", 2), 1, holdings.clone()));
     assert!(!table.list("s0", owner("a", 1), u64::MAX, holdings));
--- a/decision/tests/suite/server_lives.rs
+++ b/decision/tests/suite/server_lives.rs
@@ -14,16 +14,16 @@
 
 const NOW: TimePoint = TimePoint(1_000_000);
 
-fn entry(born: u64, heartbeat: u64, position: u64) -> BackendEntry {
-    BackendEntry { born, slots: 64, heartbeat, position, ..engine_entry("s0") }
+fn entry(incarnation: u64, heartbeat: u64, position: u64) -> BackendEntry {
+    BackendEntry { incarnation, slots: 64, heartbeat, position, ..engine_entry("s0") }
 }
 
-fn list(table: &mut BackendTable, born: u64, revision: u64, adapters: &[&str]) -> bool {
-    let owner = ServerOwner { vm: "a".into(), born, fence: 1, at: NOW, free: 4 };
+fn list(table: &mut BackendTable, incarnation: u64, revision: u64, adapters: &[&str]) -> bool {
+    let owner = ServerOwner { vm: "a".into(), incarnation, fence: 1, at: NOW, free: 4 };
     let holding = |name: &&str| AdapterHolding {
         key: AdapterKey { model: "base".into(), adapter: (*name).into() },
         version: 1,
-        heat: 1,
+        usage_score: 1,
         ..AdapterHolding::default()
     };
     table.list("s0", owner, revision, adapters.iter().map(holding).collect())
--- a/decision/tests/suite/takeover_rank.rs
+++ b/decision/tests/suite/takeover_rank.rs
@@ -52,7 +52,7 @@
             place: Some(place()),
             facts: MemberFacts::default(),
         };
-        let message = ProbeMessage { number: 1, from, target: None, news: Vec::new() };
+        let message = ProbeMessage { number: 1, from, target: None, updates: Vec::new() };
         table.handle(now, MemberEvent::Probe { call: 1, message }, &mut rng, &mut actions);
     }
     table
--- a/decision/tests/suite/tenant_limits.rs
+++ b/decision/tests/suite/tenant_limits.rs
@@ -61,7 +61,7 @@
                     place: Some(place()),
                     facts,
                 };
-                let message = ProbeMessage { number: 1, from, target: None, news: Vec::new() };
+                let message = ProbeMessage { number: 1, from, target: None, updates: Vec::new() };
                 let event = MemberEvent::Probe { call: 1, message };
                 tables[at].handle(start, event, &mut rng, &mut Vec::new());
             }
--- a/entry/src/follow.rs
+++ b/entry/src/follow.rs
@@ -115,12 +115,12 @@
 /// Says once that the log is down, and once that this VM is out of touch with other VMs as well.
 fn log_failed(core: &EntryCore, stream: FollowedStream, error: &LogError) {
     let now = core.clock.now();
-    let silent_ms = core.health.silent_ms(now);
+    let since_answer_ms = core.health.since_answer_ms(now);
     if core.health.found_down(now) {
-        event!(LogDown, stream = stream.name(), silent_ms = silent_ms, error = error);
+        event!(LogDown, stream = stream.name(), silent_ms = since_answer_ms, error = error);
     }
     if core.health.found_stale(now, core.settings.stale_ms) {
-        event!(ConfigStale, version = core.view().version, silent_ms = silent_ms);
+        event!(ConfigStale, version = core.view().version, silent_ms = since_answer_ms);
     }
 }
 
--- a/entry/src/health.rs
+++ b/entry/src/health.rs
@@ -96,7 +96,7 @@
     }
 
     /// Milliseconds since the log answered a read.
-    pub(crate) fn silent_ms(&self, now: TimePoint) -> u64 {
+    pub(crate) fn since_answer_ms(&self, now: TimePoint) -> u64 {
         now.since(TimePoint(self.read.load(Ordering::Relaxed))) / MICROS_PER_MILLI
     }
 
--- a/entry/src/measure.rs
+++ b/entry/src/measure.rs
@@ -105,7 +105,7 @@
         self.set.set_config(core.view().version, core.ready().is_ok());
         for stream in FollowedStream::ALL {
             let behind = core.health.end(stream as usize).saturating_sub(stream.next(core));
-            self.set.set_log_lag(stream_label(stream), behind, core.health.silent_ms(now));
+            self.set.set_log_lag(stream_label(stream), behind, core.health.since_answer_ms(now));
         }
         self.refresh_groups(core);
         self.refresh_members(core);
--- a/entry/src/own.rs
+++ b/entry/src/own.rs
@@ -59,14 +59,14 @@
 
 struct WaitingAsker {
     ticket: u64,
-    asker: VmIdentity,
+    requester: VmIdentity,
     id: RequestId,
     answer: oneshot::Sender<ReserveReply>,
 }
 
 struct OutGrant {
     number: u64,
-    asker: VmIdentity,
+    requester: VmIdentity,
     id: RequestId,
     server: ServerName,
 }
@@ -103,7 +103,7 @@
     pub(crate) async fn reserve(
         self: &Arc<Self>,
         core: &Arc<EntryCore>,
-        asker: VmIdentity,
+        requester: VmIdentity,
         spec: RequestSpec,
     ) -> ReserveReply {
         let (answer, answered) = oneshot::channel();
@@ -112,17 +112,17 @@
             let ticket = state.next_ticket;
             state.next_ticket += 1;
             let id = spec.id.clone();
-            state.waiting.push(WaitingAsker { ticket, asker: asker.clone(), id, answer });
+            state.waiting.push(WaitingAsker { ticket, requester: requester.clone(), id, answer });
             ticket
         };
         let mut guard = ReserveGuard {
             core: Arc::clone(core),
             shard: Arc::clone(self),
-            asker: asker.clone(),
+            requester: requester.clone(),
             ticket,
             answered: Some(answered),
         };
-        self.drive(core, OwnerEvent::Reserve { ticket, asker, spec });
+        self.drive(core, OwnerEvent::Reserve { ticket, requester, spec });
         guard.wait().await
     }
 
@@ -133,12 +133,13 @@
             let waits = state
                 .waiting
                 .iter()
-                .find(|waiting| waiting.id == call.id && waiting.asker == call.asker);
-            let out = state.out.iter().find(|out| out.id == call.id && out.asker == call.asker);
+                .find(|waiting| waiting.id == call.id && waiting.requester == call.requester);
+            let out =
+                state.out.iter().find(|out| out.id == call.id && out.requester == call.requester);
             match (waits, out) {
                 (Some(waiting), _) => OwnerEvent::Withdraw { ticket: waiting.ticket },
                 (None, Some(out)) => {
-                    OwnerEvent::Release(self.unused(out.number, call.asker.clone()))
+                    OwnerEvent::Release(self.unused(out.number, call.requester.clone()))
                 }
                 (None, None) => return,
             }
@@ -240,7 +241,7 @@
 
     async fn ask_held(self: &Arc<Self>, core: &Arc<EntryCore>, vm: &VmName) {
         let call =
-            HeldCall { group: self.group.clone(), epoch: self.epoch, asker: core.me.clone() };
+            HeldCall { group: self.group.clone(), epoch: self.epoch, requester: core.me.clone() };
         if *vm == core.me.vm {
             let grants = answer_held(core, &call);
             self.drive(core, OwnerEvent::GrantsReported { vm: core.me.clone(), grants });
@@ -315,10 +316,11 @@
         let number = grant.id.number;
         let id = grant.id.clone();
         let Some(waiting) = self.take_waiting(ticket) else { return };
-        let holder = waiting.asker.clone();
+        let holder = waiting.requester.clone();
         let at = self.out.partition_point(|out| out.number < number);
         let server = grant.server.clone();
-        self.out.insert(at, OutGrant { number, asker: waiting.asker, id: waiting.id, server });
+        self.out
+            .insert(at, OutGrant { number, requester: waiting.requester, id: waiting.id, server });
         if waiting.answer.send(ReserveReply::Granted(grant)).is_err() {
             let call = ReleaseCall { holder, grant: id, end: GrantEnd::NotRun, tokens: 0 };
             events.push(OwnerEvent::Release(call));
@@ -349,7 +351,7 @@
 struct ReserveGuard {
     core: Arc<EntryCore>,
     shard: Arc<OwnerShard>,
-    asker: VmIdentity,
+    requester: VmIdentity,
     ticket: u64,
     answered: Option<oneshot::Receiver<ReserveReply>>,
 }
@@ -369,7 +371,7 @@
         answered.close();
         let event = match answered.try_recv() {
             Ok(ReserveReply::Granted(grant)) => {
-                OwnerEvent::Release(self.shard.unused(grant.id.number, self.asker.clone()))
+                OwnerEvent::Release(self.shard.unused(grant.id.number, self.requester.clone()))
             }
             Ok(ReserveReply::Refused(_)) => return,
             Err(_) => OwnerEvent::Withdraw { ticket: self.ticket },
--- a/entry/src/peers.rs
+++ b/entry/src/peers.rs
@@ -39,7 +39,7 @@
 
     async fn reserve(&self, call: ReserveCall) -> ReserveReply {
         match self.core.shard(call.group.as_str()) {
-            Some(shard) => shard.reserve(&self.core, call.asker, call.spec).await,
+            Some(shard) => shard.reserve(&self.core, call.requester, call.spec).await,
             None => not_owner(),
         }
     }
@@ -86,7 +86,7 @@
             number,
             from: members.own().digest().clone(),
             reached: false,
-            news: Vec::new(),
+            updates: Vec::new(),
         }
     }
 }
@@ -100,7 +100,7 @@
             stream: stream.name().to_owned(),
             next,
             end: core.health.end(*stream as usize).max(next),
-            silent_ms: core.health.silent_ms(now),
+            since_answer_ms: core.health.since_answer_ms(now),
         }
     });
     let streams = streams.collect();
--- a/entry/src/release.rs
+++ b/entry/src/release.rs
@@ -124,8 +124,8 @@
     }
 }
 
-/// Takes a grant back at its owner. A VM that does not own the group forgets it: the asker learns of
-/// the new owner from the log and tells that one.
+/// Takes a grant back at its owner. A VM that does not own the group forgets it: the requester
+/// learns of the new owner from the log and tells that one.
 pub(crate) fn take_release(core: &Arc<EntryCore>, call: ReleaseCall) {
     if let Some(shard) = core.shard(call.grant.group.as_str()) {
         shard.drive(core, OwnerEvent::Release(call));
--- a/entry/src/reserve.rs
+++ b/entry/src/reserve.rs
@@ -118,7 +118,7 @@
     spec: &RequestSpec,
 ) -> Result<ReserveReply, PeerError> {
     let limit = spec.deadline_left_ms.map_or(LONGEST_WAIT, Duration::from_millis) + WAY_BACK;
-    let call = ReserveCall { asker: core.me.clone(), group: group.clone(), spec: spec.clone() };
+    let call = ReserveCall { requester: core.me.clone(), group: group.clone(), spec: spec.clone() };
     let mut guard = WithdrawGuard {
         core: Arc::clone(core),
         target: target.clone(),
@@ -167,7 +167,7 @@
             return;
         }
         let call = WithdrawCall {
-            asker: self.core.me.clone(),
+            requester: self.core.me.clone(),
             group: self.group.clone(),
             id: self.id.clone(),
         };
@@ -225,7 +225,7 @@
             use_within_ms: OWNERLESS_USE_MS,
             stall_ms: 0,
             queue_ms: 0,
-            why: PlacementReason::WithoutOwner,
+            reason: PlacementReason::WithoutOwner,
         };
         best = Some((load, grant));
     }
--- a/entry/src/serve.rs
+++ b/entry/src/serve.rs
@@ -339,7 +339,7 @@
         StepKind::Granted,
         format!(
             "server={server} slot={} why={:?} stall_ms={} queue_ms={}",
-            grant.slot, grant.why, grant.stall_ms, grant.queue_ms
+            grant.slot, grant.reason, grant.stall_ms, grant.queue_ms
         ),
     );
     run.metrics.waited(seconds(grant.stall_ms), seconds(grant.queue_ms));
--- a/entry/src/watch.rs
+++ b/entry/src/watch.rs
@@ -102,10 +102,10 @@
             return;
         }
         let report = core.clients.engines.report(entry.address).await;
-        let life = report.as_ref().ok().map(|report| report.incarnation);
-        if engine.checks_fencing && life.is_some() && fenced != life {
+        let incarnation = report.as_ref().ok().map(|report| report.incarnation);
+        if engine.checks_fencing && incarnation.is_some() && fenced != incarnation {
             if raise_fence(&core, &shard, entry.address).await {
-                fenced = life;
+                fenced = incarnation;
             }
             continue;
         }
--- a/gateway/src/aggregate.rs
+++ b/gateway/src/aggregate.rs
@@ -205,8 +205,8 @@
     let lists = beliefs.domain.writer.changes(&beliefs.backends, bytes / 2 / LISTED_BYTES, now);
     let fleet = beliefs.domain.writer.news_loads(fleet, bytes / 2 / LOAD_BYTES);
     let times = beliefs.times.told();
-    let is_proven = times.is_proven | std::mem::take(&mut beliefs.domain.shorter);
-    let times = ReportedTimes { is_proven, ..times };
+    let is_shortened = times.is_shortened | std::mem::take(&mut beliefs.domain.shorter);
+    let times = ReportedTimes { is_shortened, ..times };
     let vm = gateway.settings.vm.clone();
     let standings = beliefs.limiter.standings(now);
     let uses = beliefs.limiter.sums(now);
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -411,7 +411,7 @@
                 event!(
                     ServerRestarted,
                     server = entry.server,
-                    born = entry.born,
+                    born = entry.incarnation,
                     told_by = "entry"
                 );
                 true
--- a/gateway/src/group.rs
+++ b/gateway/src/group.rs
@@ -113,7 +113,7 @@
     let record = value.and_then(|value| rmp_serde::from_slice::<LeaseRecord>(&value).ok());
     match record {
         Some(record) => {
-            event!(TenureRead, generation = record.generation, shares = record.shares.len());
+            event!(TenureRead, generation = record.generation, shares = record.partitions.len());
             GainedSince::Restart(record)
         }
         None => GainedSince::Unknown,
@@ -216,7 +216,7 @@
     written: &mut LeaseRecord,
     link: &mut StoreLink,
 ) {
-    if record == written || record.shares.is_empty() {
+    if record == written || record.partitions.is_empty() {
         return;
     }
     let value = match rmp_serde::to_vec(record) {
--- a/gateway/src/message.rs
+++ b/gateway/src/message.rs
@@ -60,7 +60,8 @@
         /// Requests that have not ended.
         pub running: u32,
         /// Prompt tokens of those requests that have had no first event.
-        pub unread: u64,
+        #[serde(rename = "unread")]
+        pub pending_prompt_tokens: u64,
     }
 
     /// A VM's requests at servers where they changed recently, sent between two state messages.
@@ -151,7 +152,8 @@
     pub(crate) struct AdapterUse {
         pub server: ServerName,
         /// Start time of the server's incarnation.
-        pub born: u64,
+        #[serde(rename = "born")]
+        pub incarnation: u64,
         pub key: AdapterKey,
         /// Requests that began since the last message.
         pub count: u32,
@@ -257,12 +259,16 @@
 impl ServerLoad {
     /// Converts a count to its form in messages.
     pub(crate) fn of((server, figure): (ServerName, LoadFigure)) -> Self {
-        Self { server, running: figure.running, unread: figure.unread }
+        Self {
+            server,
+            running: figure.running,
+            pending_prompt_tokens: figure.pending_prompt_tokens,
+        }
     }
 
     /// Returns the reported count.
     pub(crate) fn figure(&self) -> LoadFigure {
-        LoadFigure { running: self.running, unread: self.unread }
+        LoadFigure { running: self.running, pending_prompt_tokens: self.pending_prompt_tokens }
     }
 }
 
@@ -270,15 +276,16 @@
     /// Returns what is to be reported now, and resets all but the server, the adapter and the
     /// running requests.
     pub(crate) fn take(&mut self) -> Self {
-        let later = Self { running: self.running, ..Self::of(&self.server, self.born, &self.key) };
+        let later =
+            Self { running: self.running, ..Self::of(&self.server, self.incarnation, &self.key) };
         std::mem::replace(self, later)
     }
 
     /// Returns a use with nothing recorded yet.
-    pub(crate) fn of(server: &ServerName, born: u64, key: &AdapterKey) -> Self {
+    pub(crate) fn of(server: &ServerName, incarnation: u64, key: &AdapterKey) -> Self {
         Self {
             server: server.clone(),
-            born,
+            incarnation,
             key: key.clone(),
             count: 0,
             running: 0,
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -35,7 +35,7 @@
     server: ServerName,
     /// Start time of the incarnation that the tracker is for. A later incarnation has accepted no
     /// orders and holds nothing.
-    born: u64,
+    incarnation: u64,
     fence: u64,
     tracker: OrderTracker,
     reported_revision: u64,
@@ -93,11 +93,15 @@
         entry.tracker.wish(key, version, waiting, now);
     }
 
-    /// Returns the tracker of a server, if it is for the incarnation that started at `born`.
-    fn of_incarnation(&mut self, server: &ServerName, born: u64) -> Option<&mut OrderTracker> {
+    /// Returns the tracker of a server, if it is for the incarnation `incarnation`.
+    fn of_incarnation(
+        &mut self,
+        server: &ServerName,
+        incarnation: u64,
+    ) -> Option<&mut OrderTracker> {
         let at = self.find(server).ok()?;
         let entry = &mut self.trackers[at];
-        (entry.born == born).then_some(&mut entry.tracker)
+        (entry.incarnation == incarnation).then_some(&mut entry.tracker)
     }
 
     fn close(&mut self, server: &ServerName) -> bool {
@@ -106,17 +110,17 @@
     }
 
     fn open(&mut self, server: &ServerName, terms: &OrderTerms, now: TimePoint) -> usize {
-        let OrderTerms { born, fence, slots, .. } = *terms;
-        if self.find(server).is_ok_and(|at| self.trackers[at].born != born) {
+        let OrderTerms { incarnation, fence, slots, .. } = *terms;
+        if self.find(server).is_ok_and(|at| self.trackers[at].incarnation != incarnation) {
             self.close(server);
         }
         let at = self.find(server).unwrap_or_else(|at| {
-            event!(OwnerTaken, server = server, born = born, fence = fence, places = slots);
+            event!(OwnerTaken, server = server, born = incarnation, fence = fence, places = slots);
             let tracker = OrderTracker::new(TrackerSettings::default(), slots, now);
             let server = server.clone();
             let entry = ServerTracker {
                 server,
-                born,
+                incarnation,
                 fence,
                 tracker,
                 reported_revision: 0,
@@ -147,7 +151,7 @@
 /// Parameters for ordering a server.
 struct OrderTerms {
     address: SocketAddr,
-    born: u64,
+    incarnation: u64,
     fence: u64,
     slots: usize,
     /// The base model to load if it holds none.
@@ -157,7 +161,7 @@
 /// A call to be sent to a server.
 struct ServerCall {
     address: SocketAddr,
-    born: u64,
+    incarnation: u64,
     fence: u64,
     action: TrackerAction,
 }
@@ -261,7 +265,7 @@
             return None;
         };
         let at = self.books.open(server, &terms, now);
-        let OrderTerms { address, born, fence, model, .. } = terms;
+        let OrderTerms { address, incarnation, fence, model, .. } = terms;
         let forecast = self.forecast(now);
         let may_load = model.is_some() && self.books.trackers[at].tracker.is_empty();
         let entry = &mut self.books.trackers[at];
@@ -271,7 +275,7 @@
         {
             self.books.model_load_at = Some(now);
         }
-        let call = action.map(|action| ServerCall { address, born, fence, action });
+        let call = action.map(|action| ServerCall { address, incarnation, fence, action });
         let list = self.due_list(gateway, at, now);
         Some((call, list))
     }
@@ -294,8 +298,8 @@
         let fence = self.fence(&gateway.settings, server, now)?;
         let slots = adapter_slots(plan, &state.entry.models);
         let model = self.model_to_load(plan, now);
-        let (address, born) = (state.entry.address, state.entry.born);
-        Some(OrderTerms { address, born, fence, slots, model })
+        let (address, incarnation) = (state.entry.address, state.entry.incarnation);
+        Some(OrderTerms { address, incarnation, fence, slots, model })
     }
 
     /// Returns the base model that an empty server should load, which is the one that the fewest
@@ -334,7 +338,7 @@
         let holdings = entry.tracker.adapters(now);
         let change = ListChange {
             server: entry.server.clone(),
-            born: entry.born,
+            incarnation: entry.incarnation,
             vm: gateway.settings.vm.clone(),
             fence: entry.fence,
             revision: entry.reported_revision,
@@ -345,7 +349,7 @@
         };
         let owner = ServerOwner {
             vm: change.vm.clone(),
-            born: change.born,
+            incarnation: change.incarnation,
             fence: change.fence,
             at: now,
             free,
@@ -361,7 +365,7 @@
         lists,
         load_us: u32::try_from(times.alone_us).unwrap_or(u32::MAX),
         each_us: u32::try_from(times.each_us).unwrap_or(u32::MAX),
-        shorter: times.is_proven,
+        shorter: times.is_shortened,
     }
 }
 
@@ -374,10 +378,10 @@
     let models: f64 = held.iter().map(|held| weights(&held.model)).sum();
     let largest = plan.models.iter().map(|model| model.adapter_mb).fold(0.0, f64::max);
     if largest <= 0.0 {
-        return plan.adapter_places;
+        return plan.adapter_slots;
     }
     let room = ((plan.weights_mb - models).max(0.0) / largest) as usize;
-    plan.adapter_places.min(room)
+    plan.adapter_slots.min(room)
 }
 
 /// Sends a server's list to all VMs; in large fleets to the aggregators and the VMs that wait for
@@ -409,13 +413,19 @@
             let mut beliefs = gateway.beliefs();
             let forecast = beliefs.forecast(now);
             if let Some(report) = &report
-                && beliefs.backends.reborn(server.as_str(), report.born, &report.models, now)
+                && beliefs.backends.reborn(server.as_str(), report.incarnation, &report.models, now)
             {
-                event!(ServerRestarted, server = server, born = report.born, told_by = "report");
+                event!(
+                    ServerRestarted,
+                    server = server,
+                    born = report.incarnation,
+                    told_by = "report"
+                );
             }
             // The report of another incarnation says nothing about this one.
-            if let Some(tracker) = beliefs.books.of_incarnation(server, call.born) {
-                let own_report = report.as_ref().filter(|report| report.born == call.born);
+            if let Some(tracker) = beliefs.books.of_incarnation(server, call.incarnation) {
+                let own_report =
+                    report.as_ref().filter(|report| report.incarnation == call.incarnation);
                 tracker.reported(own_report, &forecast, now);
             }
             let held = report.as_ref().map(|r| r.models.iter().map(|m| m.adapters.len()).sum());
@@ -433,14 +443,14 @@
     call: &ServerCall,
     order: &ServerOrder,
 ) {
-    let (address, born, fence) = (call.address, call.born, call.fence);
-    if !may_send(gateway, server, born, order) {
+    let (address, incarnation, fence) = (call.address, call.incarnation, call.fence);
+    if !may_send(gateway, server, incarnation, order) {
         // Nothing was sent. With a conflict the tracker polls the server instead of waiting for a
         // reply.
         let now = clock::now();
         let mut beliefs = gateway.beliefs();
         let forecast = beliefs.forecast(now);
-        if let Some(tracker) = beliefs.books.of_incarnation(server, born) {
+        if let Some(tracker) = beliefs.books.of_incarnation(server, incarnation) {
             tracker.replied(order, OrderReply::Conflict, &forecast, now);
         }
         return;
@@ -464,11 +474,11 @@
         beliefs.tenure.refused(fence);
     }
     if matches!(reply, OrderReply::Lost | OrderReply::Unsent)
-        && beliefs.backends.is_life(server.as_str(), born)
+        && beliefs.backends.is_life(server.as_str(), incarnation)
     {
         beliefs.backends.unreachable(server.as_str(), now);
     }
-    let Some(tracker) = beliefs.books.of_incarnation(server, born) else { return };
+    let Some(tracker) = beliefs.books.of_incarnation(server, incarnation) else { return };
     tracker.replied(order, reply, &forecast, now);
     let load = match &order.action {
         OrderAction::LoadAdapter { key, .. } => tracker.ordered(key),
@@ -487,18 +497,18 @@
         answer = text,
         held = held,
         places = slots,
-        beside = forecast.beside,
+        beside = forecast.in_flight,
         expected_ms? = load.map(|load| load.expected_us / 1_000),
-        look_ms? = load.map(|load| load.look_us / 1_000),
-        again? = load.map(|load| load.again),
+        look_ms? = load.map(|load| load.check_us / 1_000),
+        again? = load.map(|load| load.from_memory),
     );
 }
 
 /// Checks the preconditions of an order again just before it is sent.
-fn may_send(gateway: &Gateway, server: &ServerName, born: u64, order: &ServerOrder) -> bool {
+fn may_send(gateway: &Gateway, server: &ServerName, incarnation: u64, order: &ServerOrder) -> bool {
     // The count of accepted orders that the order states belongs to one incarnation. Another one
     // may have reached the same count.
-    if !gateway.beliefs().backends.is_life(server.as_str(), born) {
+    if !gateway.beliefs().backends.is_life(server.as_str(), incarnation) {
         return false;
     }
     // The lease may have ended since the decision, for example while the VM was suspended.
@@ -543,7 +553,9 @@
     for used in uses {
         let mut beliefs = gateway.beliefs();
         let beliefs = &mut *beliefs;
-        let Some(tracker) = beliefs.books.of_incarnation(&used.server, used.born) else { continue };
+        let Some(tracker) = beliefs.books.of_incarnation(&used.server, used.incarnation) else {
+            continue;
+        };
         let report = ReportedUse { vm, begun: used.count, running: used.running };
         tracker.used(&used.key, &report, now);
         let ordered = tracker.ordered(&used.key);
--- a/gateway/src/outcome.rs
+++ b/gateway/src/outcome.rs
@@ -69,7 +69,7 @@
         let mut beliefs = run.gateway.beliefs();
         let good = !failed && body.is_ok();
         let pace = good.then_some(pace.as_micros() as f64);
-        if beliefs.backends.is_life(server.as_str(), run.born) {
+        if beliefs.backends.is_life(server.as_str(), run.incarnation) {
             beliefs.backends.answered(server.as_str(), good, pace);
         }
     }
@@ -116,7 +116,7 @@
         usable_ms? = usable_from.map(|from| now.since(from) / 1_000),
         known = head.id.is_some(),
     );
-    if !beliefs.backends.is_life(server.as_str(), run.born) {
+    if !beliefs.backends.is_life(server.as_str(), run.incarnation) {
         // The server started again since; what its earlier life refused tells nothing of this one.
         return NextStep::Again(Duration::ZERO);
     }
@@ -147,14 +147,14 @@
     if let (Some(key), Some(from)) = (key, usable_from) {
         let lost = beliefs.backends.get(server.as_str()).is_some_and(|state| state.is_avoided(now));
         if now.since(from) < JUST_LOADED_US && !lost {
-            beliefs.uses.met(server, run.born, key, |used| used.too_early = true);
+            beliefs.uses.met(server, run.incarnation, key, |used| used.too_early = true);
             drop(beliefs);
             // Others wait for the same load; told at once, they do not come too early as well.
-            peer::tell_use(&gateway, server, run.born, key);
+            peer::tell_use(&gateway, server, run.incarnation, key);
             return NextStep::Again(run.next_pause());
         }
         beliefs.backends.not_held(server.as_str(), key);
-        beliefs.uses.met(server, run.born, key, |used| used.missing = true);
+        beliefs.uses.met(server, run.incarnation, key, |used| used.missing = true);
         return NextStep::Again(Duration::ZERO);
     }
     beliefs.backends.unreachable(server.as_str(), now);
--- a/gateway/src/peer.rs
+++ b/gateway/src/peer.rs
@@ -393,9 +393,9 @@
     let (mut changed, mut awaited) = (false, false);
     for change in lists.lists {
         let open = change.adapters.iter().any(|adapter| beliefs.wishes.is_open(&adapter.key));
-        let (server, born) = (change.server.clone(), change.born);
-        if beliefs.backends.reborn(server.as_str(), born, &[], now) {
-            event!(ServerRestarted, server = server, born = born, told_by = "vm");
+        let (server, incarnation) = (change.server.clone(), change.incarnation);
+        if beliefs.backends.reborn(server.as_str(), incarnation, &[], now) {
+            event!(ServerRestarted, server = server, born = incarnation, told_by = "vm");
         }
         if beliefs.backends.change(change, now) {
             changed = true;
@@ -407,7 +407,7 @@
         beliefs.times.heard(ReportedTimes {
             alone_us: u64::from(lists.load_us),
             each_us: u64::from(lists.each_us),
-            is_proven: lists.shorter,
+            is_shortened: lists.shorter,
         });
     }
     drop(beliefs);
@@ -446,11 +446,16 @@
 
 /// Reports the use of an adapter at a server to the VM that orders it, without waiting for the next
 /// batch.
-pub(crate) fn tell_use(gateway: &Arc<Gateway>, server: &ServerName, born: u64, key: &AdapterKey) {
+pub(crate) fn tell_use(
+    gateway: &Arc<Gateway>,
+    server: &ServerName,
+    incarnation: u64,
+    key: &AdapterKey,
+) {
     let now = clock::now();
     let mut beliefs = gateway.beliefs();
     let Some(owner) = beliefs.backends.owner(server.as_str(), now).cloned() else { return };
-    let used = beliefs.uses.take_one(server, born, key);
+    let used = beliefs.uses.take_one(server, incarnation, key);
     let address = beliefs.roster.address(&owner.vm);
     drop(beliefs);
     let vm = &gateway.settings.vm;
--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -49,9 +49,9 @@
             customer? = grounds.and_then(|grounds| grounds.customer.as_ref()),
             confirmed_ms? = grounds.and_then(|grounds| grounds.confirmed_ms),
             level? = limit.map(|limit| limit.level as i64),
-            asked_per_s? = limit.map(|limit| limit.asked_per_s as i64),
-            own_part? = limit.map(|limit| limit.own_part),
-            fleet_part? = limit.map(|limit| limit.fleet_part),
+            asked_per_s? = limit.map(|limit| limit.demand_per_s as i64),
+            own_part? = limit.map(|limit| limit.own_fraction),
+            fleet_part? = limit.map(|limit| limit.fleet_fraction),
             retry_s? = self.retry_s,
         );
     }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -159,7 +159,7 @@
     /// Notes how the server does, unless it started again since.
     fn answered(&self, good: bool, pace_us: Option<f64>) {
         let mut beliefs = self.run.gateway.beliefs();
-        if beliefs.backends.is_life(self.server.as_str(), self.run.born) {
+        if beliefs.backends.is_life(self.server.as_str(), self.run.incarnation) {
             beliefs.backends.answered(self.server.as_str(), good, pace_us);
         }
     }
@@ -174,7 +174,7 @@
         // The first server must have stopped before another one goes on; closing the connection tells
         // it so.
         self.body = None;
-        if run.ran >= run.request.route.most_servers || run.left() < LEAST_RESUME {
+        if run.ran >= run.request.route.max_servers || run.left() < LEAST_RESUME {
             return false;
         }
         if !run.may_send() {
--- a/gateway/src/roster.rs
+++ b/gateway/src/roster.rs
@@ -289,7 +289,7 @@
     pub(crate) fn witnesses(&self, now: TimePoint) -> Vec<StoreWitness> {
         let known = self.peers.iter().filter(|peer| now.since(peer.last_seen) < WITNESS_US);
         let witness = |peer: &PeerState| {
-            Some(StoreWitness { heard_at: peer.last_seen, reached_at: peer.reached_at? })
+            Some(StoreWitness { last_seen: peer.last_seen, reached_at: peer.reached_at? })
         };
         known.filter_map(witness).collect()
     }
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -42,7 +42,7 @@
     pauses: u32,
     /// The server of the last send, and the life of it that the request was sent to.
     pub(crate) server: Option<ServerName>,
-    pub(crate) born: u64,
+    pub(crate) incarnation: u64,
     pub(crate) first: Option<Duration>,
     pub(crate) stall: Duration,
     /// The time that it was held back for streams that would have paused.
@@ -96,7 +96,7 @@
             ran: 0,
             pauses: 0,
             server: None,
-            born: 0,
+            incarnation: 0,
             first: None,
             stall: Duration::ZERO,
             held: Duration::ZERO,
@@ -154,7 +154,7 @@
     /// Whether another server may run it, although one may have begun to.
     pub(crate) fn may_run_elsewhere(&self) -> bool {
         let route = &self.request.route;
-        route.repeat.may_retry() && self.ran < route.most_servers && self.left() > LEAST_LEFT
+        route.repeat.may_retry() && self.ran < route.max_servers && self.left() > LEAST_LEFT
     }
 
     /// Whether it may be sent: the first time always, later if the budget of repeats allows it.
@@ -202,7 +202,7 @@
         else {
             return;
         };
-        self.gateway.beliefs().uses.met(server, self.born, key, change);
+        self.gateway.beliefs().uses.met(server, self.incarnation, key, change);
     }
 }
 
--- a/gateway/src/send.rs
+++ b/gateway/src/send.rs
@@ -53,14 +53,14 @@
         );
         return SendEnd::Unsent("it may have run".to_owned());
     }
-    let (address, born, version) = {
+    let (address, incarnation, version) = {
         let beliefs = gateway.beliefs();
         let state = beliefs.backends.get(server.as_str()).filter(|state| !state.leaving);
         let Some(state) = state else {
             return SendEnd::Unsent("the server is leaving or gone".to_owned());
         };
         let key = run.request.head.need.as_ref().and_then(|need| need.adapter.as_ref());
-        (state.entry.address, state.entry.born, key.and_then(|key| state.version(key)))
+        (state.entry.address, state.entry.incarnation, key.and_then(|key| state.version(key)))
     };
     let left = run.left();
     let marks = ForwardMarks {
@@ -79,9 +79,9 @@
     run.sends += 1;
     run.charge_send();
     run.server = Some(server.clone());
-    run.born = born;
+    run.incarnation = incarnation;
     let key = run.request.head.need.as_ref().and_then(|need| need.adapter.clone());
-    let count = SentCount::new(&gateway, server, born, key, run.prompt_tokens());
+    let count = SentCount::new(&gateway, server, incarnation, key, run.prompt_tokens());
     event!(
         RequestSent,
         request_id = run.request.head.id,
@@ -111,7 +111,7 @@
 /// is well would take.
 fn head_time(run: &RequestRun, left: Duration) -> Duration {
     let whole = left + ANSWER_SLACK;
-    let more_servers = run.ran + 1 < run.request.route.most_servers;
+    let more_servers = run.ran + 1 < run.request.route.max_servers;
     if !run.request.route.repeat.may_retry() || !more_servers {
         return whole;
     }
@@ -126,7 +126,7 @@
     let whole = left + ANSWER_SLACK;
     let route = &run.request.route;
     let may_go_on = route.repeat == RetryRule::StreamResumable;
-    let more_servers = run.ran + 1 < route.most_servers;
+    let more_servers = run.ran + 1 < route.max_servers;
     if may_go_on && more_servers { route.silence().min(whole) } else { whole }
 }
 
@@ -168,7 +168,7 @@
     let mut beliefs = run.gateway.beliefs();
     match end {
         SendEnd::Unsent(_) | SendEnd::Unknown(_)
-            if beliefs.backends.is_life(server.as_str(), run.born) =>
+            if beliefs.backends.is_life(server.as_str(), run.incarnation) =>
         {
             beliefs.backends.unreachable(server.as_str(), now);
         }
--- a/gateway/src/sent.rs
+++ b/gateway/src/sent.rs
@@ -14,44 +14,52 @@
     gateway: Arc<Gateway>,
     server: ServerName,
     /// The life of the server.
-    born: u64,
+    incarnation: u64,
     adapter: Option<AdapterKey>,
-    unread: u64,
+    pending_prompt_tokens: u64,
     pub(crate) sent_at: TimePoint,
     /// Tokens that the server had to read before it.
     pub(crate) ahead: u64,
 }
 
 impl SentCount {
-    /// Counts a request at `server` from now on, which reads `unread` tokens for it.
+    /// Counts a request at `server` from now on, which reads `pending_prompt_tokens` tokens for it.
     pub(crate) fn new(
         gateway: &Arc<Gateway>,
         server: &ServerName,
-        born: u64,
+        incarnation: u64,
         adapter: Option<AdapterKey>,
-        unread: u64,
+        pending_prompt_tokens: u64,
     ) -> Self {
         let gateway = Arc::clone(gateway);
         let mut beliefs = gateway.beliefs();
         let now = clock::now();
-        let ahead = beliefs.backends.sent(server.as_str(), unread, now);
-        if unread > 0 {
+        let ahead = beliefs.backends.sent(server.as_str(), pending_prompt_tokens, now);
+        if pending_prompt_tokens > 0 {
             beliefs.load_changed(server);
         }
-        let first = adapter.as_ref().filter(|key| beliefs.uses.begin(server, born, key));
+        let first = adapter.as_ref().filter(|key| beliefs.uses.begin(server, incarnation, key));
         drop(beliefs);
-        if unread > 0 {
+        if pending_prompt_tokens > 0 {
             peer::tell_loads_now(&gateway);
         }
         if let Some(key) = first {
-            peer::tell_use(&gateway, server, born, key);
+            peer::tell_use(&gateway, server, incarnation, key);
+        }
+        Self {
+            gateway,
+            server: server.clone(),
+            incarnation,
+            adapter,
+            pending_prompt_tokens,
+            sent_at: now,
+            ahead,
         }
-        Self { gateway, server: server.clone(), born, adapter, unread, sent_at: now, ahead }
     }
 
     /// The prompt was read.
     pub(crate) fn read(&mut self) {
-        let tokens = std::mem::take(&mut self.unread);
+        let tokens = std::mem::take(&mut self.pending_prompt_tokens);
         if tokens == 0 {
             return;
         }
@@ -69,15 +77,17 @@
 impl Drop for SentCount {
     fn drop(&mut self) {
         let mut beliefs = self.gateway.beliefs();
-        beliefs.backends.ended(self.server.as_str(), self.unread);
-        if self.unread > 0 {
+        beliefs.backends.ended(self.server.as_str(), self.pending_prompt_tokens);
+        if self.pending_prompt_tokens > 0 {
             beliefs.load_changed(&self.server);
         }
-        let last =
-            self.adapter.as_ref().filter(|key| beliefs.uses.end(&self.server, self.born, key));
+        let last = self
+            .adapter
+            .as_ref()
+            .filter(|key| beliefs.uses.end(&self.server, self.incarnation, key));
         drop(beliefs);
         if let Some(key) = last {
-            peer::tell_use(&self.gateway, &self.server, self.born, key);
+            peer::tell_use(&self.gateway, &self.server, self.incarnation, key);
         }
     }
 }
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -178,9 +178,9 @@
         let promises = &settings.promises;
         let tenure = LeaseSettings {
             topics: PARTITION_TOPICS,
-            parts: settings.store.parts,
+            partitions: settings.store.parts,
             lifetime_us: settings.store.least_lifetime_ms * RENEWALS_PER_LIFETIME * 1_000,
-            pause_us: promises.order_pause_ms * 1_000 + ORDER_PAUSE_MARGIN_US,
+            takeover_delay_us: promises.order_pause_ms * 1_000 + ORDER_PAUSE_MARGIN_US,
         };
         let budget = RepeatBounds {
             ratio: promises.repeat_ratio,
--- a/gateway/src/uses.rs
+++ b/gateway/src/uses.rs
@@ -19,8 +19,13 @@
 impl UseList {
     /// Records that a request begins at a server. Returns whether it is the only one running on
     /// that adapter there.
-    pub(crate) fn begin(&mut self, server: &ServerName, born: u64, key: &AdapterKey) -> bool {
-        let entry = self.entry(server, born, key);
+    pub(crate) fn begin(
+        &mut self,
+        server: &ServerName,
+        incarnation: u64,
+        key: &AdapterKey,
+    ) -> bool {
+        let entry = self.entry(server, incarnation, key);
         entry.running += 1;
         entry.count += 1;
         entry.running == 1
@@ -28,8 +33,8 @@
 
     /// Records that a request ended at a server. Returns whether no other one runs on that adapter
     /// there.
-    pub(crate) fn end(&mut self, server: &ServerName, born: u64, key: &AdapterKey) -> bool {
-        let entry = self.entry(server, born, key);
+    pub(crate) fn end(&mut self, server: &ServerName, incarnation: u64, key: &AdapterKey) -> bool {
+        let entry = self.entry(server, incarnation, key);
         entry.running = entry.running.saturating_sub(1);
         entry.running == 0
     }
@@ -38,21 +43,21 @@
     pub(crate) fn met(
         &mut self,
         server: &ServerName,
-        born: u64,
+        incarnation: u64,
         key: &AdapterKey,
         change: impl FnOnce(&mut AdapterUse),
     ) {
-        change(self.entry(server, born, key));
+        change(self.entry(server, incarnation, key));
     }
 
     /// Returns what is to be reported now of one adapter.
     pub(crate) fn take_one(
         &mut self,
         server: &ServerName,
-        born: u64,
+        incarnation: u64,
         key: &AdapterKey,
     ) -> AdapterUse {
-        self.entry(server, born, key).take()
+        self.entry(server, incarnation, key).take()
     }
 
     /// Returns what is to be reported now of all adapters, and drops those without running
@@ -63,13 +68,18 @@
         reports
     }
 
-    fn entry(&mut self, server: &ServerName, born: u64, key: &AdapterKey) -> &mut AdapterUse {
-        let wanted = (server, born, key);
+    fn entry(
+        &mut self,
+        server: &ServerName,
+        incarnation: u64,
+        key: &AdapterKey,
+    ) -> &mut AdapterUse {
+        let wanted = (server, incarnation, key);
         let found = self
             .uses
-            .binary_search_by(|entry| (&entry.server, entry.born, &entry.key).cmp(&wanted));
+            .binary_search_by(|entry| (&entry.server, entry.incarnation, &entry.key).cmp(&wanted));
         let at = found.unwrap_or_else(|at| {
-            self.uses.insert(at, AdapterUse::of(server, born, key));
+            self.uses.insert(at, AdapterUse::of(server, incarnation, key));
             at
         });
         &mut self.uses[at]
--- a/gateway/tests/soak/verdict.rs
+++ b/gateway/tests/soak/verdict.rs
@@ -18,7 +18,7 @@
 pub(crate) struct SoakVerdict {
     calls: Mutex<Vec<CallNote>>,
     findings: Mutex<Vec<String>>,
-    /// For each life of a gateway the oldest configuration that explains what it did so far.
+    /// For each incarnation of a gateway the oldest configuration that explains what it did so far.
     configurations: Mutex<Vec<((usize, u32), u64)>>,
 }
 
@@ -56,16 +56,24 @@
     }
 
     /// A request of the route that configurations move between two services was answered. Within one
-    /// life of a gateway its configurations only grow.
-    pub(crate) fn moved(&self, gateway: usize, life: u32, note: &CallNote, world: &SoakWorld) {
+    /// incarnation of a gateway its configurations only grow.
+    pub(crate) fn moved(
+        &self,
+        gateway: usize,
+        incarnation: u32,
+        note: &CallNote,
+        world: &SoakWorld,
+    ) {
         let CallEnd::Answered { status: 200, seal, .. } = &note.end else { return };
         let elsewhere = seal.starts_with("seal-x");
         let newest = world.published();
         let mut known = self.configurations.lock().unwrap();
-        let at = match known.binary_search_by_key(&(gateway, life), |(life, _)| *life) {
+        let at = match known
+            .binary_search_by_key(&(gateway, incarnation), |(incarnation, _)| *incarnation)
+        {
             Ok(at) => at,
             Err(at) => {
-                known.insert(at, ((gateway, life), 1));
+                known.insert(at, ((gateway, incarnation), 1));
                 at
             }
         };
--- a/gateway/tests/suite/server.rs
+++ b/gateway/tests/suite/server.rs
@@ -47,7 +47,7 @@
     /// Streams whose reader left before their end.
     left: usize,
     /// The millisecond of its start; each start under its name has a later one.
-    born: u64,
+    incarnation: u64,
     /// The highest fencing number of an order, and who gave it.
     fence: (u64, String),
     /// What no caller of orders may do.
@@ -99,7 +99,10 @@
         let server = Self {
             name: name.to_owned(),
             address: listener.local_addr().unwrap(),
-            state: Arc::new(Mutex::new(ServerState { born: 1_000, ..ServerState::default() })),
+            state: Arc::new(Mutex::new(ServerState {
+                incarnation: 1_000,
+                ..ServerState::default()
+            })),
             starts: Arc::new(watch::Sender::new(0)),
             ended: Arc::new(watch::Sender::new(false)),
         };
@@ -136,9 +139,9 @@
     /// Crashes and starts again under its name and at its address, with nothing of before.
     pub(crate) fn restart(&self) {
         let mut state = self.state.lock().unwrap();
-        let born = state.born + 5_000;
+        let incarnation = state.incarnation + 5_000;
         let (mood, runs) = (state.mood, std::mem::take(&mut state.runs));
-        *state = ServerState { born, mood, runs, ..ServerState::default() };
+        *state = ServerState { incarnation, mood, runs, ..ServerState::default() };
         drop(state);
         self.starts.send_modify(|starts| *starts += 1);
     }
@@ -159,7 +162,7 @@
         let adapters: Vec<String> = held.adapters.iter().map(|name| format!("{name}@1")).collect();
         json!({
             "service": service, "address": self.address, "zone": "d1", "version": "v1",
-            "slots": 8, "state": state, "seq": heartbeat, "born": held.born,
+            "slots": 8, "state": state, "seq": heartbeat, "born": held.incarnation,
             "models": [{ "name": MODEL, "version": 1, "adapters": adapters }],
         })
     }
@@ -279,7 +282,7 @@
         let state = self.state.lock().unwrap();
         let adapters: Vec<String> = state.adapters.iter().map(|name| format!("{name}@1")).collect();
         json!({
-            "stage": "hybrid", "busy": false, "seq": state.orders.len(), "born": state.born,
+            "stage": "hybrid", "busy": false, "seq": state.orders.len(), "born": state.incarnation,
             "models": [{ "name": MODEL, "version": 1, "adapters": adapters }],
         })
     }
--- a/gateway/tests/unit/encoded_names.rs
+++ b/gateway/tests/unit/encoded_names.rs
@@ -43,21 +43,26 @@
 }
 
 fn loads() -> Vec<ServerLoad> {
-    vec![ServerLoad { server: "s-1".into(), running: 11, unread: 12 }]
+    vec![ServerLoad { server: "s-1".into(), running: 11, pending_prompt_tokens: 12 }]
 }
 
 fn uses() -> UsageReport {
-    let total = UsageTotal { asked: 1.5, admitted: 2.5 };
+    let total = UsageTotal { demand: 1.5, admitted: 2.5 };
     let uses = vec![CustomerTotal { customer: "clinic".into(), total }];
-    UsageReport { life: 13, age_ms: 14, uses }
+    UsageReport { start_id: 13, age_ms: 14, uses }
 }
 
 fn lists() -> ServerLists {
-    let listed =
-        ListedHolding { key: key(), version: 21, usable_in_ms: 22, heat: 23, from_memory: true };
+    let listed = ListedHolding {
+        key: key(),
+        version: 21,
+        usable_in_ms: 22,
+        usage_score: 23,
+        from_memory: true,
+    };
     let change = ListChange {
         server: "s-1".into(),
-        born: 24,
+        incarnation: 24,
         vm: "vm-1".into(),
         fence: 25,
         revision: 26,
@@ -73,7 +78,7 @@
     let adapters = vec![HeldAdapter { adapter: "swahili".into(), version: 31 }];
     BackendEntry {
         server: "s-1".into(),
-        born: 32,
+        incarnation: 32,
         service: "speech".into(),
         address: ([10, 0, 0, 2], 80).into(),
         domain: "d1".into(),
@@ -158,7 +163,7 @@
 fn adapter_uses() {
     let used = AdapterUse {
         server: "s-1".into(),
-        born: 1,
+        incarnation: 1,
         key: key(),
         count: 2,
         running: 3,
@@ -218,7 +223,7 @@
 
 #[test]
 fn domain_news() {
-    let standing = BucketState { customer: "clinic".into(), level: 1.5, asked_per_s: 2.5 };
+    let standing = BucketState { customer: "clinic".into(), level: 1.5, demand_per_s: 2.5 };
     let news = DomainUpdate {
         vm: "vm-1".into(),
         loads: loads(),
--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -124,10 +124,10 @@
         };
         call.group = group.clone();
         let spec = self.spec(now, &call);
-        let asker = self.identity.clone();
+        let requester = self.identity.clone();
         let id = call.id;
         self.calls.push(call);
-        let message = ReserveCall { asker, group, spec };
+        let message = ReserveCall { requester, group, spec };
         if owned.owner == self.identity {
             self.take_reserve(now, self.identity.vm.clone(), id, message, rng, out);
         } else {
@@ -171,7 +171,7 @@
             let refusal = GrantRefusal { reason: RefusalReason::NotOwner, retry_after_ms: 100 };
             return self.ticket_done(now, ticket, Err(refusal), rng, out);
         }
-        let event = OwnerEvent::Reserve { ticket, asker: call.asker, spec: call.spec };
+        let event = OwnerEvent::Reserve { ticket, requester: call.requester, spec: call.spec };
         self.owner(now, &call.group, epoch, event, rng, out);
     }
 
@@ -329,17 +329,18 @@
         out: &mut Vec<VmOutput>,
     ) {
         let epoch = self.control.epoch(group.as_str());
-        let same = |asker: &VmName, question: u64| asker == from && question == id;
-        let waits = self.tickets.iter().position(|(_, asker, theirs, _)| same(asker, *theirs));
+        let same = |requester: &VmName, question: u64| requester == from && question == id;
+        let waits =
+            self.tickets.iter().position(|(_, requester, theirs, _)| same(requester, *theirs));
         if let Some(at) = waits {
             let (ticket, ..) = self.tickets.swap_remove(at);
             self.owner(now, group, epoch, OwnerEvent::Withdraw { ticket }, rng, out);
         }
-        let given = self.given.iter().position(|given| same(&given.asker, given.question));
+        let given = self.given.iter().position(|given| same(&given.requester, given.question));
         if let Some(at) = given {
             let grant = self.given.swap_remove(at).grant;
-            let asker = self.members.row(from.as_str()).map(|row| row.identity().clone());
-            let Some(holder) = asker else { return };
+            let requester = self.members.row(from.as_str()).map(|row| row.identity().clone());
+            let Some(holder) = requester else { return };
             let call = ReleaseCall { holder, grant, end: GrantEnd::NotRun, tokens: 0 };
             self.owner(now, group, epoch, OwnerEvent::Release(call), rng, out);
         }
--- a/load/src/effect.rs
+++ b/load/src/effect.rs
@@ -181,7 +181,7 @@
     pub(crate) grant: SlotGrant,
 }
 
-/// A question that its asker gave up, until the owner has heard of it.
+/// A question that its requester gave up, until the owner has heard of it.
 #[derive(Clone, Debug)]
 pub(crate) struct OpenWithdrawal {
     pub(crate) id: u64,
@@ -192,7 +192,7 @@
 /// A grant that this VM, as owner, gave on another VM's question.
 #[derive(Clone, Debug)]
 pub(crate) struct GivenGrant {
-    pub(crate) asker: VmName,
+    pub(crate) requester: VmName,
     pub(crate) question: u64,
     pub(crate) grant: GrantId,
 }
--- a/load/src/ours.rs
+++ b/load/src/ours.rs
@@ -173,7 +173,7 @@
         };
         let ticket = self.questions.len() as u64;
         self.questions.push(request);
-        self.deliver(model, OwnerEvent::Reserve { ticket, asker: asker(), spec });
+        self.deliver(model, OwnerEvent::Reserve { ticket, requester: requester(), spec });
     }
 
     fn finished(&mut self, model: &mut PlaceModel, request: usize) {
@@ -201,7 +201,7 @@
     fn tick(&mut self, model: &mut PlaceModel) {
         if self.reported_at == 0 || model.now >= self.reported_at + REPORT_MICROS {
             self.reported_at = model.now.max(1);
-            let event = OwnerEvent::ListedVms { vms: vec![asker().vm], majority: true };
+            let event = OwnerEvent::ListedVms { vms: vec![requester().vm], majority: true };
             self.deliver(model, event);
             self.report(model);
             self.tell_schedules(model);
@@ -214,7 +214,7 @@
     fn release(&mut self, model: &mut PlaceModel, request: usize, end: GrantEnd) {
         let Some((grant, _)) = self.grants[request].take() else { return };
         let tokens = model.arrivals[request].tokens;
-        let call = ReleaseCall { holder: asker(), grant, end, tokens };
+        let call = ReleaseCall { holder: requester(), grant, end, tokens };
         self.deliver(model, OwnerEvent::Release(call));
     }
 }
@@ -231,6 +231,6 @@
     AdapterVersion { adapter: format!("a{number}").as_str().into(), version: "v1".into() }
 }
 
-fn asker() -> VmIdentity {
+fn requester() -> VmIdentity {
     VmIdentity { vm: "vm".into(), incarnation: VmIncarnation(1) }
 }
--- a/load/src/ownership.rs
+++ b/load/src/ownership.rs
@@ -223,7 +223,7 @@
                 self.owner(now, group, epoch, event, rng, out);
                 continue;
             }
-            let call = HeldCall { group: group.clone(), epoch, asker: self.identity.clone() };
+            let call = HeldCall { group: group.clone(), epoch, requester: self.identity.clone() };
             if vm == self.identity.vm {
                 let reply = self.held(&call);
                 let event = OwnerEvent::GrantsReported { vm: reply.vm, grants: reply.grants };
@@ -271,7 +271,7 @@
         let (_, from, theirs, _) = self.tickets.swap_remove(at);
         if let Ok(grant) = &answer {
             let given =
-                GivenGrant { asker: from.clone(), question: theirs, grant: grant.id.clone() };
+                GivenGrant { requester: from.clone(), question: theirs, grant: grant.id.clone() };
             self.given.push(given);
         }
         if from == self.identity.vm {
--- a/peer/examples/reserve_trip.rs
+++ b/peer/examples/reserve_trip.rs
@@ -40,7 +40,7 @@
 #[async_trait]
 impl PeerHandler for GrantingVm {
     async fn probe(&self, message: ProbeMessage) -> ProbeReply {
-        ProbeReply { number: 0, from: message.from, reached: true, news: Vec::new() }
+        ProbeReply { number: 0, from: message.from, reached: true, updates: Vec::new() }
     }
 
     async fn reserve(&self, call: ReserveCall) -> ReserveReply {
@@ -53,7 +53,7 @@
             use_within_ms: 500,
             stall_ms: 0,
             queue_ms: 3,
-            why: PlacementReason::Loaded,
+            reason: PlacementReason::Loaded,
         })
     }
 
@@ -93,7 +93,7 @@
 
 fn reserve_call() -> ReserveCall {
     ReserveCall {
-        asker: identity("b"),
+        requester: identity("b"),
         group: "summaries/uy-norte/0".into(),
         spec: RequestSpec {
             id: "uy-paysandu-1.5123.88123".into(),
@@ -177,6 +177,6 @@
     let tls = keys.mutual_client().expect("a configuration");
     let pool = PeerPool::new(settings, Some(tls)).expect("a pool");
     let target = PeerTarget { vm: "b".into(), address: server.address() };
-    // The test certificate is the answering VM's, so the asker has its name too.
+    // The test certificate is the answering VM's, so the requester has its name too.
     measure("mutual_tls", pool, target, calls, at_once).await;
 }
--- a/peer/src/handler.rs
+++ b/peer/src/handler.rs
@@ -26,10 +26,11 @@
 
     /// Waits until the request may run or is refused.
     ///
-    /// The future is dropped when the asker's caller goes away, when the asker's connection breaks,
-    /// and at the call's deadline. A guard in it must then withdraw the request from the queue, and
-    /// release a grant that was already given as not run: the asker will never learn of it. The
-    /// [`PeerHandler::withdraw`] that an asker sends besides finds nothing more to do.
+    /// The future is dropped when the requester's caller goes away, when the requester's connection
+    /// breaks, and at the call's deadline. A guard in it must then withdraw the request from the
+    /// queue, and release a grant that was already given as not run: the requester will never learn
+    /// of it. The [`PeerHandler::withdraw`] that a requester sends besides finds nothing more to
+    /// do.
     async fn reserve(&self, call: ReserveCall) -> ReserveReply;
 
     /// Forgets a request that waits for a grant, or releases the grant if there is one.
--- a/peer/src/service.rs
+++ b/peer/src/service.rs
@@ -88,12 +88,12 @@
     }
 
     async fn reserve(self, _: Context, call: ReserveCall) -> Result<ReserveReply, PeerFault> {
-        self.check_name(&call.asker.vm)?;
+        self.check_name(&call.requester.vm)?;
         Ok(self.handler.reserve(call).await)
     }
 
     async fn withdraw(self, _: Context, call: WithdrawCall) -> Result<(), PeerFault> {
-        self.check_name(&call.asker.vm)?;
+        self.check_name(&call.requester.vm)?;
         self.handler.withdraw(call).await;
         Ok(())
     }
@@ -107,7 +107,7 @@
     }
 
     async fn held(self, _: Context, call: HeldCall) -> Result<HeldReply, PeerFault> {
-        self.check_name(&call.asker.vm)?;
+        self.check_name(&call.requester.vm)?;
         Ok(self.handler.held(call).await)
     }
 
--- a/peer/tests/suite/dropped_calls.rs
+++ b/peer/tests/suite/dropped_calls.rs
@@ -24,13 +24,14 @@
 async fn asker_dies() {
     let vm = FakeVm::new("b", 0);
     let (_server, pool, target) = start(vm.clone(), plain());
-    let life = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build();
-    let life = life.expect("a runtime of the asking VM");
-    life.spawn(async move {
+    let runtime =
+        tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build();
+    let runtime = runtime.expect("a runtime of the asking VM");
+    runtime.spawn(async move {
         let calls = (0..3).map(|number| pool.reserve(&target, reserve_call("a", number), LONG));
         futures::future::join_all(calls).await;
     });
     until(|| vm.reserving.load(Ordering::SeqCst) == 3).await;
-    life.shutdown_background();
+    runtime.shutdown_background();
     until(|| vm.dropped.load(Ordering::SeqCst) == 3).await;
 }
--- a/peer/tests/suite/fake.rs
+++ b/peer/tests/suite/fake.rs
@@ -61,7 +61,12 @@
 impl PeerHandler for FakeVm {
     async fn probe(&self, message: ProbeMessage) -> ProbeReply {
         let reached = message.target.is_none();
-        ProbeReply { number: message.number, from: digest(self.name), reached, news: message.news }
+        ProbeReply {
+            number: message.number,
+            from: digest(self.name),
+            reached,
+            updates: message.updates,
+        }
     }
 
     /// Answers with the request's prompt length as the time to come back, so that crossed answers
@@ -132,9 +137,9 @@
     }
 }
 
-pub(crate) fn reserve_call(asker: &str, number: u32) -> ReserveCall {
+pub(crate) fn reserve_call(requester: &str, number: u32) -> ReserveCall {
     ReserveCall {
-        asker: identity(asker),
+        requester: identity(requester),
         group: "g".into(),
         spec: RequestSpec {
             id: format!("r{number}").into(),
--- a/peer/tests/suite/good_calls.rs
+++ b/peer/tests/suite/good_calls.rs
@@ -16,19 +16,20 @@
 async fn every_method() {
     let vm = FakeVm::new("b", 1);
     let (server, pool, target) = start(vm.clone(), plain());
-    let news = vec![digest("c")];
-    let probe = ProbeMessage { number: 9, from: digest("a"), target: None, news: news.clone() };
+    let updates = vec![digest("c")];
+    let probe =
+        ProbeMessage { number: 9, from: digest("a"), target: None, updates: updates.clone() };
     let reply = pool.probe(&target, probe, LONG).await.expect("an answer");
-    assert_eq!((reply.number, reply.reached, reply.news), (9, true, news));
+    assert_eq!((reply.number, reply.reached, reply.updates), (9, true, updates));
     let reply = pool.reserve(&target, reserve_call("a", 41), LONG).await.expect("an answer");
     assert_eq!(mark(&reply), 41);
     let id = "r41".into();
-    let withdraw = WithdrawCall { asker: identity("a"), group: "g".into(), id };
+    let withdraw = WithdrawCall { requester: identity("a"), group: "g".into(), id };
     pool.withdraw(&target, withdraw, LONG).await.expect("an answer");
     let releases = vec![release_call("a", 1), release_call("a", 2)];
     pool.release(&target, releases.clone(), LONG).await.expect("an answer");
     assert_eq!(*vm.released.lock().expect("lock"), releases);
-    let held = HeldCall { group: "g".into(), epoch: OwnerEpoch(3), asker: identity("a") };
+    let held = HeldCall { group: "g".into(), epoch: OwnerEpoch(3), requester: identity("a") };
     assert!(pool.held(&target, held, LONG).await.expect("an answer").grants.is_empty());
     let fingerprint = RequestFingerprint(1);
     let revoke = RevokeCall { tenant: "t".into(), key: "k".into(), fingerprint };
@@ -67,7 +68,7 @@
 #[tokio::test]
 async fn traffic_by_kind() {
     let (_server, pool, target) = start(FakeVm::new("b", 1), plain());
-    let probe = ProbeMessage { number: 9, from: digest("a"), target: None, news: Vec::new() };
+    let probe = ProbeMessage { number: 9, from: digest("a"), target: None, updates: Vec::new() };
     pool.probe(&target, probe, LONG).await.expect("an answer");
     pool.reserve(&target, reserve_call("a", 1), LONG).await.expect("an answer");
     let counters = pool.counters();
--- a/peer/tests/unit/encoded_names.rs
+++ b/peer/tests/unit/encoded_names.rs
@@ -99,14 +99,16 @@
 
 fn calls() -> Vec<VmPeerRequest> {
     use VmPeerRequest as Call;
-    let message = ProbeMessage { number: 1, from: digest(), target: None, news: vec![] };
+    let message = ProbeMessage { number: 1, from: digest(), target: None, updates: vec![] };
     let fingerprint = RequestFingerprint(2);
     vec![
         Call::Probe { message },
-        Call::Reserve { call: ReserveCall { asker: vm(), group: "g".into(), spec: spec() } },
-        Call::Withdraw { call: WithdrawCall { asker: vm(), group: "g".into(), id: "r".into() } },
+        Call::Reserve { call: ReserveCall { requester: vm(), group: "g".into(), spec: spec() } },
+        Call::Withdraw {
+            call: WithdrawCall { requester: vm(), group: "g".into(), id: "r".into() },
+        },
         Call::Release { calls: vec![release()] },
-        Call::Held { call: HeldCall { group: "g".into(), epoch: OwnerEpoch(1), asker: vm() } },
+        Call::Held { call: HeldCall { group: "g".into(), epoch: OwnerEpoch(1), requester: vm() } },
         Call::Revoke { call: RevokeCall { tenant: "t".into(), key: "k".into(), fingerprint } },
         Call::CatchUp { call: CatchUpCall { config: ConfigVersion(1), control_through: 2 } },
         Call::Status {},
@@ -117,7 +119,7 @@
 
 fn answers() -> Vec<VmPeerResponse> {
     use VmPeerResponse as Answer;
-    let probe = ProbeReply { number: 1, from: digest(), reached: true, news: vec![] };
+    let probe = ProbeReply { number: 1, from: digest(), reached: true, updates: vec![] };
     let refusal = GrantRefusal { reason: RefusalReason::NoServer, retry_after_ms: 1 };
     vec![
         Answer::Probe(Ok(probe)),
--- a/standin/src/orders.rs
+++ b/standin/src/orders.rs
@@ -109,12 +109,12 @@
         };
         let loaded = slot.loaded.subscribe();
         state.slots.insert(at, slot);
-        let (engine, life) = (self.clone(), state.incarnation);
+        let (engine, incarnation) = (self.clone(), state.incarnation);
         let (name, path) = (body.lora_name.clone(), body.lora_path.clone());
         self.control.spawn(async move {
             let result = engine.fetch(&path).await;
             let mut state = engine.lock();
-            if state.incarnation == life {
+            if state.incarnation == incarnation {
                 state.end_load(&name, result);
             }
         });
--- a/telemetry/src/metric.rs
+++ b/telemetry/src/metric.rs
@@ -206,9 +206,9 @@
     }
 
     /// States how far the reading of a stream lags.
-    pub fn set_log_lag(&self, stream: StreamName, records: u64, silent_ms: u64) {
+    pub fn set_log_lag(&self, stream: StreamName, records: u64, since_answer_ms: u64) {
         self.families.log_lag.with_label_values(&[stream.as_str()]).set(whole(records));
-        self.families.log_silence.with_label_values(&[stream.as_str()]).set(whole(silent_ms));
+        self.families.log_silence.with_label_values(&[stream.as_str()]).set(whole(since_answer_ms));
     }
 
     /// Counts an append to a stream.
