--- a/gateway/src/admit.rs
+++ b/gateway/src/admit.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether it may run now.
+//! Admission: finds a request's route and customer, and checks the customer's key.
 
 use std::time::Duration;
 
@@ -14,28 +14,30 @@
 use crate::refusal::{Refusal, RefusalGrounds};
 use crate::state::Gateway;
 
-/// When a caller should come back that met a VM which does not know whether its key holds, in seconds: it goes
-/// to another VM.
-const ELSEWHERE_S: f64 = 0.2;
+/// `Retry-After`, in seconds, of a VM that cannot check keys at present. It is short because the caller retries
+/// at another VM.
+const OTHER_VM_RETRY_S: f64 = 0.2;
 
-/// The part of the time for a new configuration in which one that came meanwhile may still be unknown here.
-const KNOWN_PART: f64 = 0.8;
+/// The fraction of the promised time for a new configuration (`config_ms`) during which a key that was found to
+/// be wrong is refused without another confirmation by the store.
+const WRONG_KEY_FRACTION: f64 = 0.8;
 
-/// A request that may run as far as its route and key go.
+/// A request whose route exists and whose key, if the route needs one, is valid.
 #[derive(Clone, Debug)]
 pub(crate) struct AdmittedRequest {
     pub(crate) route: ServingRoute,
     pub(crate) customer: Option<CustomerName>,
-    /// Its place among the ranks of the configuration.
+    /// Index among the ranks of the configuration; 0 goes first.
     pub(crate) rank: u8,
+    /// Version of the configuration that admitted it.
     pub(crate) config: u64,
-    /// Whether the configuration has customers, so that servers get no key.
+    /// Whether the configuration has customers; keys are then removed before requests are forwarded.
     pub(crate) keyed: bool,
 }
 
-/// Takes the key out of a request's head, where the configuration has customers.
+/// Removes the key from a request's head and returns its hash, if the configuration has customers.
 ///
-/// Without customers a key is the servers' matter and passed on.
+/// Without customers the header is left in place and forwarded to the servers.
 pub(crate) fn read_key(
     table: &RouteTable,
     headers: &mut HeaderMap,
@@ -49,16 +51,17 @@
         Err(KeyFault::Repeated) => {
             Err(Refusal::new(StatusCode::BAD_REQUEST, "several_keys", config))
         }
-        // No customer can hold it; it is treated as a key that nobody holds.
+        // No customer can have an unreadable key, so the request is judged as one without a key.
         Err(KeyFault::Unreadable) => Ok(None),
     }
 }
 
-/// Finds a request's route and customer. `find` looks the route up in a table.
+/// Finds a request's route and customer, or returns the refusal. `find` looks the route up in a table.
 ///
-/// A key that is not known is looked up again once the store has said that there is no newer configuration: the
-/// caller does not come back after a 401, and its key may have been added a moment ago. One that was found to be
-/// wrong before is not, as long as the configuration is younger than operators want new ones in force.
+/// Callers do not retry after a 401, and an unknown key may belong to a configuration that this VM has not
+/// received. An unknown key is therefore judged again once the store has confirmed that there is no newer
+/// configuration. Keys already found to be wrong skip the confirmation while the last one is recent enough
+/// (see [`is_wrong`]).
 pub(crate) async fn admit(
     gateway: &Gateway,
     key: Option<&CredentialHash>,
@@ -75,32 +78,35 @@
         Judgement::Admitted(request) => Ok(request),
         Judgement::Unconfirmed(refusal) => Err(refusal),
         Judgement::Unknown => {
-            let mut beliefs = gateway.beliefs();
-            let config = beliefs.table.as_ref().map_or(0, |table| table.version.0);
+            let mut view = gateway.beliefs();
+            let config = view.table.as_ref().map_or(0, |table| table.version.0);
             if let Some(key) = key.filter(|_| confirmed) {
-                beliefs.wrong_keys.insert(*key);
+                view.wrong_keys.insert(*key);
             }
             Err(if confirmed {
                 Refusal::new(StatusCode::UNAUTHORIZED, "unknown_key", config)
             } else {
-                elsewhere("key_in_doubt", config)
+                try_another_vm("key_in_doubt", config)
             })
         }
     }
 }
 
-/// Whether a key was found to be wrong, or there is none, and no configuration that is due to be in force can
-/// say otherwise.
+/// Returns whether a missing key, or one that was found to be wrong before, can be refused without querying the
+/// store: the configuration was confirmed so recently that a newer one need not be in force yet.
 fn is_wrong(gateway: &Gateway, key: Option<&CredentialHash>) -> bool {
-    let due = Duration::from_millis(gateway.settings.promises.config_ms).mul_f64(KNOWN_PART);
-    let beliefs = gateway.beliefs();
-    let age = beliefs.confirmation.age(clock::now());
-    age.is_some_and(|age| age < due) && key.is_none_or(|key| beliefs.wrong_keys.contains(key))
+    let due =
+        Duration::from_millis(gateway.settings.promises.config_ms).mul_f64(WRONG_KEY_FRACTION);
+    let view = gateway.beliefs();
+    let age = view.confirmation.age(clock::now());
+    age.is_some_and(|age| age < due) && key.is_none_or(|key| view.wrong_keys.contains(key))
 }
 
 enum Judgement {
     Admitted(AdmittedRequest),
+    /// No customer of the present configuration has the key.
     Unknown,
+    /// The configuration was confirmed too long ago to judge keys by it.
     Unconfirmed(Refusal),
 }
 
@@ -109,12 +115,12 @@
     key: Option<&CredentialHash>,
     find: &impl Fn(&RouteTable) -> Option<ServingRoute>,
 ) -> Result<Judgement, Refusal> {
-    let beliefs = gateway.beliefs();
-    let Some(table) = beliefs.table.clone() else {
-        return Err(elsewhere("no_configuration", 0));
+    let view = gateway.beliefs();
+    let Some(table) = view.table.clone() else {
+        return Err(try_another_vm("no_configuration", 0));
     };
-    let confirmation = beliefs.confirmation;
-    drop(beliefs);
+    let confirmation = view.confirmation;
+    drop(view);
     let config = table.version.0;
     let route =
         find(&table).ok_or_else(|| Refusal::new(StatusCode::NOT_FOUND, "no_route", config))?;
@@ -128,16 +134,16 @@
         }),
         KeyVerdict::Unknown => Judgement::Unknown,
         KeyVerdict::Unconfirmed => {
-            let refusal = elsewhere("config_unconfirmed", config);
+            let refusal = try_another_vm("config_unconfirmed", config);
             let confirmed_ms = confirmation.age(clock::now()).map(|age| age.as_millis());
             let grounds = RefusalGrounds { confirmed_ms, ..RefusalGrounds::default() };
-            Judgement::Unconfirmed(refusal.because(grounds))
+            Judgement::Unconfirmed(refusal.with_grounds(grounds))
         }
     })
 }
 
-/// The refusal of a VM that cannot tell; others can.
-fn elsewhere(reason: &'static str, config: u64) -> Refusal {
+/// Returns the refusal of a VM that cannot judge the request now. Its `Retry-After` sends the caller to another VM.
+fn try_another_vm(reason: &'static str, config: u64) -> Refusal {
     let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, reason, config);
-    Refusal { retry_s: Some(ELSEWHERE_S), ..refusal }
+    Refusal { retry_s: Some(OTHER_VM_RETRY_S), ..refusal }
 }
--- a/gateway/src/answer.rs
+++ b/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Builds the answers that callers receive.
 
 use bytes::Bytes;
 use coltsfoothook_platform::mark_answer;
@@ -9,16 +9,16 @@
 use hyper::body::Frame;
 use snafu::Snafu;
 
-/// The body of an answer.
+/// The body of an answer: whole, or streamed as it arrives from a server.
 pub(crate) type AnswerStream = UnsyncBoxBody<Bytes, BrokenAnswer>;
 
-/// An answer that cannot go on. The connection to the caller is cut, so that what it got does not look
-/// whole.
+/// The error that ends a streamed body early. The HTTP library then cuts the connection, so that the caller
+/// does not take a partial answer for a complete one.
 #[derive(Clone, Copy, Debug, Snafu)]
-#[snafu(display("the answer broke off"))]
+#[snafu(display("the answer ended before it was complete"))]
 pub(crate) struct BrokenAnswer;
 
-/// An answer with a whole body.
+/// Returns an answer whose body is in memory.
 pub(crate) fn whole_answer(
     status: StatusCode,
     headers: HeaderMap,
@@ -30,19 +30,20 @@
     answer
 }
 
-/// An answer whose pieces are passed on as they come.
+/// Returns an answer whose body is sent frame by frame as `frames` yields it.
 pub(crate) fn streamed_answer(
     status: StatusCode,
     headers: HeaderMap,
-    pieces: impl Stream<Item = Result<Frame<Bytes>, BrokenAnswer>> + Send + 'static,
+    frames: impl Stream<Item = Result<Frame<Bytes>, BrokenAnswer>> + Send + 'static,
 ) -> Response<AnswerStream> {
-    let mut answer = Response::new(StreamBody::new(pieces).boxed_unsync());
+    let mut answer = Response::new(StreamBody::new(frames).boxed_unsync());
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     answer
 }
 
-/// An answer of this system itself. `retry_s` tells the caller when to come back, in seconds.
+/// Returns an answer of the gateway itself, without a body. `id` is the request's id, or empty if there is none;
+/// `retry_s` becomes the `Retry-After` header, in seconds.
 pub(crate) fn own_answer(
     status: StatusCode,
     id: &str,
--- a/gateway/src/event_scan.rs
+++ b/gateway/src/event_scan.rs
@@ -1,46 +1,47 @@
-//! Finds where events end in a stream of bytes.
+//! Splits a server-sent event stream at event boundaries.
 
 use bytes::{Bytes, BytesMut};
 
-/// Splits a stream into whole events and remembers the last one's id.
+/// Buffers a stream until events are complete and records the id of the last complete one.
 ///
-/// A stream that is resumed goes on after the last whole event. If a part of the next one had been
-/// passed on before, the caller would get its beginning twice, joined from two servers.
+/// A resumed stream continues after the last complete event. If part of the next event had been forwarded
+/// already, the caller would receive its beginning twice, once from each server.
 #[derive(Debug, Default)]
 pub(crate) struct EventScan {
+    /// Bytes after the last complete event.
     partial: BytesMut,
     last_id: Option<String>,
 }
 
 impl EventScan {
-    /// Takes bytes and gives those of the events that are whole now.
+    /// Appends bytes and returns the events that are complete now; empty if none is.
     pub(crate) fn push(&mut self, bytes: Bytes) -> Bytes {
         self.partial.extend_from_slice(&bytes);
         let Some(end) = last_end(&self.partial) else { return Bytes::new() };
-        let whole = self.partial.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
-    /// The id of the last whole event.
+    /// Returns the id of the last complete event that had one.
     pub(crate) fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether an event has begun and not ended.
-    pub(crate) fn is_amid(&self) -> bool {
+    /// Returns whether an incomplete event is buffered.
+    pub(crate) fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Forgets an event that its server did not end.
+    /// Drops the incomplete event after its server failed.
     pub(crate) fn drop_partial(&mut self) {
         self.partial.clear();
     }
 }
 
-/// Where the last whole event ends: after an empty line.
+/// Returns the offset behind the last complete event. An empty line ends an event.
 fn last_end(bytes: &[u8]) -> Option<usize> {
     let unix = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
     let dos = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
--- a/gateway/src/face.rs
+++ b/gateway/src/face.rs
@@ -1,4 +1,4 @@
-//! What the process listens on.
+//! The listening sockets of the process and the HTTP services behind them.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,50 +25,50 @@
 use crate::share::{SHARED_PATH, TABLE_QUERY, shared_body};
 use crate::state::Gateway;
 
-/// Connections that may wait to be accepted: a burst must not lose opening packets, which are sent
-/// again only after seconds.
+/// Connections that the kernel queues until they are accepted. In a burst beyond it SYN packets are dropped, and
+/// clients retransmit them only after seconds.
 const LISTEN_BACKLOG: u32 = 2_048;
-/// How long the listener rests when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A connection may be idle for this longer than the operators say: clients count from the answer's
-/// end, and a request that meets a close is lost.
+/// The delay before the next accept after one failed, as when the process is out of file descriptors.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Added to the configured idle time of connections. Clients measure it from the end of the answer, and a request
+/// that is sent while the connection is being closed is lost.
 const IDLE_MARGIN: Duration = Duration::from_secs(5);
-/// The time for a connection's next request while no configuration is known.
-const FIRST_IDLE: Duration = Duration::from_secs(20);
-/// The least bound for a request's head that the HTTP library takes.
-const LEAST_HEAD_BYTES: usize = 8_192;
-/// The kernel probes a silent caller's connection after this time. Four probes without an answer end
-/// it, so that servers do not work for a caller that vanished.
-const PROBE: Duration = Duration::from_secs(2);
-/// How long callers keep the addresses, in seconds. Short, since a VM that ended meets callers for as
-/// long; each further question costs a VM a tenth of a millisecond.
-const ADDRESS_LIFETIME_S: f64 = 2.0;
-/// The most addresses that callers use.
-const MOST_ADDRESSES: usize = 64;
+/// Idle time of connections that are opened before a configuration is known.
+const INITIAL_IDLE_TIME: Duration = Duration::from_secs(20);
+/// The smallest buffer that the HTTP library accepts.
+const MIN_HEAD_BYTES: usize = 8_192;
+/// Idle time after which the kernel sends TCP keepalive probes to a caller. Four unanswered probes end the
+/// connection, so that servers do not go on working for a caller whose host is unreachable.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+/// How long callers cache the address list, in seconds. Callers go on trying a VM that ended for as long, so it is
+/// short; each further query costs a VM 0.1 ms.
+const ADDRESS_TTL_S: f64 = 2.0;
+/// The largest number of addresses that callers use.
+const MAX_ADDRESSES: usize = 64;
 
-/// Answers one request; there is one for each face.
-trait FaceService: Clone + Send + 'static {
+/// Answers the requests of one listener.
+trait InterfaceService: Clone + Send + 'static {
     fn answer(
         &self,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<AnswerStream>> + Send;
 }
 
-/// Callers' requests.
+/// Forwards callers' requests.
 #[derive(Clone)]
-struct RequestFace(Arc<Gateway>);
+struct RequestInterface(Arc<Gateway>);
 
-impl FaceService for RequestFace {
+impl InterfaceService for RequestInterface {
     async fn answer(&self, request: Request<Incoming>) -> Response<AnswerStream> {
         forward::serve(Arc::clone(&self.0), request).await
     }
 }
 
-/// Whether the VM is ready.
+/// Answers the readiness check: 200 if the VM is ready, else 503.
 #[derive(Clone)]
-struct ReadyFace(Arc<Gateway>);
+struct ReadyInterface(Arc<Gateway>);
 
-impl FaceService for ReadyFace {
+impl InterfaceService for ReadyInterface {
     async fn answer(&self, request: Request<Incoming>) -> Response<AnswerStream> {
         if request.uri().path() != READY_PATH {
             return own_answer(StatusCode::NOT_FOUND, "", None);
@@ -79,11 +79,11 @@
     }
 }
 
-/// Which addresses callers should use.
+/// Answers which VM addresses callers should use; 503 if no VM is ready.
 #[derive(Clone)]
-struct AddressFace(Arc<Gateway>);
+struct AddressInterface(Arc<Gateway>);
 
-impl FaceService for AddressFace {
+impl InterfaceService for AddressInterface {
     async fn answer(&self, request: Request<Incoming>) -> Response<AnswerStream> {
         if request.uri().path() != ADDRESSES_PATH {
             return own_answer(StatusCode::NOT_FOUND, "", None);
@@ -93,7 +93,7 @@
             return own_answer(StatusCode::SERVICE_UNAVAILABLE, "", None);
         }
         let longest = self.0.settings.promises.address_lifetime_s as f64;
-        let body = addresses_body(&addresses, ADDRESS_LIFETIME_S.min(longest));
+        let body = addresses_body(&addresses, ADDRESS_TTL_S.min(longest));
         let mut headers = HeaderMap::new();
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
@@ -101,37 +101,38 @@
     }
 }
 
+/// Returns the request addresses of the VMs that are ready, this one among them.
 fn addresses(gateway: &Gateway) -> Vec<SocketAddr> {
     let mut addresses = gateway.beliefs().roster.ready(clock::now());
     if gateway.ready() {
         addresses.push(gateway.settings.listen.requests);
     }
     addresses.sort_unstable();
-    addresses.truncate(MOST_ADDRESSES);
+    addresses.truncate(MAX_ADDRESSES);
     addresses
 }
 
-/// Metrics as text.
+/// Answers with the metrics as text. Gauges are set when they are read.
 #[derive(Clone)]
-struct MetricsFace(Arc<Gateway>);
+struct MetricsInterface(Arc<Gateway>);
 
-impl FaceService for MetricsFace {
+impl InterfaceService for MetricsInterface {
     async fn answer(&self, _request: Request<Incoming>) -> Response<AnswerStream> {
         let gateway = &self.0;
         let now = clock::now();
         {
-            let beliefs = gateway.beliefs();
-            gateway.metrics.set("servers", beliefs.backends.servers().len());
-            gateway.metrics.set("vms", beliefs.vm_count(now));
-            gateway.metrics.set("shares", beliefs.tenure.held());
-            gateway.metrics.set("ordered_servers", beliefs.books.servers().len());
-            let version = beliefs.table.as_ref().map_or(0, |table| table.version.0);
+            let view = gateway.beliefs();
+            gateway.metrics.set("servers", view.backends.servers().len());
+            gateway.metrics.set("vms", view.vm_count(now));
+            gateway.metrics.set("shares", view.tenure.held());
+            gateway.metrics.set("ordered_servers", view.books.servers().len());
+            let version = view.table.as_ref().map_or(0, |table| table.version.0);
             gateway.metrics.set("configuration", usize::try_from(version).unwrap_or(usize::MAX));
             for (kind, bytes) in gateway.peers.sent_bytes() {
                 gateway.metrics.sent_bytes(kind, bytes);
             }
             for call in StoreCall::ALL {
-                if let Some(age) = beliefs.answers.age(call, now) {
+                if let Some(age) = view.answers.age(call, now) {
                     gateway.metrics.answer_age(call.name(), age);
                 }
             }
@@ -140,11 +141,11 @@
     }
 }
 
-/// What other VMs may take.
+/// Answers other VMs with the state that VMs share.
 #[derive(Clone)]
-struct PeerFace(Arc<Gateway>);
+struct PeerInterface(Arc<Gateway>);
 
-impl FaceService for PeerFace {
+impl InterfaceService for PeerInterface {
     async fn answer(&self, request: Request<Incoming>) -> Response<AnswerStream> {
         if request.uri().path() != SHARED_PATH {
             return own_answer(StatusCode::NOT_FOUND, "", None);
@@ -154,17 +155,18 @@
     }
 }
 
-/// The listening sockets.
-pub(crate) struct FaceListeners {
+/// The listening sockets, opened but not served yet.
+pub(crate) struct InterfaceListeners {
     requests: TcpListener,
     ready: TcpListener,
     addresses: TcpListener,
     peers: TcpListener,
+    /// `None` if the settings give port 0.
     metrics: Option<TcpListener>,
 }
 
-impl FaceListeners {
-    /// Opens all sockets, so that a process that cannot listen ends at once.
+impl InterfaceListeners {
+    /// Opens all sockets. An address that cannot be bound fails the start of the process.
     pub(crate) fn open(gateway: &Gateway) -> io::Result<Self> {
         let listen = &gateway.settings.listen;
         Ok(Self {
@@ -176,44 +178,44 @@
         })
     }
 
-    /// Serves them until callers' connections are told to end, or `tasks` end.
+    /// Spawns a task per listener on `tasks`. The one for callers' requests stops accepting when the process closes.
     pub(crate) fn serve(self, gateway: &Arc<Gateway>, tasks: &mut JoinSet<()>) {
         let shared = Arc::clone(gateway);
-        let (ready, addresses) = (ReadyFace(shared.clone()), AddressFace(shared.clone()));
+        let (ready, addresses) = (ReadyInterface(shared.clone()), AddressInterface(shared.clone()));
         tasks.spawn(accept(shared.clone(), self.ready, ready, false));
         tasks.spawn(accept(shared.clone(), self.addresses, addresses, false));
-        tasks.spawn(accept(shared.clone(), self.peers, PeerFace(shared.clone()), false));
+        tasks.spawn(accept(shared.clone(), self.peers, PeerInterface(shared.clone()), false));
         if let Some(metrics) = self.metrics {
-            tasks.spawn(accept(shared.clone(), metrics, MetricsFace(shared.clone()), false));
+            tasks.spawn(accept(shared.clone(), metrics, MetricsInterface(shared.clone()), false));
         }
-        let requests = RequestFace(shared.clone());
+        let requests = RequestInterface(shared.clone());
         tasks.spawn(accept(shared, self.requests, requests, true));
     }
 }
 
 fn open(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A process that starts anew must not wait for its predecessor's closed connections.
+    // Lets a restarted process bind while connections of its predecessor are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Accepts connections; those of callers until the process closes.
+/// Accepts and serves connections; with `until_closing` only until the process closes, then waits for the open ones.
 async fn accept(
     gateway: Arc<Gateway>,
     listener: TcpListener,
-    service: impl FaceService,
-    callers: bool,
+    service: impl InterfaceService,
+    until_closing: bool,
 ) {
     let mut closing = gateway.closing.subscribe();
-    // Connections end with the listener's task, not with the listener: at a stop they finish first.
+    // Dropping the set aborts its connections; at a shutdown they are awaited below.
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = closing.wait_for(|closing| *closing), if callers => break,
+            _ = closing.wait_for(|closing| *closing), if until_closing => break,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -222,34 +224,35 @@
             }
             Err(error) => {
                 event!(AcceptFailed, cause = error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
-    // No new connections from now on.
+    // Closes the socket, so that new connections are refused.
     drop(listener);
     while connections.join_next().await.is_some() {}
 }
 
-async fn connection(gateway: Arc<Gateway>, stream: TcpStream, service: impl FaceService) {
-    if let Err(error) = prepare(&stream) {
+async fn connection(gateway: Arc<Gateway>, stream: TcpStream, service: impl InterfaceService) {
+    if let Err(error) = set_socket_options(&stream) {
         event!(AcceptFailed, cause = error);
         return;
     }
     let table = gateway.beliefs().table.clone();
-    let idle = table.as_ref().map_or(FIRST_IDLE, |table| table.limits.idle_time + IDLE_MARGIN);
-    let head = table.as_ref().map_or(LEAST_HEAD_BYTES * 2, |table| table.limits.head_bytes * 2);
+    let idle =
+        table.as_ref().map_or(INITIAL_IDLE_TIME, |table| table.limits.idle_time + IDLE_MARGIN);
+    let head = table.as_ref().map_or(MIN_HEAD_BYTES * 2, |table| table.limits.head_bytes * 2);
     let service = service_fn(move |request| {
         let service = service.clone();
         async move { Ok::<_, Infallible>(service.answer(request).await) }
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(idle);
-    builder.max_buf_size(head.max(LEAST_HEAD_BYTES));
+    builder.max_buf_size(head.max(MIN_HEAD_BYTES));
     let mut closing = gateway.closing.subscribe();
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    // A connection that fails concerns its caller alone, and its requests' ends are logged.
+    // Errors of a connection are not logged; the end of each of its requests is.
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = closing.wait_for(|closing| *closing) => {}
@@ -258,10 +261,13 @@
     let _ = connection.await;
 }
 
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE / 2).with_retries(3);
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_IDLE / 2)
+        .with_retries(3);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(PROBE * 3))
+    socket.set_tcp_user_timeout(Some(KEEPALIVE_IDLE * 3))
 }
--- a/gateway/src/find.rs
+++ b/gateway/src/find.rs
@@ -1,4 +1,4 @@
-//! Finds a server for a request, and has its adapter loaded if need be.
+//! Selects a server for a request and requests the load of its adapter where needed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,94 +18,98 @@
 use crate::waits::WaitNote;
 use crate::wish::WishStep;
 
-/// Less time than this is not worth a send: it goes by on the way.
-pub(crate) const LEAST_LEFT: Duration = Duration::from_millis(10);
-/// How long a waiting request sleeps at most before it looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(60);
-/// The part of a request's target for which it is held back so that streams do not pause. Beyond it the
-/// request itself would be late.
-const HOLD_PART: f64 = 0.5;
-/// A server that has read a prompt has room for one request, and every VM that holds one hears of it at
-/// about the same time. Each waits for a random part of this, in microseconds, so that the first one's
-/// word arrives before the others look: it takes one or two milliseconds.
-const TURN_US: u64 = 10_000;
-/// How long a request whose service has no server that takes it waits for one: entries of servers
-/// are read every 600 ms, so one that just came is known within it.
-const NOWHERE_WAIT: Duration = Duration::from_millis(700);
+/// With less time left than this a request is not sent: the time would be used up in transit.
+pub(crate) const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
+/// The longest time between two choices of a waiting request.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(60);
+/// The fraction of a request's target for which it may be held back so that streams at the server do not pause.
+/// Held for longer, the request itself would be late.
+const MAX_HOLD_FRACTION: f64 = 0.5;
+/// Upper bound of the random delay, in microseconds, before a held request chooses again after another VM's prompt
+/// was read. The server then has room for one request, and all VMs that hold one are notified at about the same
+/// time. The delay lets the load report of the first VM that sends arrive at the others, which takes one or two
+/// milliseconds.
+const HOLD_JITTER_US: u64 = 10_000;
+/// How long a request waits while no server of its service accepts it. Server entries are read every 600 ms, so a
+/// newly registered server is known within this time.
+const NO_SERVER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Finds a server that can run the request, waiting for its adapter if need be, and for a server that has
-/// room for its prompt.
+/// Returns a server that can run the request, or the reason for which there is none.
+///
+/// Waits for the request's adapter to be loaded, and for a server that has room for its prompt.
 pub(crate) async fn find_server(run: &mut RequestRun) -> Result<ServerName, &'static str> {
     let gateway = Arc::clone(&run.gateway);
     let from = clock::now();
-    let patience = longest_wait(run.left().min(run.request.route.silence()));
-    let longest_hold = run.request.route.target.mul_f64(HOLD_PART);
-    let (held_before, mut nowhere_from) = (run.held, None);
-    // Counts it among those that wait for its adapter, for as long as it looks for a server.
+    let max_wait = longest_wait(run.left().min(run.request.route.silence()));
+    let max_hold = run.request.route.target.mul_f64(MAX_HOLD_FRACTION);
+    let (held_before, mut unserved_from) = (run.held, None);
+    // Counts the request among those that wait for its adapter until a server is found.
     let mut waiting = None;
     let found = loop {
         let changed = gateway.changed.notified();
         let (own_read, others_read) = (gateway.own_read.notified(), gateway.others_read.notified());
         let now = clock::now();
         let waited = Duration::from_micros(now.since(from));
-        if run.left() < LEAST_LEFT {
+        if run.left() < MIN_TIME_LEFT {
             break Err("deadline");
         }
-        let (choice, wish) = choose(run, waited < longest_hold, now);
-        if let Some((key, version, server)) = wish {
+        let (choice, load_request) = choose(run, waited < max_hold, now);
+        if let Some((key, version, server)) = load_request {
             if matches!(choice, ServerChoice::Load { .. }) {
                 waiting.get_or_insert_with(|| WaitNote::new(&gateway, &key, run.in_time_until()));
             }
-            ask_for(&gateway, &key, version, &server, now);
+            request_load(&gateway, &key, version, &server, now);
         }
-        let pause = match choice {
+        let delay = match choice {
             ServerChoice::Send { server, .. } => break Ok(server),
             ServerChoice::Hold { until, .. } => {
                 hold(run, until, own_read, others_read).await;
                 continue;
             }
             ServerChoice::Wait { until } => Duration::from_micros(until.since(now)),
-            ServerChoice::Load { .. } => LOOK_AGAIN,
-            ServerChoice::Nowhere if let Some(orders_in) = nobody_orders(run, now) => {
-                if waited + orders_in > patience {
-                    run.come_back = Some(orders_in);
+            ServerChoice::Load { .. } => RECHECK_INTERVAL,
+            ServerChoice::Nowhere if let Some(orders_after) = time_until_orders(run, now) => {
+                if waited + orders_after > max_wait {
+                    run.retry_after = Some(orders_after);
                     break Err("nobody_orders");
                 }
-                LOOK_AGAIN
+                RECHECK_INTERVAL
             }
-            ServerChoice::Nowhere if is_over(&mut nowhere_from, now) => break Err("no_server"),
-            ServerChoice::Nowhere => LOOK_AGAIN,
+            ServerChoice::Nowhere if timed_out(&mut unserved_from, now) => break Err("no_server"),
+            ServerChoice::Nowhere => RECHECK_INTERVAL,
         };
-        if waited > patience {
+        if waited > max_wait {
             break Err("adapter_wait");
         }
-        // A millisecond more than asked: timers may be early by a part of one.
-        let _ = timeout(pause.min(LOOK_AGAIN) + Duration::from_millis(1), changed).await;
+        // One millisecond is added because timers may fire up to a millisecond early.
+        let _ = timeout(delay.min(RECHECK_INTERVAL) + Duration::from_millis(1), changed).await;
     };
     let waited = Duration::from_micros(clock::now().since(from));
     run.stall += waited.saturating_sub(run.held - held_before);
     found
 }
 
-/// How long nobody may order servers yet, if a request waits for that: all shares were dealt anew, as after all
-/// VMs lost power. Its adapter can be loaded afterwards alone; refused without that time, callers came back
-/// after 0.4 s, long before, and were refused again.
-fn nobody_orders(run: &RequestRun, now: TimePoint) -> Option<Duration> {
+/// Returns the time until a VM may order servers, if none may yet and the request needs an adapter.
+///
+/// That is so after all partitions were assigned anew, as when all VMs lost power. No adapter can be loaded before,
+/// so the time goes into `Retry-After`: callers that retry earlier would be refused again.
+fn time_until_orders(run: &RequestRun, now: TimePoint) -> Option<Duration> {
     run.request.head.need.as_ref()?.adapter.as_ref()?;
     let first = run.gateway.beliefs().tenure.first_active(now)?;
     Some(Duration::from_micros(first.since(now)))
 }
 
-/// Whether no server took the request for so long that none will.
-fn is_over(nowhere_from: &mut Option<TimePoint>, now: TimePoint) -> bool {
-    let since = *nowhere_from.get_or_insert(now);
-    Duration::from_micros(now.since(since)) > NOWHERE_WAIT
+/// Returns whether no server accepted the request for longer than [`NO_SERVER_TIMEOUT`]. The first call starts the
+/// time.
+fn timed_out(unserved_from: &mut Option<TimePoint>, now: TimePoint) -> bool {
+    let since = *unserved_from.get_or_insert(now);
+    Duration::from_micros(now.since(since)) > NO_SERVER_TIMEOUT
 }
 
 /// Holds a request back until a server may have room for its prompt.
 ///
-/// The VM whose own prompt was read looks at once, since its news of that are not out yet. The others hear
-/// of it at about the same time, and look after a random part of [`TURN_US`].
+/// When the prompt that was read is of this VM, the request chooses at once: other VMs have not received the update
+/// yet. When it is of another VM, the request waits for a random part of [`HOLD_JITTER_US`] first.
 async fn hold(
     run: &mut RequestRun,
     until: TimePoint,
@@ -117,29 +121,29 @@
         let wait_ms = until.since(from) / 1_000;
         event!(RequestHeld, request_id = run.request.head.id, wait_ms = wait_ms);
     }
-    let pause = Duration::from_micros(until.since(from)).min(LOOK_AGAIN);
-    let turn = Duration::from_micros(run.gateway.beliefs().draw() % TURN_US);
+    let delay = Duration::from_micros(until.since(from)).min(RECHECK_INTERVAL);
+    let jitter = Duration::from_micros(run.gateway.beliefs().draw() % HOLD_JITTER_US);
     tokio::select! {
-        _ = timeout(pause + Duration::from_millis(1), others_read) => sleep(turn).await,
+        _ = timeout(delay + Duration::from_millis(1), others_read) => sleep(jitter).await,
         () = own_read => {}
     }
     run.held += Duration::from_micros(clock::now().since(from));
 }
 
-/// Chooses a server, and an adapter that should be loaded somewhere.
+/// Chooses a server for the request and, if an adapter should be loaded, returns it with its version and server.
 fn choose(
     run: &RequestRun,
     may_hold: bool,
     now: TimePoint,
 ) -> (ServerChoice, Option<(AdapterKey, u64, ServerName)>) {
-    let mut beliefs = run.gateway.beliefs();
-    let draw = beliefs.draw();
+    let mut view = run.gateway.beliefs();
+    let draw = view.draw();
     let need = run.request.head.need.as_ref();
     let key = need.and_then(|need| need.adapter.as_ref());
-    let (oldest, newest) = key.map_or((0, 0), |key| beliefs.usable_versions(run, key, now));
+    let (oldest, newest) = key.map_or((0, 0), |key| view.usable_versions(run, key, now));
     let not = run.avoided.clone();
     let domain = &run.gateway.settings.domain;
-    let gap = beliefs.table.as_ref().and_then(|table| table.least_gap(&run.request.service));
+    let gap = view.table.as_ref().and_then(|table| table.least_gap(&run.request.service));
     let server_need = |not, version| ServerNeed {
         service: &run.request.service,
         model: need.map(|need| &need.model),
@@ -150,32 +154,32 @@
         prompt: run.prompt_tokens(),
         gap: gap.filter(|_| may_hold),
     };
-    let choice = beliefs.backends.choose(&server_need(&not, oldest), draw, now);
+    let choice = view.backends.choose(&server_need(&not, oldest), draw, now);
     let Some(key) = key else { return (choice, None) };
     match &choice {
         ServerChoice::Send { copy: Some(server), .. }
         | ServerChoice::Hold { copy: Some(server), .. } => {
-            let wish = (key.clone(), newest, server.clone());
-            (choice, Some(wish))
+            let load_request = (key.clone(), newest, server.clone());
+            (choice, Some(load_request))
         }
         ServerChoice::Send { copy: None, .. } if oldest < newest => {
-            // Served on the version before while the new one is loaded elsewhere.
-            let ahead = beliefs.backends.choose(&server_need(&not, newest), draw, now);
-            let wish = match ahead {
+            // The request runs on the previous version while the new one is loaded at another server.
+            let newer_choice = view.backends.choose(&server_need(&not, newest), draw, now);
+            let load_request = match newer_choice {
                 ServerChoice::Load { server } => Some((key.clone(), newest, server)),
                 _ => None,
             };
-            (choice, wish)
+            (choice, load_request)
         }
         ServerChoice::Load { server } => {
             let mut server = server.clone();
-            // While the store is crowded a wish waits for its turn there, whichever server it names.
-            if !beliefs.forecast(now).is_crowded()
-                && let Some(slow) = beliefs.wishes.overdue(key, now)
+            // While the store is crowded, a load request queues there whichever server it names: no other is tried.
+            if !view.forecast(now).is_crowded()
+                && let Some(slow) = view.wishes.overdue(key, now)
             {
-                let elsewhere = [not.as_slice(), std::slice::from_ref(&slow)].concat();
-                let other = beliefs.backends.choose(&server_need(&elsewhere, oldest), draw, now);
-                server = beliefs.backends.load_elsewhere(slow, &other, now);
+                let excluded = [not.as_slice(), std::slice::from_ref(&slow)].concat();
+                let other = view.backends.choose(&server_need(&excluded, oldest), draw, now);
+                server = view.backends.load_elsewhere(slow, &other, now);
             }
             (ServerChoice::Load { server: server.clone() }, Some((key.clone(), newest, server)))
         }
@@ -183,39 +187,41 @@
     }
 }
 
-/// The part of the time for a new version in which the one before is still used.
-const OLD_VERSION_PART: f64 = 0.5;
+/// The fraction of the promised time for a new version (`version_ms`) during which the previous one is still used.
+const OLD_VERSION_FRACTION: f64 = 0.5;
 
 impl Beliefs {
-    /// The oldest version of an adapter that a request may run on, and the newest that was named.
+    /// Returns the oldest version of an adapter that a request may run on, and the newest that operators named.
+    /// Both are 1 if none was named.
     fn usable_versions(&self, run: &RequestRun, key: &AdapterKey, now: TimePoint) -> (u64, u64) {
         let Some(named) = self.named(key) else { return (1, 1) };
-        let allowed = run.gateway.settings.promises.version_ms as f64 * OLD_VERSION_PART;
-        let young = now.since(named.at) < (allowed * 1_000.0) as u64;
-        let oldest = if young && named.before > 0 { named.before } else { named.version };
+        let allowed = run.gateway.settings.promises.version_ms as f64 * OLD_VERSION_FRACTION;
+        let recent = now.since(named.at) < (allowed * 1_000.0) as u64;
+        let oldest = if recent && named.before > 0 { named.before } else { named.version };
         (oldest, named.version)
     }
 }
 
-/// Asks the VM that orders a server to load an adapter there.
-fn ask_for(
+/// Sends a load request for an adapter to the VM that orders the server, unless one was sent shortly before. If this VM
+/// orders the server, the request goes to its own tracker.
+fn request_load(
     gateway: &Arc<Gateway>,
     key: &AdapterKey,
     version: u64,
     server: &ServerName,
     now: TimePoint,
 ) {
-    let mut beliefs = gateway.beliefs();
-    let step = beliefs.wishes.ask(key, server, now);
+    let mut view = gateway.beliefs();
+    let step = view.wishes.ask(key, server, now);
     let WishStep::Send(server) = step else { return };
-    let Some(owner) = beliefs.backends.owner(server.as_str(), now).cloned() else { return };
+    let Some(owner) = view.backends.owner(server.as_str(), now).cloned() else { return };
     let own = owner.vm == gateway.settings.vm;
-    let waiting = beliefs.waits.of(&gateway.settings.vm, key);
-    let address = beliefs.roster.address(&owner.vm);
+    let waiting = view.waits.of(&gateway.settings.vm, key);
+    let address = view.roster.address(&owner.vm);
     if own {
-        beliefs.books.wish(&server, key, version, waiting.clone(), now);
+        view.books.wish(&server, key, version, waiting.clone(), now);
     }
-    drop(beliefs);
+    drop(view);
     event!(
         AdapterAsked,
         adapter = key.adapter,
@@ -227,7 +233,7 @@
         order::drive(gateway, &server);
     } else if let Some(address) = address {
         let in_time_ms = (waiting.in_time_until.since(now) / 1_000) as u32;
-        let wish = AdapterWish {
+        let load_request = AdapterWish {
             server,
             key: key.clone(),
             version,
@@ -235,6 +241,6 @@
             waiting: waiting.count,
             in_time_ms,
         };
-        gateway.peers.send(&PeerMessage::Wish(wish), &[address]);
+        gateway.peers.send(&PeerMessage::Wish(load_request), &[address]);
     }
 }
--- a/gateway/src/forward.rs
+++ b/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request to a backend server and its answer back.
+//! Forwards callers' requests to backend servers and returns the answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,16 +17,18 @@
 use crate::charge::LimitCharge;
 use crate::clock;
 use crate::find::find_server;
-use crate::outcome::{AfterAnswer, NextStep, answered, give_up, not_run, unknown};
+use crate::outcome::{
+    AfterAnswer, NextStep, give_up, handle_answer, handle_not_run, handle_unknown,
+};
 use crate::refusal::Refusal;
 use crate::run::{CallerRequest, RequestRun};
 use crate::send::{SendEnd, send};
 use crate::state::Gateway;
 
-/// The same while this VM cannot serve anybody yet.
-const STARTING_S: f64 = 0.3;
+/// `Retry-After`, in seconds, while this VM has no configuration yet.
+const STARTUP_RETRY_S: f64 = 0.3;
 
-/// Answers a caller's request.
+/// Answers a caller's request: with a server's answer, a refusal or a failure.
 pub(crate) async fn serve(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
@@ -34,7 +36,7 @@
     let started = clock::now();
     let id = read_head(request.headers());
     let id = id.as_ref().map(|head| head.id.clone()).unwrap_or_default();
-    let answer = match take(&gateway, request, started).await {
+    let answer = match read_request(&gateway, request, started).await {
         Ok(run) => drive(run).await,
         Err(refusal) => {
             refusal.log(&id);
@@ -42,19 +44,19 @@
             own_answer(refusal.status, &id, refusal.retry_s)
         }
     };
-    closing_answer(&gateway, answer)
+    mark_closing(&gateway, answer)
 }
 
-/// A VM that is leaving asks callers to go elsewhere with each answer.
-fn closing_answer(gateway: &Gateway, mut answer: Response<AnswerStream>) -> Response<AnswerStream> {
+/// Adds `Connection: close` to the answer while the VM shuts down, so that callers reconnect to another VM.
+fn mark_closing(gateway: &Gateway, mut answer: Response<AnswerStream>) -> Response<AnswerStream> {
     if gateway.leaving() {
         answer.headers_mut().insert(header::CONNECTION, header::HeaderValue::from_static("close"));
     }
     answer
 }
 
-/// Reads a request whole and finds its route.
-async fn take(
+/// Reads a request with its body, admits it and charges it to its customer's limit.
+async fn read_request(
     gateway: &Arc<Gateway>,
     mut request: Request<Incoming>,
     started: TimePoint,
@@ -62,7 +64,7 @@
     let table = gateway.beliefs().table.clone();
     let Some(table) = table else {
         let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_configuration", 0);
-        return Err(Refusal { retry_s: Some(STARTING_S), ..refusal });
+        return Err(Refusal { retry_s: Some(STARTUP_RETRY_S), ..refusal });
     };
     let config = table.version.0;
     let bad = |reason| Refusal::new(StatusCode::BAD_REQUEST, reason, config);
@@ -78,7 +80,8 @@
     let service = service.ok_or_else(|| bad("no_service"))?;
     let (mut parts, body) = request.into_parts();
     if admitted.keyed {
-        // The configuration with the first customers may have come since the key was looked for.
+        // `read_key` removed no key if the configuration had no customers then, but the newer one that admitted the
+        // request has.
         let _ = take_key(&mut parts.headers);
     }
     let body = read_body(body, &table).await.map_err(|status| match status {
@@ -105,6 +108,7 @@
     Ok(RequestRun::new(Arc::clone(gateway), request, charge))
 }
 
+/// Returns the route for the request's host, without its port, and path.
 fn find_route<'a>(table: &'a RouteTable, request: &Request<Incoming>) -> Option<&'a ServingRoute> {
     let named = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
     let host = named.or_else(|| request.uri().host())?;
@@ -112,6 +116,7 @@
     table.find(host, request.uri().path())
 }
 
+/// Reads a body whole, within the configured size and idle time.
 async fn read_body(body: Incoming, table: &RouteTable) -> Result<Bytes, StatusCode> {
     let limits = &table.limits;
     let whole = Limited::new(body, limits.body_bytes).collect();
@@ -123,7 +128,7 @@
     }
 }
 
-/// Sends a request to servers until it has its final answer.
+/// Sends a request to one server after another until it has its final answer.
 async fn drive(mut run: RequestRun) -> Response<AnswerStream> {
     loop {
         let server = match find_server(&mut run).await {
@@ -135,23 +140,23 @@
         }
         let end = send(&mut run, &server, None).await;
         let step = match end {
-            SendEnd::Answer(answer) => match answered(run, server, answer).await {
+            SendEnd::Answer(answer) => match handle_answer(run, server, answer).await {
                 AfterAnswer::Finished(answer) => return *answer,
-                AfterAnswer::Again(again) => {
-                    run = *again;
-                    NextStep::Again(Duration::ZERO)
+                AfterAnswer::Retry(unfinished) => {
+                    run = *unfinished;
+                    NextStep::Retry(Duration::ZERO)
                 }
             },
-            SendEnd::NotRun(answer, head) => not_run(&mut run, &server, answer, &head),
+            SendEnd::NotRun(answer, head) => handle_not_run(&mut run, &server, answer, &head),
             SendEnd::Unsent(_) => {
                 run.avoided.push(server);
-                NextStep::Again(Duration::ZERO)
+                NextStep::Retry(Duration::ZERO)
             }
-            SendEnd::Unknown(cause) => unknown(&mut run, server, cause),
+            SendEnd::Unknown(cause) => handle_unknown(&mut run, server, cause),
         };
         match step {
-            NextStep::Again(pause) if pause.is_zero() => {}
-            NextStep::Again(pause) => tokio::time::sleep(pause.min(run.left())).await,
+            NextStep::Retry(delay) if delay.is_zero() => {}
+            NextStep::Retry(delay) => tokio::time::sleep(delay.min(run.left())).await,
             NextStep::Finished(answer) => return *answer,
         }
     }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process on an entry VM of the operators' platform: it takes callers' requests to backend
-//! servers and their answers back as bytes, and orders which adapters the servers hold.
+//! The gateway process of an entry VM on the operators' platform. It forwards callers' requests to backend servers
+//! and returns the answers unchanged, and it orders which adapters the servers hold.
 //!
-//! Decisions stand in `coltsfoothook-decision` (`routing`, `backend`, `orderbook`, `tenure`,
-//! `budget`), names and formats of the platform in `coltsfoothook-platform`; here is what connects
-//! them to sockets and time. docs/PLATFORM.md tells the way of one request.
+//! The decisions are made in `coltsfoothook-decision` (`routing`, `backend`, `orderbook`, `tenure`, `budget`), and
+//! the platform's names and formats are defined in `coltsfoothook-platform`. This package connects both to sockets
+//! and clocks. docs/PLATFORM.md describes the path of a request.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), coltsfoothook_gateway::GatewayError> {
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program that runs on an entry VM of the operators' platform.
+//! The gateway program for entry VMs of the operators' platform.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,23 +8,23 @@
 use coltsfoothook_settings::load_settings;
 use coltsfoothook_telemetry::{event, name_process, start_logs};
 
-/// The exit code for settings that cannot be used.
+/// The exit code for invalid settings, and for a process that could not start with them.
 const EXIT_SETTINGS: u8 = 2;
-/// The variable that names the settings file.
+/// The environment variable that names the settings file.
 const SETTINGS_VARIABLE: &str = "COLTSFOOTHOOK_SETTINGS";
 
-/// Takes callers' requests to backend servers on the operators' platform.
+/// Forwards callers' requests to backend servers on the operators' platform.
 ///
 /// Example: coltsfoothook-gateway --settings /etc/coltsfoothook/gateway.json
 ///
-/// SIGTERM ends the process without cutting a request.
+/// On SIGTERM the process finishes open requests within the grace time and ends.
 #[derive(Bpaf, Debug)]
 #[bpaf(options, version)]
 struct GatewayOptions {
     /// The settings file: JSON with comments; docs/SETTINGS.md lists the keys.
     #[bpaf(argument("FILE"), env("COLTSFOOTHOOK_SETTINGS"))]
     settings: PathBuf,
-    /// Check the settings and end: 0 if they are good, 2 if not.
+    /// Check the settings and exit: 0 if they are valid, 2 if not.
     check_settings: bool,
 }
 
@@ -46,12 +46,12 @@
         eprintln!("{error}");
         return ExitCode::FAILURE;
     }
-    // One thread: a VM has a part of one core, and more threads only add switches between them.
+    // One thread: a VM has a fraction of one core, and more threads would only add context switches.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ended = match runtime {
         Ok(runtime) => {
             let ended = runtime.block_on(run_gateway(settings, &options.settings));
-            // Connections that are still open end with the process.
+            // Does not wait for connections that are still open.
             runtime.shutdown_background();
             ended
         }
--- a/gateway/src/outcome.rs
+++ b/gateway/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What follows a send to a server: an answer to the caller, or another try.
+//! Handles the outcome of a send to a server: answers the caller, or retries at a server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,32 +13,32 @@
 
 use crate::answer::{AnswerStream, own_answer, whole_answer};
 use crate::clock;
-use crate::find::LEAST_LEFT;
+use crate::find::MIN_TIME_LEFT;
 use crate::peer;
 use crate::relay::StreamRelay;
 use crate::run::RequestRun;
 use crate::send::{ANSWER_SLACK, JUST_LOADED_US};
 
-/// When a caller should come back after a refusal, in seconds: a cold adapter is loaded by then, and
-/// the caller has most of its time left.
-const COME_BACK_S: f64 = 0.4;
-/// The longest body of a plain answer that is held until it is whole.
-const MOST_WHOLE_BYTES: usize = 8 << 20;
+/// `Retry-After` of a refusal, in seconds: long enough for a cold adapter to be loaded, and short enough that the
+/// caller has most of its time left.
+const RETRY_AFTER_S: f64 = 0.4;
+/// The largest body, in bytes, of an answer that is not a stream. Such answers are buffered before they are sent.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
 /// What to do after a send.
 pub(crate) enum NextStep {
-    /// Look for a server again, after a pause.
-    Again(Duration),
-    /// The request is answered.
+    /// Select a server again after this time.
+    Retry(Duration),
+    /// Return this answer to the caller.
     Finished(Box<Response<AnswerStream>>),
 }
 
-/// What follows a server's own answer.
+/// What to do after a server's own answer.
 pub(crate) enum AfterAnswer {
-    /// The caller gets it.
+    /// Return this answer to the caller.
     Finished(Box<Response<AnswerStream>>),
-    /// Another server may do better.
-    Again(Box<RequestRun>),
+    /// The server failed, and another one may run the request.
+    Retry(Box<RequestRun>),
 }
 
 impl AfterAnswer {
@@ -47,8 +47,8 @@
     }
 }
 
-/// A server's own answer came.
-pub(crate) async fn answered(
+/// Passes a server's own answer to the caller, or retries if the server failed and another one may run the request.
+pub(crate) async fn handle_answer(
     mut run: RequestRun,
     server: ServerName,
     answer: ExchangeAnswer,
@@ -56,30 +56,30 @@
     run.ran += 1;
     let status = answer.status;
     let failed = status.is_server_error();
-    let may_again = failed && status != StatusCode::GATEWAY_TIMEOUT && run.may_run_elsewhere();
+    let may_retry = failed && status != StatusCode::GATEWAY_TIMEOUT && run.may_run_elsewhere();
     let stream = run.request.route.repeat.is_stream() && status.is_success();
     if stream {
         return AfterAnswer::finished(StreamRelay::answer(run, server, answer));
     }
-    let (headers, pace) = (answer.headers.clone(), run.elapsed());
-    let body = timeout(run.left() + ANSWER_SLACK, answer.body.collect(MOST_WHOLE_BYTES)).await;
-    let body = body.map_err(|_| "timed out".to_owned());
+    let (headers, latency) = (answer.headers.clone(), run.elapsed());
+    let body = timeout(run.left() + ANSWER_SLACK, answer.body.collect(MAX_BUFFERED_BYTES)).await;
+    let body = body.map_err(|_| "the answer's body was not complete in time".to_owned());
     let body = body.and_then(|whole| whole.map_err(|error| error.to_string()));
     {
-        let mut beliefs = run.gateway.beliefs();
+        let mut view = run.gateway.beliefs();
         let good = !failed && body.is_ok();
-        let pace = good.then_some(pace.as_micros() as f64);
-        if beliefs.backends.is_life(server.as_str(), run.born) {
-            beliefs.backends.answered(server.as_str(), good, pace);
+        let latency_us = good.then_some(latency.as_micros() as f64);
+        if view.backends.is_life(server.as_str(), run.incarnation) {
+            view.backends.answered(server.as_str(), good, latency_us);
         }
     }
     let body = match body {
         Ok(body) => body,
-        Err(cause) => return finish_or_again(run, server, cause),
+        Err(cause) => return finish_or_retry(run, server, cause),
     };
-    if may_again {
+    if may_retry {
         run.avoided.push(server);
-        return AfterAnswer::Again(Box::new(run));
+        return AfterAnswer::Retry(Box::new(run));
     }
     run.first = Some(run.elapsed());
     run.status = status.as_u16();
@@ -87,15 +87,15 @@
     AfterAnswer::finished(whole_answer(status, pass_on(&headers), body))
 }
 
-fn finish_or_again(mut run: RequestRun, server: ServerName, cause: String) -> AfterAnswer {
-    match broke_off(&mut run, server, cause) {
-        NextStep::Again(_) => AfterAnswer::Again(Box::new(run)),
+fn finish_or_retry(mut run: RequestRun, server: ServerName, cause: String) -> AfterAnswer {
+    match handle_broken_answer(&mut run, server, cause) {
+        NextStep::Retry(_) => AfterAnswer::Retry(Box::new(run)),
         NextStep::Finished(answer) => AfterAnswer::Finished(answer),
     }
 }
 
-/// A server did not run the request.
-pub(crate) fn not_run(
+/// Handles a server's statement that it did not run the request.
+pub(crate) fn handle_not_run(
     run: &mut RequestRun,
     server: &ServerName,
     answer: ExchangeAnswer,
@@ -104,8 +104,8 @@
     let now = clock::now();
     let status = answer.status;
     let key = run.request.head.need.as_ref().and_then(|need| need.adapter.clone());
-    let mut beliefs = run.gateway.beliefs();
-    let state = beliefs.backends.get(server.as_str());
+    let mut view = run.gateway.beliefs();
+    let state = view.backends.get(server.as_str());
     let usable_from = state.and_then(|state| state.usable_since(key.as_ref()?));
     event!(
         RequestNotRun,
@@ -116,25 +116,26 @@
         usable_ms? = usable_from.map(|from| now.since(from) / 1_000),
         known = head.id.is_some(),
     );
-    if !beliefs.backends.is_life(server.as_str(), run.born) {
-        // The server started again since; what its earlier life refused tells nothing of this one.
-        return NextStep::Again(Duration::ZERO);
+    if !view.backends.is_life(server.as_str(), run.incarnation) {
+        // The server has restarted since. The refusal says nothing about its present incarnation.
+        return NextStep::Retry(Duration::ZERO);
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        drop(beliefs);
+        drop(view);
         return misdirected(run, server, key.as_ref(), usable_from);
     }
-    // It is full, or replaces the adapter's version; it may take requests again in a moment.
-    beliefs.backends.full(server.as_str(), now);
-    drop(beliefs);
+    // The server is full or is replacing the adapter's version; it may accept requests again shortly.
+    view.backends.full(server.as_str(), now);
+    drop(view);
     if key.is_none() {
         run.avoided.push(server.clone());
-        return NextStep::Again(Duration::ZERO);
+        return NextStep::Retry(Duration::ZERO);
     }
-    NextStep::Again(run.next_pause())
+    NextStep::Retry(run.next_retry_interval())
 }
 
-/// A server does not hold the adapter, not yet or not any more, or is another life at the address.
+/// Handles a 421: the server does not hold the adapter, either not yet or no longer, or another server or
+/// incarnation answers at the address.
 fn misdirected(
     run: &mut RequestRun,
     server: &ServerName,
@@ -143,46 +144,51 @@
 ) -> NextStep {
     let now = clock::now();
     let gateway = Arc::clone(&run.gateway);
-    let mut beliefs = gateway.beliefs();
+    let mut view = gateway.beliefs();
     if let (Some(key), Some(from)) = (key, usable_from) {
-        let lost = beliefs.backends.get(server.as_str()).is_some_and(|state| state.is_avoided(now));
+        let lost = view.backends.get(server.as_str()).is_some_and(|state| state.is_avoided(now));
         if now.since(from) < JUST_LOADED_US && !lost {
-            beliefs.uses.met(server, run.born, key, |used| used.too_early = true);
-            drop(beliefs);
-            // Others wait for the same load; told at once, they do not come too early as well.
-            peer::tell_use(&gateway, server, run.born, key);
-            return NextStep::Again(run.next_pause());
+            view.uses.met(server, run.incarnation, key, |used| used.too_early = true);
+            drop(view);
+            // Other VMs may wait for the same load. Reported at once, it keeps them from sending too early as well.
+            peer::tell_use(&gateway, server, run.incarnation, key);
+            return NextStep::Retry(run.next_retry_interval());
         }
-        beliefs.backends.not_held(server.as_str(), key);
-        beliefs.uses.met(server, run.born, key, |used| used.missing = true);
-        return NextStep::Again(Duration::ZERO);
+        view.backends.not_held(server.as_str(), key);
+        view.uses.met(server, run.incarnation, key, |used| used.missing = true);
+        return NextStep::Retry(Duration::ZERO);
     }
-    beliefs.backends.unreachable(server.as_str(), now);
-    drop(beliefs);
+    view.backends.unreachable(server.as_str(), now);
+    drop(view);
     run.avoided.push(server.clone());
-    NextStep::Again(Duration::ZERO)
+    NextStep::Retry(Duration::ZERO)
 }
 
-/// A server may have run the request, and there is no answer.
-pub(crate) fn unknown(run: &mut RequestRun, server: ServerName, cause: String) -> NextStep {
+/// Handles a send after which the server may have run the request, without a valid answer.
+pub(crate) fn handle_unknown(run: &mut RequestRun, server: ServerName, cause: String) -> NextStep {
     run.ran += 1;
-    broke_off(run, server, cause)
+    handle_broken_answer(run, server, cause)
 }
 
-/// What follows when a server that is counted as having run the request gives no whole answer.
-fn broke_off(run: &mut RequestRun, server: ServerName, cause: String) -> NextStep {
+/// Retries or answers with a failure after a server that is counted in `run.ran` gave no complete answer.
+fn handle_broken_answer(run: &mut RequestRun, server: ServerName, cause: String) -> NextStep {
     run.avoided.push(server);
     if run.may_run_elsewhere() {
-        return NextStep::Again(Duration::ZERO);
+        return NextStep::Retry(Duration::ZERO);
     }
-    let status =
-        if run.left() < LEAST_LEFT { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
+    let status = if run.left() < MIN_TIME_LEFT {
+        StatusCode::GATEWAY_TIMEOUT
+    } else {
+        StatusCode::BAD_GATEWAY
+    };
     run.status = status.as_u16();
     run.end("failed", cause);
     NextStep::Finished(Box::new(own_answer(status, &run.request.head.id, None)))
 }
 
-/// The final answer of a request that no server runs any more.
+/// Returns the final answer of a request that is sent to no further server.
+///
+/// Only if no server may have run it is that 503 with `Retry-After`; else the answer is 502 or 504.
 pub(crate) fn give_up(mut run: RequestRun, reason: &'static str) -> Response<AnswerStream> {
     let (status, outcome) = if run.ran == 0 {
         (StatusCode::SERVICE_UNAVAILABLE, "refused")
@@ -193,7 +199,7 @@
     };
     run.status = status.as_u16();
     run.end(outcome, reason);
-    let come_back_s = run.come_back.map_or(0.0, |later| later.as_secs_f64()) + COME_BACK_S;
-    let retry = (run.ran == 0).then_some(come_back_s);
+    let retry_s = run.retry_after.map_or(0.0, |later| later.as_secs_f64()) + RETRY_AFTER_S;
+    let retry = (run.ran == 0).then_some(retry_s);
     own_answer(status, &run.request.head.id, retry)
 }
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! A gateway process from its start to its end.
+//! Start, settings reload and shutdown of a gateway process.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -13,45 +13,45 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-use crate::face::FaceListeners;
+use crate::face::InterfaceListeners;
 use crate::peer::PeerSocket;
 use crate::settings::GatewaySettings;
 use crate::state::Gateway;
 use crate::{aggregate, confirm, follow, group, order, peer, share};
 
-/// The part of the grace time in which a leaving VM still takes requests: callers use the addresses
-/// that they were told for some seconds more. A long stream that is taken later than that would be cut
-/// by the end of the process, while its caller could have gone elsewhere at once.
-const ACCEPT_PART: f64 = 0.3;
-/// What is left of the grace time when the process ends at the latest. The kill that follows must not
-/// meet a process that still writes.
-const LAST_MOMENT: Duration = Duration::from_millis(300);
-/// Between two looks whether all requests have ended.
-const END_LOOK: Duration = Duration::from_millis(50);
-/// Between two looks at the settings file, which may change without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(5);
+/// The fraction of the grace time during which a VM that shuts down still accepts requests, because callers use
+/// cached addresses for some seconds more. A long stream accepted later would be cut by the end of the process,
+/// while its caller could have gone to another VM.
+const ACCEPT_FRACTION: f64 = 0.3;
+/// The process ends at the latest when this much of the grace time is left, so that it is not killed while it
+/// writes.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
+/// The interval between checks whether all requests have ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval between reads of the settings file, which may change without a SIGHUP.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why a process did not start.
+/// The error of a process that did not start.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
     /// A socket could not be opened.
     #[snafu(display("cannot listen: {source}"))]
     Listen {
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// Signals cannot be received.
     #[snafu(display("cannot receive signals: {source}"))]
     Signals {
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A running gateway process. Dropping it ends it at once, as a kill does.
+/// A running gateway process. Dropping it aborts its tasks and cuts open requests, as a kill does.
 pub struct GatewayProcess {
     gateway: Arc<Gateway>,
-    // Its tasks end when it is dropped.
+    // Aborted on drop.
     _tasks: JoinSet<()>,
 }
 
@@ -64,7 +64,7 @@
     pub async fn start(settings: GatewaySettings) -> Result<Self, GatewayError> {
         let peers = PeerSocket::bind(settings.listen.peers).await.context(ListenSnafu)?;
         let gateway = Arc::new(Gateway::new(settings, peers));
-        let listeners = FaceListeners::open(&gateway).context(ListenSnafu)?;
+        let listeners = InterfaceListeners::open(&gateway).context(ListenSnafu)?;
         hint_seeds(&gateway);
         event!(
             ProcessStarted,
@@ -89,34 +89,38 @@
         Ok(Self { gateway, _tasks: tasks })
     }
 
-    /// Ends without cutting a request: callers are sent elsewhere first, connections end as their
-    /// requests do, and the process ends when all have or the grace time is nearly over.
+    /// Shuts down without cutting requests, as far as they end within the grace time.
+    ///
+    /// Callers are sent to other VMs first. Then the VM accepts no more connections, and the process ends when all
+    /// open requests have or the grace time is nearly over.
     pub async fn stop(self) {
         let gateway = &self.gateway;
-        let begun = Instant::now();
+        let stop_started = Instant::now();
         let grace = Duration::from_secs(gateway.settings.promises.grace_s);
         gateway.leave();
         event!(ShutdownStarted, open = gateway.open.load(Ordering::Relaxed));
         peer::tell_once(gateway);
-        // The VM stays in the group: a process that starts anew within its lifetime goes on with its
-        // shares, while leaving would move them twice.
-        sleep((grace.mul_f64(ACCEPT_PART)).saturating_sub(begun.elapsed())).await;
+        // The VM stays a member of the group: a process restarted before the membership lapses keeps its
+        // partitions, while leaving would move them twice.
+        sleep((grace.mul_f64(ACCEPT_FRACTION)).saturating_sub(stop_started.elapsed())).await;
         gateway.closing.send_replace(true);
-        let last = grace.saturating_sub(LAST_MOMENT);
-        while gateway.open.load(Ordering::Relaxed) > 0 && begun.elapsed() < last {
-            sleep(END_LOOK).await;
+        let deadline = grace.saturating_sub(SHUTDOWN_MARGIN);
+        while gateway.open.load(Ordering::Relaxed) > 0 && stop_started.elapsed() < deadline {
+            sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
         let open = gateway.open.load(Ordering::Relaxed);
         if open > 0 {
             event!(ShutdownOverdue, open = open);
         }
-        // What was written last is still on its way out of this process's buffers.
-        sleep(END_LOOK).await;
-        event!(ProcessStopped, took_ms = begun.elapsed().as_millis());
+        // Gives the last writes time to leave the buffers of this process.
+        sleep(SHUTDOWN_POLL_INTERVAL).await;
+        event!(ProcessStopped, took_ms = stop_started.elapsed().as_millis());
     }
 }
 
-/// Serves until SIGTERM or SIGINT, then ends without cutting a request.
+/// Serves until SIGTERM or SIGINT, then shuts down as [`GatewayProcess::stop`] does.
+///
+/// `file` is the settings file, which is read again on SIGHUP and when it has changed.
 ///
 /// # Errors
 ///
@@ -135,48 +139,49 @@
     Ok(())
 }
 
+/// Adds the seed VMs to the roster. They listen on the same port for other VMs as this one.
 fn hint_seeds(gateway: &Gateway) {
     let port = gateway.settings.listen.peers.port();
-    let mut beliefs = gateway.beliefs();
+    let mut view = gateway.beliefs();
     for seed in &gateway.settings.seeds {
-        beliefs.roster.hint(std::net::SocketAddr::new(seed.ip(), port));
+        view.roster.hint(std::net::SocketAddr::new(seed.ip(), port));
     }
 }
 
-/// Takes changes of the settings file that can be taken without a restart.
+/// Applies changes of the settings file that need no restart, on SIGHUP and every [`SETTINGS_POLL_INTERVAL`].
 async fn follow_settings(gateway: Arc<Gateway>, file: PathBuf, mut hup: Signal) {
     let mut known = gateway.settings.clone();
     loop {
-        let told = tokio::select! {
+        let signalled = tokio::select! {
             _ = hup.recv() => true,
-            () = sleep(SETTINGS_LOOK) => false,
+            () = sleep(SETTINGS_POLL_INTERVAL) => false,
         };
         match load_settings::<GatewaySettings>(&file) {
             Ok(settings) if settings != known => {
                 apply(&gateway, &settings);
-                event!(SettingsReloaded, changed = true, told = told);
+                event!(SettingsReloaded, changed = true, told = signalled);
                 known = settings;
             }
-            Ok(_) if told => event!(SettingsReloaded, changed = false, told = told),
+            Ok(_) if signalled => event!(SettingsReloaded, changed = false, told = signalled),
             Ok(_) => {}
             Err(error) => event!(SettingsRefused, cause = error),
         }
     }
 }
 
-/// Bounds and seeds are taken at once; addresses and names only with a restart.
+/// Applies bounds and seeds. Addresses and names need a restart.
 fn apply(gateway: &Gateway, settings: &GatewaySettings) {
     let promises = &settings.promises;
     let port = gateway.settings.listen.peers.port();
-    let mut beliefs = gateway.beliefs();
-    beliefs.budget.set_bounds(RepeatBounds {
+    let mut view = gateway.beliefs();
+    view.budget.set_bounds(RepeatBounds {
         ratio: promises.repeat_ratio,
         slack: promises.repeat_slack,
         window_us: promises.repeat_window_s * 1_000_000,
     });
-    beliefs.confirmation.set_promise(promises.key_removal());
-    beliefs.limiter.set_excess(promises.limit_excess());
+    view.confirmation.set_promise(promises.key_removal());
+    view.limiter.set_excess(promises.limit_excess());
     for seed in &settings.seeds {
-        beliefs.roster.hint(std::net::SocketAddr::new(seed.ip(), port));
+        view.roster.hint(std::net::SocketAddr::new(seed.ip(), port));
     }
 }
--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -1,27 +1,28 @@
-//! Refusals of requests before anything of them is done.
+//! Refusals of requests before they are sent to a server.
 
 use coltsfoothook_decision::id::CustomerName;
 use coltsfoothook_decision::limit::LimitRefusal;
 use coltsfoothook_telemetry::event;
 use http::StatusCode;
 
-/// Why a request is refused.
+/// The answer to a refused request, and what is logged of it.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
     pub(crate) status: StatusCode,
+    /// The reason in logs and metrics.
     pub(crate) reason: &'static str,
-    /// When its caller should come back, in seconds.
+    /// `Retry-After` in seconds; without the header if `None`.
     pub(crate) retry_s: Option<f64>,
-    /// The configuration that it was judged by.
+    /// Version of the configuration that the request was judged by; 0 if there was none.
     pub(crate) config: u64,
     pub(crate) grounds: Option<Box<RefusalGrounds>>,
 }
 
-/// What a refusal rests on, as far as it concerns the request's customer.
+/// Details of a refusal that concern the customer or its configuration, for the log.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RefusalGrounds {
     pub(crate) customer: Option<CustomerName>,
-    /// How long ago the configuration was known to be the newest.
+    /// Time since the configuration was last confirmed to be the newest, in milliseconds.
     pub(crate) confirmed_ms: Option<u128>,
     pub(crate) limit: Option<LimitRefusal>,
 }
@@ -31,12 +32,12 @@
         Self { status, reason, retry_s: None, config, grounds: None }
     }
 
-    /// The same with what it rests on.
-    pub(crate) fn because(self, grounds: RefusalGrounds) -> Self {
+    /// Adds the details that are logged with the refusal.
+    pub(crate) fn with_grounds(self, grounds: RefusalGrounds) -> Self {
         Self { grounds: Some(Box::new(grounds)), ..self }
     }
 
-    /// Logs it.
+    /// Logs the refusal as a `RequestRefused` event.
     pub(crate) fn log(&self, request_id: &str) {
         let grounds = self.grounds.as_deref();
         let limit = grounds.and_then(|grounds| grounds.limit.as_ref());
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, and goes on at another server where that is allowed.
+//! Forwards an event stream to the caller, and resumes it at another server where the route allows that.
 
 use std::time::Duration;
 
@@ -19,40 +19,41 @@
 use crate::run::RequestRun;
 use crate::send::{SendEnd, send};
 
-/// What a stream may last beyond its due time: the server ends it itself at that time.
+/// How long a stream may run past its due time. The server knows the due time and ends the stream itself then.
 const DUE_SLACK: Duration = Duration::from_millis(200);
-/// A stream with less time left is not resumed.
-const LEAST_RESUME: Duration = Duration::from_millis(150);
+/// A stream with less time left than this is not resumed.
+const MIN_RESUME_TIME: Duration = Duration::from_millis(150);
 
-/// Headers of a stream's answer as they go to the caller.
+/// Returns the headers of a stream's answer for the caller. The length may change when the stream is resumed.
 fn stream_headers(from: &HeaderMap) -> HeaderMap {
     let mut headers = pass_on(from);
     headers.remove(header::CONTENT_LENGTH);
     headers
 }
 
-/// A stream on its way.
+/// A stream that is being forwarded.
 pub(crate) struct StreamRelay {
     run: RequestRun,
     server: ServerName,
-    /// None while no server runs it.
+    /// `None` while no server runs the stream.
     body: Option<AnswerBody>,
-    /// Set where another server may go on with the stream.
+    /// `None` if the route does not allow to resume the stream at another server.
     scan: Option<EventScan>,
     due: std::pin::Pin<Box<Sleep>>,
     last_piece: Instant,
 }
 
-/// What the server's side brought.
+/// What was read from the server.
 enum RelayPiece {
     Events(Bytes),
     End,
     Broken(String),
+    /// The due time and [`DUE_SLACK`] are over.
     Overdue,
 }
 
 impl StreamRelay {
-    /// The answer to the caller.
+    /// Returns the answer to the caller, whose body forwards the stream.
     pub(crate) fn answer(
         run: RequestRun,
         server: ServerName,
@@ -82,19 +83,20 @@
         answer
     }
 
+    /// Returns the next bytes for the caller, or `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
         loop {
-            let cause = match self.piece().await {
+            let cause = match self.read_piece().await {
                 RelayPiece::Events(events) if events.is_empty() => continue,
                 RelayPiece::Events(events) => {
-                    self.passed_on();
+                    self.record_forwarded();
                     return Ok(Some(events));
                 }
                 RelayPiece::End => {
                     self.run.status = 200;
                     self.run.end("done", "");
-                    self.answered(true, None);
-                    self.ended_whole();
+                    self.record_answer(true, None);
+                    self.record_completed();
                     return Ok(None);
                 }
                 RelayPiece::Broken(cause) => cause,
@@ -103,7 +105,7 @@
                     return Err(BrokenAnswer);
                 }
             };
-            self.answered(false, None);
+            self.record_answer(false, None);
             if !self.resume(&cause).await {
                 self.run.end("failed", cause);
                 return Err(BrokenAnswer);
@@ -111,9 +113,9 @@
         }
     }
 
-    async fn piece(&mut self) -> RelayPiece {
+    async fn read_piece(&mut self) -> RelayPiece {
         let Some(body) = &mut self.body else {
-            return RelayPiece::Broken("no server runs it".to_owned());
+            return RelayPiece::Broken("no server runs the stream".to_owned());
         };
         let piece = tokio::select! {
             biased;
@@ -126,16 +128,17 @@
                 None => RelayPiece::Events(bytes),
             },
             Some(Err(error)) => RelayPiece::Broken(error.to_string()),
-            None if self.scan.as_ref().is_some_and(EventScan::is_amid) => {
+            None if self.scan.as_ref().is_some_and(EventScan::has_partial) => {
                 RelayPiece::Broken("the stream ended within an event".to_owned())
             }
             None => RelayPiece::End,
         }
     }
 
-    fn passed_on(&mut self) {
+    /// Records that an event goes to the caller: the time to the first one, and the pause before each later one.
+    fn record_forwarded(&mut self) {
         let now = Instant::now();
-        self.run.prompt_read();
+        self.run.record_prompt_read();
         if self.run.first.is_none() {
             self.run.first = Some(self.run.elapsed());
             self.last_piece = now;
@@ -144,37 +147,39 @@
         let pause = now.duration_since(self.last_piece);
         self.last_piece = now;
         self.run.pause = self.run.pause.max(pause);
-        self.answered(true, Some(pause.as_micros() as f64));
+        self.record_answer(true, Some(pause.as_micros() as f64));
     }
 
-    /// Notes how long the stream paused, since requests are held back where streams pause for too long.
-    fn ended_whole(&self) {
+    /// Records the longest pause of a complete stream. Requests are held back where streams pause for longer than
+    /// their route's target.
+    fn record_completed(&self) {
         let request = &self.run.request;
         if let Some(gap) = request.route.target_gap {
-            let mut beliefs = self.run.gateway.beliefs();
-            beliefs.backends.stream_ended(&request.service, self.run.pause, gap);
+            let mut view = self.run.gateway.beliefs();
+            view.backends.stream_ended(&request.service, self.run.pause, gap);
         }
     }
 
-    /// Notes how the server does, unless it started again since.
-    fn answered(&self, good: bool, pace_us: Option<f64>) {
-        let mut beliefs = self.run.gateway.beliefs();
-        if beliefs.backends.is_life(self.server.as_str(), self.run.born) {
-            beliefs.backends.answered(self.server.as_str(), good, pace_us);
+    /// Records whether the server works and how long it paused, unless it has restarted since.
+    fn record_answer(&self, good: bool, pause_us: Option<f64>) {
+        let mut view = self.run.gateway.beliefs();
+        if view.backends.is_life(self.server.as_str(), self.run.incarnation) {
+            view.backends.answered(self.server.as_str(), good, pause_us);
         }
     }
 
-    /// Goes on at another server after the last event that was passed on.
+    /// Resumes the stream at another server after the last event that was forwarded. Returns false if it cannot be
+    /// resumed.
     async fn resume(&mut self, cause: &str) -> bool {
         let Some(scan) = &mut self.scan else { return false };
         scan.drop_partial();
         let last = scan.last_id().map(str::to_owned);
         let run = &mut self.run;
         run.avoided.push(self.server.clone());
-        // The first server must have stopped before another one goes on; closing the connection tells
-        // it so.
+        // The first server must stop before another one resumes; dropping the body closes its connection, which
+        // ends the stream there.
         self.body = None;
-        if run.ran >= run.request.route.most_servers || run.left() < LEAST_RESUME {
+        if run.ran >= run.request.route.most_servers || run.left() < MIN_RESUME_TIME {
             return false;
         }
         if !run.may_send() {
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! One request of a caller on its way.
+//! The state of one request of a caller while it is served.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,54 +13,59 @@
 
 use crate::charge::LimitCharge;
 use crate::clock;
-use crate::find::LEAST_LEFT;
+use crate::find::MIN_TIME_LEFT;
 use crate::message::AdapterUse;
 use crate::metrics::RequestTiming;
 use crate::sent::SentCount;
 use crate::state::Gateway;
 
-/// After a server's word that it is full or still loads the adapter, doubled with each further one. The
-/// owner is told of an adapter that is late, and its next list says when it can be used.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// How often the pause is doubled.
-const PAUSE_DOUBLINGS: u32 = 3;
+/// The wait before the retry after a server's answer that it is full or still loads the adapter. It doubles with
+/// each such answer. Meanwhile the VM that orders the server receives a report of a late adapter, and its next list
+/// says when the adapter can be used.
+const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How many times the wait is doubled at most.
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// Everything that is known of a request. Its end is logged and counted when it is dropped, so that a
-/// caller who leaves ends it like any other way.
+/// The state of a request. Its end is logged and counted on drop, so that a request whose caller disconnects, which
+/// drops it, is recorded like any other.
 pub(crate) struct RequestRun {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) request: CallerRequest,
     /// When its final answer is due.
     pub(crate) due: TimePoint,
-    /// Servers that it is not sent to again.
+    /// Servers that the request is not sent to again.
     pub(crate) avoided: Vec<ServerName>,
-    /// Times it was sent.
+    /// How many times it was sent; sends that reached no server are taken out.
     pub(crate) sends: u32,
-    /// Servers that may have begun to run it.
+    /// How many servers may have begun to run it.
     pub(crate) ran: u32,
-    /// Pauses that it made since a server could not take it yet.
-    pauses: u32,
-    /// The server of the last send, and the life of it that the request was sent to.
+    /// How many times it waited because a server could not run it yet.
+    retry_waits: u32,
+    /// The server of the last send.
     pub(crate) server: Option<ServerName>,
-    pub(crate) born: u64,
+    /// The start time of that server when the request was sent, as in its entry; 0 before the first send.
+    pub(crate) incarnation: u64,
+    /// From the request's start to the first event, or to the whole answer if it is no stream.
     pub(crate) first: Option<Duration>,
+    /// The time spent on finding a server, without `held`: mostly waits for an adapter.
     pub(crate) stall: Duration,
-    /// The time that it was held back for streams that would have paused.
+    /// The time for which it was held back so that streams at the server do not pause.
     pub(crate) held: Duration,
-    /// The longest pause between two events that were passed on.
+    /// The longest pause between two forwarded events.
     pub(crate) pause: Duration,
+    /// The status of the answer to the caller; 0 before there is one.
     pub(crate) status: u16,
-    /// When its caller should come back, if that is known better than usual.
-    pub(crate) come_back: Option<Duration>,
-    /// Counts it at the server that it was sent to last.
+    /// Added to the usual `Retry-After`, if it is known from when on a retry can succeed.
+    pub(crate) retry_after: Option<Duration>,
+    /// Counts it among the requests at the server of the last send.
     pub(crate) count: Option<SentCount>,
-    /// What was taken of its customer's limit.
+    /// What it was charged to its customer's limit.
     charge: Option<LimitCharge>,
     outcome: Option<&'static str>,
     reason: String,
 }
 
-/// A request as its caller sent it, and what the configuration says of it.
+/// A request as its caller sent it, and its route, customer and service by the configuration.
 pub(crate) struct CallerRequest {
     pub(crate) head: RequestHead,
     pub(crate) method: Method,
@@ -70,7 +75,7 @@
     pub(crate) route: ServingRoute,
     /// The customer that it runs for, if the configuration has customers.
     pub(crate) customer: Option<CustomerName>,
-    /// Its place among the ranks of the configuration; 0 goes first.
+    /// Index among the ranks of the configuration; 0 goes first.
     pub(crate) rank: u8,
     pub(crate) service: ServiceName,
     pub(crate) config: u64,
@@ -94,15 +99,15 @@
             avoided: Vec::new(),
             sends: 0,
             ran: 0,
-            pauses: 0,
+            retry_waits: 0,
             server: None,
-            born: 0,
+            incarnation: 0,
             first: None,
             stall: Duration::ZERO,
             held: Duration::ZERO,
             pause: Duration::ZERO,
             status: 0,
-            come_back: None,
+            retry_after: None,
             count: None,
             charge,
             outcome: None,
@@ -110,19 +115,19 @@
         }
     }
 
-    /// The time until its final answer is due.
+    /// Returns the time until its final answer is due; zero if that is past.
     pub(crate) fn left(&self) -> Duration {
         Duration::from_micros(self.due.since(clock::now()))
     }
 
-    /// Until when it is in time with its first event.
+    /// Returns until when its first event is within the route's target.
     pub(crate) fn in_time_until(&self) -> TimePoint {
         let target_us = self.request.route.target.as_micros();
         self.request.started.plus(target_us.try_into().unwrap_or(u64::MAX))
     }
 
-    /// Why its answer came late, if it did: what took most of the time to its first event, or a pause
-    /// between two.
+    /// Returns why its answer was late, if it was: what took most of the time to its first event, or a pause
+    /// between two events.
     fn late_cause(&self) -> Option<&'static str> {
         let (first, route) = (self.first?, &self.request.route);
         if first <= route.target {
@@ -134,61 +139,62 @@
         causes.into_iter().max_by_key(|(time, _)| *time).map(|(_, cause)| cause)
     }
 
-    /// The time since it was taken.
+    /// Returns the time since it was received.
     pub(crate) fn elapsed(&self) -> Duration {
         Duration::from_micros(clock::now().since(self.request.started))
     }
 
-    /// Tokens that a server reads for it.
+    /// Returns how many prompt tokens a server must read for it.
     pub(crate) fn prompt_tokens(&self) -> u64 {
         self.request.head.need.as_ref().map_or(0, |need| u64::from(need.prompt_tokens))
     }
 
-    /// Its server has read the prompt.
-    pub(crate) fn prompt_read(&mut self) {
+    /// Records that its server has read the prompt.
+    pub(crate) fn record_prompt_read(&mut self) {
         if let Some(count) = &mut self.count {
             count.read();
         }
     }
 
-    /// Whether another server may run it, although one may have begun to.
+    /// Returns whether another server may run it, although one may have begun to.
     pub(crate) fn may_run_elsewhere(&self) -> bool {
         let route = &self.request.route;
-        route.repeat.may_repeat() && self.ran < route.most_servers && self.left() > LEAST_LEFT
+        route.repeat.may_repeat() && self.ran < route.most_servers && self.left() > MIN_TIME_LEFT
     }
 
-    /// Whether it may be sent: the first time always, later if the budget of repeats allows it.
+    /// Returns whether it may be sent: the first time always, later only within the budget of repeats, which a
+    /// further send is charged to.
     pub(crate) fn may_send(&self) -> bool {
         if self.sends == 0 {
             return true;
         }
         let now = clock::now();
-        let mut beliefs = self.gateway.beliefs();
-        let vms = beliefs.vm_count(now);
-        beliefs.budget.again(&self.request.service, vms, now)
+        let mut view = self.gateway.beliefs();
+        let vms = view.vm_count(now);
+        view.budget.again(&self.request.service, vms, now)
     }
 
-    /// Whether a server may have begun to run it: one did, or it was sent and not refused yet.
+    /// Returns whether a server may have begun to run it: one may have, or a send has no result yet.
     fn may_have_run(&self) -> bool {
         self.ran > 0 || self.count.is_some()
     }
 
-    /// It is sent to a server. Each run counts against its customer's limit.
+    /// Charges a further run to its customer's limit when it is sent again after it may have run.
     pub(crate) fn charge_send(&self) {
         if let Some(charge) = self.charge.as_ref().filter(|_| self.ran > 0) {
-            charge.repeat(&self.gateway);
+            charge.charge_again(&self.gateway);
         }
     }
 
-    /// How long to wait after a server could not take it yet; longer each time, since each send counts
-    /// as a repeat.
-    pub(crate) fn next_pause(&mut self) -> Duration {
-        let pause = FIRST_PAUSE * (1 << self.pauses.min(PAUSE_DOUBLINGS));
-        self.pauses += 1;
-        pause
+    /// Returns how long to wait after a server could not run it yet. The wait grows because each send counts
+    /// against the budget of repeats.
+    pub(crate) fn next_retry_interval(&mut self) -> Duration {
+        let interval = INITIAL_RETRY_INTERVAL * (1 << self.retry_waits.min(MAX_RETRY_DOUBLINGS));
+        self.retry_waits += 1;
+        interval
     }
 
-    /// Notes how it ended; the first reason stays.
+    /// Records how it ended. Later calls have no effect.
     pub(crate) fn end(&mut self, outcome: &'static str, reason: impl Into<String>) {
         if self.outcome.is_none() {
             self.outcome = Some(outcome);
@@ -196,20 +202,20 @@
         }
     }
 
-    /// Notes that it met its adapter, for the VM that orders the server.
-    pub(crate) fn met_adapter(&self, server: &ServerName, change: impl FnOnce(&mut AdapterUse)) {
+    /// Records a use of its adapter, which is reported to the VM that orders the server.
+    pub(crate) fn record_use(&self, server: &ServerName, change: impl FnOnce(&mut AdapterUse)) {
         let Some(key) = self.request.head.need.as_ref().and_then(|need| need.adapter.as_ref())
         else {
             return;
         };
-        self.gateway.beliefs().uses.met(server, self.born, key, change);
+        self.gateway.beliefs().uses.met(server, self.incarnation, key, change);
     }
 }
 
 impl Drop for RequestRun {
     fn drop(&mut self) {
         if let Some(charge) = self.charge.take().filter(|_| !self.may_have_run()) {
-            charge.give_back(&self.gateway);
+            charge.refund(&self.gateway);
         }
         self.gateway.open.fetch_sub(1, Ordering::Relaxed);
         let outcome = self.outcome.unwrap_or("caller_left");
--- a/gateway/src/send.rs
+++ b/gateway/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one server and tells how far it came.
+//! Sends a request to one server and classifies the result.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,31 +14,35 @@
 use crate::run::RequestRun;
 use crate::sent::SentCount;
 
-/// A refusal within this time after an adapter became usable is put down to its load.
+/// Time in microseconds. A refusal within it after an adapter became usable is attributed to a load that took
+/// longer than expected.
 pub(crate) const JUST_LOADED_US: u64 = 600_000;
-/// A request that is sent within this time after its adapter became usable shows that the load took no
-/// longer than expected. One that comes later would have been served after a longer load too.
-const AS_EXPECTED_US: u64 = 15_000;
-/// What a server may take beyond the deadline that it was given before its silence ends the request.
+/// Time in microseconds. A request that is sent within it after its adapter became usable, and answered, shows that
+/// the load took no longer than expected. A later one would be answered after a longer load too.
+const LOADED_IN_TIME_US: u64 = 15_000;
+/// How long a server may take to answer beyond the deadline that it was given.
 pub(crate) const ANSWER_SLACK: Duration = Duration::from_millis(150);
-/// How many times its target an idempotent request waits for one server before another is tried.
-const PATIENCE: f64 = 1.3;
+/// The time that a repeatable request waits for the head of one server's answer before another server is tried, as
+/// a multiple of its target.
+const HEAD_TIMEOUT_FACTOR: f64 = 1.3;
 /// The same for a stream that another server may run.
-const STREAM_PATIENCE: f64 = 2.5;
+const STREAM_HEAD_TIMEOUT_FACTOR: f64 = 2.5;
 
-/// How one send to a server ended.
+/// The result of one send to a server.
 pub(crate) enum SendEnd {
-    /// The head of an answer to this request came.
+    /// The head of an answer to this request was received.
     Answer(ExchangeAnswer),
     /// The server states that it did not run the request.
     NotRun(ExchangeAnswer, AnswerHead),
-    /// No byte was sent.
+    /// No byte was sent, for this cause.
     Unsent(String),
-    /// It was sent, and whether it ran is not known.
+    /// The request was sent, and whether it ran is not known, for this cause.
     Unknown(String),
 }
 
 /// Sends a request to a server and waits for the head of the answer.
+///
+/// `last_event` is the id after which a stream is resumed; if `None`, the one that the caller gave.
 pub(crate) async fn send(
     run: &mut RequestRun,
     server: &ServerName,
@@ -51,13 +55,13 @@
             request_id = run.request.head.id,
             invariant = "a request that may run once is not sent after it may have run",
         );
-        return SendEnd::Unsent("it may have run".to_owned());
+        return SendEnd::Unsent("an earlier send may have run it".to_owned());
     }
-    let (address, born, version) = {
-        let beliefs = gateway.beliefs();
-        let state = beliefs.backends.get(server.as_str()).filter(|state| !state.leaving);
+    let (address, incarnation, version) = {
+        let view = gateway.beliefs();
+        let state = view.backends.get(server.as_str()).filter(|state| !state.leaving);
         let Some(state) = state else {
-            return SendEnd::Unsent("the server is leaving or gone".to_owned());
+            return SendEnd::Unsent("the server is draining or unknown".to_owned());
         };
         let key = run.request.head.need.as_ref().and_then(|need| need.adapter.as_ref());
         (state.entry.address, state.entry.born, key.and_then(|key| state.version(key)))
@@ -74,14 +78,14 @@
     let mut request = ExchangeRequest::new(run.request.method.clone(), run.request.path.clone());
     request.headers = forward_headers(&run.request.headers, &marks);
     request.body = run.request.body.clone();
-    request.head_within = Some(head_time(run, left));
-    request.piece_within = Some(piece_time(run, left));
+    request.head_within = Some(head_timeout(run, left));
+    request.piece_within = Some(piece_timeout(run, left));
     run.sends += 1;
     run.charge_send();
     run.server = Some(server.clone());
-    run.born = born;
+    run.incarnation = incarnation;
     let key = run.request.head.need.as_ref().and_then(|need| need.adapter.clone());
-    let count = SentCount::new(&gateway, server, born, key, run.prompt_tokens());
+    let count = SentCount::new(&gateway, server, incarnation, key, run.prompt_tokens());
     event!(
         RequestSent,
         request_id = run.request.head.id,
@@ -99,30 +103,34 @@
         run.count = None;
     }
     if matches!(end, SendEnd::Unsent(_)) {
-        // No server saw it, so it does not count as a repeat: while servers are down, refused
-        // connections would use up the budget.
+        // No server received it, so it does not count as a send: otherwise refused connections would use up the
+        // budget of repeats while servers are down.
         run.sends -= 1;
     }
-    note(run, server, &end);
+    record_send(run, server, &end);
     end
 }
 
-/// How long to wait for the head: where another server may run the request, only as long as one that
-/// is well would take.
-fn head_time(run: &RequestRun, left: Duration) -> Duration {
+/// Returns how long to wait for the head: where another server may run the request, only as long as a healthy one
+/// would take.
+fn head_timeout(run: &RequestRun, left: Duration) -> Duration {
     let whole = left + ANSWER_SLACK;
     let more_servers = run.ran + 1 < run.request.route.most_servers;
     if !run.request.route.repeat.may_repeat() || !more_servers {
         return whole;
     }
-    let patience = if run.request.route.repeat.is_stream() { STREAM_PATIENCE } else { PATIENCE };
-    run.request.route.target.mul_f64(patience).min(left / 2).min(whole)
+    let factor = if run.request.route.repeat.is_stream() {
+        STREAM_HEAD_TIMEOUT_FACTOR
+    } else {
+        HEAD_TIMEOUT_FACTOR
+    };
+    run.request.route.target.mul_f64(factor).min(left / 2).min(whole)
 }
 
-/// How long to wait for the next piece of the answer. Where another server may go on with a stream, as long
-/// as its caller waits; else as long as there is time. Cut sooner, a stream whose last server paused for some
-/// seconds would end without an answer, though its caller was still there and the server went on.
-fn piece_time(run: &RequestRun, left: Duration) -> Duration {
+/// Returns how long to wait for the next piece of the answer: the route's time for an unresponsive stream where
+/// another server may resume it, else all the time left. A shorter time would cut a stream at its last server
+/// during a pause of some seconds that its caller would have waited for.
+fn piece_timeout(run: &RequestRun, left: Duration) -> Duration {
     let whole = left + ANSWER_SLACK;
     let route = &run.request.route;
     let may_go_on = route.repeat == RepeatRule::StreamResumable;
@@ -130,6 +138,7 @@
     if may_go_on && more_servers { route.silence().min(whole) } else { whole }
 }
 
+/// Classifies an answer or error. An answer counts only with the request's id and the server's seal, not encoded.
 fn classify(run: &RequestRun, sent: Result<ExchangeAnswer, ExchangeError>) -> SendEnd {
     let answer = match sent {
         Ok(answer) => answer,
@@ -139,8 +148,8 @@
     let head = read_answer(&answer.headers);
     let foreign = head.id.as_ref().is_some_and(|id| *id != run.request.head.id);
     if foreign {
-        // An answer to an earlier request on this connection; the own one may come behind it, but
-        // nothing tells where. Dropping the answer closes the connection.
+        // This answers an earlier request on the connection. The answer to this request may follow, but where it
+        // begins is not known. Dropping the answer closes the connection.
         return SendEnd::Unknown("the answer belongs to another request".to_owned());
     }
     let refused = answer.status == StatusCode::MISDIRECTED_REQUEST || head.not_run;
@@ -148,15 +157,19 @@
         return SendEnd::NotRun(answer, head);
     }
     if answer.headers.contains_key(header::CONTENT_ENCODING) {
-        return SendEnd::Unknown("the answer is encoded".to_owned());
+        return SendEnd::Unknown("the answer has a content encoding".to_owned());
     }
     if !head.sealed || head.id.is_none() {
-        return SendEnd::Unknown(format!("{} without seal or id", answer.status.as_u16()));
+        return SendEnd::Unknown(format!(
+            "status {} without server seal or request id",
+            answer.status.as_u16()
+        ));
     }
     SendEnd::Answer(answer)
 }
 
-fn note(run: &RequestRun, server: &ServerName, end: &SendEnd) {
+/// Records the result of a send in the metrics, the view of the server, the adapter's uses and the log.
+fn record_send(run: &RequestRun, server: &ServerName, end: &SendEnd) {
     let (result, cause) = match end {
         SendEnd::Answer(..) => ("answer", ""),
         SendEnd::NotRun(..) => ("not_run", ""),
@@ -165,25 +178,25 @@
     };
     run.gateway.metrics.sent(result);
     let now = clock::now();
-    let mut beliefs = run.gateway.beliefs();
+    let mut view = run.gateway.beliefs();
     match end {
         SendEnd::Unsent(_) | SendEnd::Unknown(_)
-            if beliefs.backends.is_life(server.as_str(), run.born) =>
+            if view.backends.is_life(server.as_str(), run.incarnation) =>
         {
-            beliefs.backends.unreachable(server.as_str(), now);
+            view.backends.unreachable(server.as_str(), now);
         }
         _ => {}
     }
     let key = run.request.head.need.as_ref().and_then(|need| need.adapter.as_ref());
     let sent_at = run.count.as_ref().map_or(now, |count| count.sent_at);
-    let fresh = key.is_some_and(|key| {
-        let state = beliefs.backends.get(server.as_str());
+    let just_usable = key.is_some_and(|key| {
+        let state = view.backends.get(server.as_str());
         let from = state.and_then(|state| state.usable_since(key));
-        from.is_some_and(|from| sent_at.since(from) < AS_EXPECTED_US)
+        from.is_some_and(|from| sent_at.since(from) < LOADED_IN_TIME_US)
     });
-    drop(beliefs);
-    if matches!(end, SendEnd::Answer(..)) && fresh {
-        run.met_adapter(server, |used| used.in_time = true);
+    drop(view);
+    if matches!(end, SendEnd::Answer(..)) && just_usable {
+        run.record_use(server, |used| used.in_time = true);
     }
     if !cause.is_empty() {
         event!(
--- a/gateway/src/sent.rs
+++ b/gateway/src/sent.rs
@@ -1,4 +1,4 @@
-//! Counts a request at the server that it was sent to.
+//! Counts requests at the servers that they were sent to.
 
 use std::sync::Arc;
 
@@ -9,75 +9,76 @@
 use crate::peer;
 use crate::state::Gateway;
 
-/// Counts a request for as long as it lives, whatever way it ends.
+/// Counts a request at a server and its adapter until it is dropped, however the request ends.
 pub(crate) struct SentCount {
     gateway: Arc<Gateway>,
     server: ServerName,
-    /// The life of the server.
-    born: u64,
+    /// The start time of the server when the request was sent, as in its entry.
+    incarnation: u64,
     adapter: Option<AdapterKey>,
+    /// Prompt tokens of the request that the server has not read yet.
     unread: u64,
     pub(crate) sent_at: TimePoint,
-    /// Tokens that the server had to read before it.
+    /// Prompt tokens of other requests that the server had to read first when this one was sent.
     pub(crate) ahead: u64,
 }
 
 impl SentCount {
-    /// Counts a request at `server` from now on, which reads `unread` tokens for it.
+    /// Counts a request at `server` from now on. `unread` is the number of its prompt tokens.
     pub(crate) fn new(
         gateway: &Arc<Gateway>,
         server: &ServerName,
-        born: u64,
+        incarnation: u64,
         adapter: Option<AdapterKey>,
         unread: u64,
     ) -> Self {
         let gateway = Arc::clone(gateway);
-        let mut beliefs = gateway.beliefs();
+        let mut view = gateway.beliefs();
         let now = clock::now();
-        let ahead = beliefs.backends.sent(server.as_str(), unread, now);
+        let ahead = view.backends.sent(server.as_str(), unread, now);
         if unread > 0 {
-            beliefs.load_changed(server);
+            view.load_changed(server);
         }
-        let first = adapter.as_ref().filter(|key| beliefs.uses.begin(server, born, key));
-        drop(beliefs);
+        let first = adapter.as_ref().filter(|key| view.uses.begin(server, incarnation, key));
+        drop(view);
         if unread > 0 {
             peer::tell_loads_now(&gateway);
         }
         if let Some(key) = first {
-            peer::tell_use(&gateway, server, born, key);
+            peer::tell_use(&gateway, server, incarnation, key);
         }
-        Self { gateway, server: server.clone(), born, adapter, unread, sent_at: now, ahead }
+        Self { gateway, server: server.clone(), incarnation, adapter, unread, sent_at: now, ahead }
     }
 
-    /// The prompt was read.
+    /// Records that the server has read the prompt. Later calls have no effect.
     pub(crate) fn read(&mut self) {
         let tokens = std::mem::take(&mut self.unread);
         if tokens == 0 {
             return;
         }
         let waited_us = clock::now().since(self.sent_at);
-        let mut beliefs = self.gateway.beliefs();
-        beliefs.backends.read(self.server.as_str(), tokens, (self.ahead == 0).then_some(waited_us));
-        beliefs.load_changed(&self.server);
-        drop(beliefs);
+        let mut view = self.gateway.beliefs();
+        view.backends.read(self.server.as_str(), tokens, (self.ahead == 0).then_some(waited_us));
+        view.load_changed(&self.server);
+        drop(view);
         self.gateway.loads_changed.notify_one();
-        // Requests that were held back for this prompt look again.
+        // Wakes requests that are held back until this prompt is read.
         self.gateway.own_read.notify_waiters();
     }
 }
 
 impl Drop for SentCount {
     fn drop(&mut self) {
-        let mut beliefs = self.gateway.beliefs();
-        beliefs.backends.ended(self.server.as_str(), self.unread);
+        let mut view = self.gateway.beliefs();
+        view.backends.ended(self.server.as_str(), self.unread);
         if self.unread > 0 {
-            beliefs.load_changed(&self.server);
+            view.load_changed(&self.server);
         }
         let last =
-            self.adapter.as_ref().filter(|key| beliefs.uses.end(&self.server, self.born, key));
-        drop(beliefs);
+            self.adapter.as_ref().filter(|key| view.uses.end(&self.server, self.incarnation, key));
+        drop(view);
         if let Some(key) = last {
-            peer::tell_use(&self.gateway, &self.server, self.born, key);
+            peer::tell_use(&self.gateway, &self.server, self.incarnation, key);
         }
     }
 }
