--- a/gateway/tests/soak/callers.rs
+++ b/gateway/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they ask which addresses to use, keep the answer a while, and send requests there.
+//! Callers, which query the gateways for addresses, cache the answer and send requests to these addresses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,14 +17,14 @@
 use crate::server::MODEL;
 use crate::world::SoakWorld;
 
-/// What a caller gives a request, in milliseconds.
+/// The deadline of each request, in milliseconds.
 const DEADLINE_MS: u64 = 5_000;
-/// Adapters that are asked for: more than the servers have places for.
+/// How many adapters requests name: more than the servers have slots for.
 const ADAPTERS: usize = 9;
-/// One request in so many is given up by its caller after some tens of milliseconds.
-const LEAVES_ONE_IN: u32 = 12;
+/// One in so many requests, on average, is abandoned by its caller after 5 to 120 ms.
+const ABANDONED_ONE_IN: u32 = 12;
 
-/// The kinds of requests, named as their routes are.
+/// The kinds of requests. Each has a route of the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallKind {
     Safe,
@@ -35,6 +35,7 @@
 }
 
 impl CallKind {
+    /// Returns the name of the route.
     pub(crate) fn route(self) -> &'static str {
         match self {
             Self::Safe => "safe",
@@ -49,13 +50,13 @@
         matches!(self, Self::Stream | Self::Resumed)
     }
 
-    /// Whether it may run once at most.
+    /// Returns whether it may run once at most.
     pub(crate) fn runs_once(self) -> bool {
         matches!(self, Self::Once | Self::Stream)
     }
 }
 
-/// What a caller saw of one request.
+/// One request and its result for the caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallNote {
     pub(crate) id: String,
@@ -69,43 +70,43 @@
 /// How a request ended for its caller.
 #[derive(Clone, Debug)]
 pub(crate) enum CallEnd {
-    /// An answer came, whole or not.
+    /// An answer was received. `seal` is empty if it has no server seal; `whole` is false if the body was cut.
     Answered { status: u16, seal: String, body: String, whole: bool },
     /// No byte was sent.
     Unsent,
     /// The connection ended without an answer.
     Cut,
-    /// The caller left.
-    Left,
+    /// The caller abandoned the request.
+    Abandoned,
 }
 
 impl CallNote {
-    /// The note for a finding.
-    pub(crate) fn told(&self) -> String {
+    /// Returns a description for a finding.
+    pub(crate) fn describe(&self) -> String {
         let Self { id, kind, at, took, end, .. } = self;
         format!("{id}, {kind:?} to {at}, after {took:?}: {end:?}")
     }
 
-    /// Whether it was served whole.
+    /// Returns whether it was answered with 200 and a whole body.
     pub(crate) fn served(&self) -> bool {
         matches!(self.end, CallEnd::Answered { status: 200, whole: true, .. })
     }
 }
 
-/// Calls until the world ends.
-pub(crate) async fn call_on(world: Arc<SoakWorld>, number: usize, mut random: Pcg64) {
+/// Sends requests until the run is over.
+pub(crate) async fn run_caller(world: Arc<SoakWorld>, number: usize, mut random: Pcg64) {
     let client = ExchangeClient::new(ExchangeSettings { keep_ms: 9_000, ..Default::default() });
     let mut addresses: Vec<SocketAddr> = Vec::new();
-    let mut ask_at = Instant::now();
+    let mut query_at = Instant::now();
     let mut count = 0;
     while !world.over() {
-        if Instant::now() >= ask_at || addresses.is_empty() {
-            if let Some(told) = ask(&world, &mut random).await {
-                addresses = told;
+        if Instant::now() >= query_at || addresses.is_empty() {
+            if let Some(current) = query_addresses(&world, &mut random).await {
+                addresses = current;
             }
-            // Some keep the answer three times as long as they are told to.
-            let kept = if random.random_ratio(1, 4) { 6_000 } else { 2_000 };
-            ask_at = Instant::now() + Duration::from_millis(kept);
+            // Some callers cache the answer for three times its lifetime.
+            let cached_ms = if random.random_ratio(1, 4) { 6_000 } else { 2_000 };
+            query_at = Instant::now() + Duration::from_millis(cached_ms);
         }
         let pause = random.random_range(20..180);
         sleep(Duration::from_millis(pause)).await;
@@ -116,19 +117,19 @@
         let kind = *kinds.choose(&mut random).expect("there are kinds");
         let adapter =
             format!("a{}", random.random_range(0..ADAPTERS).min(random.random_range(0..ADAPTERS)));
-        let note = if random.random_ratio(1, LEAVES_ONE_IN) {
-            let patience = Duration::from_millis(random.random_range(5..120));
+        let note = if random.random_ratio(1, ABANDONED_ONE_IN) {
+            let abandon_after = Duration::from_millis(random.random_range(5..120));
             let sent = Instant::now();
             let called = call(&client, address, kind, &id, &adapter);
-            let left = CallNote {
+            let abandoned = CallNote {
                 id: id.clone(),
                 kind,
                 at: address,
                 sent,
-                took: patience,
-                end: CallEnd::Left,
+                took: abandon_after,
+                end: CallEnd::Abandoned,
             };
-            timeout(patience, called).await.unwrap_or(left)
+            timeout(abandon_after, called).await.unwrap_or(abandoned)
         } else {
             call(&client, address, kind, &id, &adapter).await
         };
@@ -139,10 +140,10 @@
     }
 }
 
-/// Sends a request again and again to one gateway, whose configuration moves its route.
-pub(crate) async fn probe_on(world: Arc<SoakWorld>, gateway: usize) {
+/// Sends requests to one gateway, every 90 ms or more, on the route whose service changes with each configuration.
+pub(crate) async fn run_probe(world: Arc<SoakWorld>, gateway: usize) {
     let client = ExchangeClient::new(ExchangeSettings::default());
-    let address = world.gateways[gateway].place.requests;
+    let address = world.gateways[gateway].endpoints.requests;
     let mut count = 0;
     while !world.over() {
         sleep(Duration::from_millis(90)).await;
@@ -150,7 +151,7 @@
         let id = format!("g{gateway}-{count}");
         let start = world.gateways[gateway].starts();
         let note = call(&client, address, CallKind::Moved, &id, "").await;
-        // A request that met two lives of the process tells of neither.
+        // If the process restarted meanwhile, it is not known which incarnation answered.
         if world.gateways[gateway].starts() == start {
             world.verdict.moved(gateway, start, &note, &world);
         }
@@ -158,21 +159,21 @@
     }
 }
 
-/// Asks one gateway after another for addresses.
-async fn ask(world: &SoakWorld, random: &mut Pcg64) -> Option<Vec<SocketAddr>> {
+/// Queries one gateway after another until one gives addresses. The first is drawn at random.
+async fn query_addresses(world: &SoakWorld, random: &mut Pcg64) -> Option<Vec<SocketAddr>> {
     let client = ExchangeClient::new(ExchangeSettings { connect_ms: 500, ..Default::default() });
     let first = random.next_u64() as usize;
     for step in 0..world.gateways.len() {
-        let place = &world.gateways[(first + step) % world.gateways.len()].place;
+        let endpoints = &world.gateways[(first + step) % world.gateways.len()].endpoints;
         let mut request = ExchangeRequest::get("/v1/resolve?name=a.example&region=r&zone=d1");
         request.head_within = Some(Duration::from_millis(500));
-        let Ok(answer) = client.send(place.addresses, request).await else { continue };
+        let Ok(answer) = client.send(endpoints.addresses, request).await else { continue };
         let Ok(body) = answer.body.collect(1 << 16).await else { continue };
-        let told: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-        let told: Vec<SocketAddr> =
-            serde_json::from_value(told["addresses"].clone()).unwrap_or_default();
-        if !told.is_empty() {
-            return Some(told);
+        let body: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+        let addresses: Vec<SocketAddr> =
+            serde_json::from_value(body["addresses"].clone()).unwrap_or_default();
+        if !addresses.is_empty() {
+            return Some(addresses);
         }
     }
     None
--- a/gateway/tests/soak/faults.rs
+++ b/gateway/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn from a seed: they start at random times and overlap.
+//! Faults drawn from a seed. They start at random times and may overlap.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,54 +10,56 @@
 use tokio::time::sleep;
 
 use crate::proxy::LinkState;
-use crate::server::ServerMood;
+use crate::server::ServerMode;
 use crate::world::{ServerKind, SoakWorld};
 
-/// What happens in one fault.
+/// One fault, or one operation that operators plan.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FaultKind {
-    /// The store answers nothing but 503.
+    /// The store answers every request with 503.
     StoreDown,
-    /// The store answers nothing, and never what it was asked before or meanwhile.
-    StoreSilent,
-    /// The link of one gateway to the store is harmed.
+    /// The store does not respond. Requests that are open or arrive meanwhile are never answered.
+    StoreUnresponsive,
+    /// The link of one gateway to the store is impaired.
     StoreLink(usize, LinkState),
-    /// The link of all gateways to one server is harmed.
+    /// The link of all gateways to one server is impaired.
     ServerLink(usize, LinkState),
     /// A server fails its requests in some way.
-    ServerMood(usize, ServerMood),
-    /// A server crashes and starts empty.
+    ServerMode(usize, ServerMode),
+    /// A server crashes, and a new one without adapters replaces it.
     ServerCrash(usize),
-    /// A server is replaced: the new one comes first, the old one drains.
+    /// A server is replaced: the new one starts, then the old one drains.
     ServerReplaced(usize),
-    /// A gateway's process is stopped and goes on later.
+    /// A gateway's process is suspended with SIGSTOP and resumed later.
     Pause(usize),
-    /// A gateway's process is killed and starts anew.
+    /// A gateway's process is killed and restarted.
     Kill(usize),
-    /// A gateway's process is told to end and starts anew.
+    /// A gateway's process gets SIGTERM and is restarted.
     Term(usize),
-    /// All gateways are killed at once.
+    /// All gateway processes are killed at the same time and restarted.
     KillAll,
     /// The operators publish a configuration.
     Configure,
-    /// The store forgets its history.
+    /// The store compacts its history.
     Compact,
 }
 
 /// Which faults a seed plays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultMix {
-    /// Planned work alone.
+    /// Planned operations only: replaced servers, configurations and SIGTERM.
     Planned,
     /// Faults of all kinds, one or two at a time.
     Some,
-    /// Many at a time.
+    /// Faults of all kinds, many at a time.
     Many,
-    /// Faults of the store alone: no VM starts anew and tells the others what they missed.
+    /// Faults of the store and configurations only. No VM restarts, which would read the store and report to the
+    /// others what they missed.
     Store,
 }
 
 impl FaultMix {
+    /// Returns the mix of a seed: its remainder modulo 4.
     pub(crate) fn of(seed: u64) -> Self {
         match seed % 4 {
             0 => Self::Planned,
@@ -67,8 +69,8 @@
         }
     }
 
-    /// Milliseconds between the starts of two faults, on average.
-    fn pause_ms(self) -> u64 {
+    /// Returns the mean time between the starts of two faults, in milliseconds.
+    fn mean_interval_ms(self) -> u64 {
         match self {
             Self::Planned => 900,
             Self::Some | Self::Store => 700,
@@ -77,8 +79,8 @@
     }
 }
 
-/// Starts faults for `time`, and comes back when all have ended.
-pub(crate) async fn strike(
+/// Starts faults for `time` and returns when all have ended.
+pub(crate) async fn inject_faults(
     world: &Arc<SoakWorld>,
     mix: FaultMix,
     time: Duration,
@@ -87,17 +89,18 @@
     let until = tokio::time::Instant::now() + time;
     let mut running = tokio::task::JoinSet::new();
     while tokio::time::Instant::now() < until {
-        let pause = random.random_range(0..=2 * mix.pause_ms());
-        sleep(Duration::from_millis(pause)).await;
+        let delay = random.random_range(0..=2 * mix.mean_interval_ms());
+        sleep(Duration::from_millis(delay)).await;
         let kind = draw(world, mix, &mut random);
         let lasts = Duration::from_millis(random.random_range(200..3_000));
         world.log(format!("fault {kind:?} for {lasts:?}"));
         let world = Arc::clone(world);
-        running.spawn(async move { play(&world, kind, lasts).await });
+        running.spawn(async move { run_fault(&world, kind, lasts).await });
     }
     while running.join_next().await.is_some() {}
 }
 
+/// Draws a fault of the mix.
 fn draw(world: &SoakWorld, mix: FaultMix, random: &mut Pcg64) -> FaultKind {
     let gateway = random.random_range(0..world.gateways.len());
     let server = random.random_range(0..world.slots());
@@ -108,31 +111,32 @@
             _ => FaultKind::Term(gateway),
         };
     }
-    let links = [LinkState::Slow(120), LinkState::Silent, LinkState::AnswersLost, LinkState::Reset];
+    let links =
+        [LinkState::Slow(120), LinkState::Stalled, LinkState::AnswersLost, LinkState::Reset];
     let link = *links.choose(random).expect("there are links");
     if mix == FaultMix::Store {
         return match random.random_range(0..6) {
             0 => FaultKind::StoreDown,
-            1 | 2 => FaultKind::StoreSilent,
+            1 | 2 => FaultKind::StoreUnresponsive,
             3 => FaultKind::StoreLink(gateway, link),
             4 => FaultKind::Compact,
             _ => FaultKind::Configure,
         };
     }
-    let moods = [
-        ServerMood::LosesAnswer,
-        ServerMood::Fails,
-        ServerMood::CutsStream,
-        ServerMood::AnswersTwice,
-        ServerMood::Full,
-        ServerMood::Paced,
+    let modes = [
+        ServerMode::LosesAnswer,
+        ServerMode::Fails,
+        ServerMode::CutsStream,
+        ServerMode::AnswersTwice,
+        ServerMode::Full,
+        ServerMode::Paced,
     ];
-    let mood = *moods.choose(random).expect("there are moods");
+    let mode = *modes.choose(random).expect("there are modes");
     match random.random_range(0..17) {
         0 => FaultKind::StoreDown,
         1 | 2 => FaultKind::StoreLink(gateway, link),
         3 | 4 => FaultKind::ServerLink(server, link),
-        5 | 6 => FaultKind::ServerMood(server, mood),
+        5 | 6 => FaultKind::ServerMode(server, mode),
         7 => FaultKind::ServerCrash(server),
         8 => FaultKind::ServerReplaced(server),
         9 | 10 => FaultKind::Pause(gateway),
@@ -140,19 +144,20 @@
         12 => FaultKind::Term(gateway),
         13 => FaultKind::KillAll,
         14 => FaultKind::Compact,
-        15 => FaultKind::StoreSilent,
+        15 => FaultKind::StoreUnresponsive,
         _ => FaultKind::Configure,
     }
 }
 
-async fn play(world: &Arc<SoakWorld>, kind: FaultKind, lasts: Duration) {
+/// Runs one fault and restores the state before it. Killed gateways are restarted by the `restarts` task.
+async fn run_fault(world: &Arc<SoakWorld>, kind: FaultKind, lasts: Duration) {
     match kind {
         FaultKind::StoreDown => {
             world.store.set_down(true);
             sleep(lasts).await;
             world.store.set_down(false);
         }
-        FaultKind::StoreSilent => {
+        FaultKind::StoreUnresponsive => {
             world.store.set_silent(true);
             sleep(lasts).await;
             world.store.set_silent(false);
@@ -168,11 +173,11 @@
             sleep(lasts).await;
             proxy.set(LinkState::Good);
         }
-        FaultKind::ServerMood(server, mood) => {
+        FaultKind::ServerMode(server, mode) => {
             let server = world.server(server);
-            server.set_mood(mood);
+            server.set_mode(mode);
             sleep(lasts).await;
-            server.set_mood(ServerMood::Paced);
+            server.set_mode(ServerMode::Paced);
         }
         FaultKind::ServerCrash(server) => world.crash(server, lasts).await,
         FaultKind::ServerReplaced(server) => world.replace(server).await,
@@ -196,7 +201,7 @@
     }
 }
 
-/// What a slot of the site is for.
+/// The service of each server slot of the site.
 pub(crate) const SLOTS: [ServerKind; 6] = [
     ServerKind::Engine,
     ServerKind::Engine,
--- a/gateway/tests/soak/main.rs
+++ b/gateway/tests/soak/main.rs
@@ -1,12 +1,12 @@
-//! A randomised soak: real gateway processes before stand-ins of the platform, with faults from outside.
+//! A randomised soak test: gateway processes, stand-ins for the platform's store and servers, and injected faults.
 //!
-//! Each seed makes a small site on loopback: gateways as processes of their own, the store and the
-//! servers in this process, and a proxy before the store for each VM and before each server. Faults of
-//! several kinds start at random times and overlap. What callers got and what servers ran is judged
-//! while the site runs and at its end; docs/FAILURES.md lists the promises.
+//! Each seed starts a small site on loopback: gateways as separate processes, the store and the servers in this
+//! process, and proxies between each gateway and the store and before each server. Faults of several kinds start at
+//! random times and overlap. What callers received and what servers ran is checked during the run and at its end
+//! against the promises in docs/FAILURES.md.
 //!
-//! `cargo test -p coltsfoothook-gateway --test soak -- --seeds 50 --first 1000` plays fifty seeds. Without
-//! arguments it plays the seeds that failed once and a few fixed ones, as CI does.
+//! `cargo test -p coltsfoothook-gateway --test soak -- --seeds 50 --first 1000` plays fifty seeds. Without arguments
+//! it plays the regression seeds and a few fixed ones, as CI does.
 
 mod callers;
 mod faults;
@@ -31,34 +31,34 @@
 
 use crate::world::{SoakPlan, play};
 
-/// Seeds that failed once, each with its cause.
+/// Seeds that failed before, each with its cause.
 ///
-/// * 5010: the check for old configurations itself. The answer to a request came as the next configuration was
-///   published, and was held against that one.
-const KEPT_SEEDS: &[u64] = &[5010];
-/// Seeds that are always played: one of each mix of faults.
+/// * 5010: a fault of the check for old configurations. An answer that arrived while the next configuration was
+///   being published was checked against that one.
+const REGRESSION_SEEDS: &[u64] = &[5010];
+/// Seeds that are always played: one for each mix of faults.
 const FIXED_SEEDS: &[u64] = &[1, 2, 4, 403];
 
 /// Plays seeds of the soak.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 struct SoakOptions {
-    /// How many seeds to play instead of the kept ones.
+    /// How many consecutive seeds to play instead of the regression and fixed ones.
     #[bpaf(argument("COUNT"))]
     seeds: Option<u64>,
-    /// The first of them.
+    /// The first of these seeds.
     #[bpaf(argument("SEED"), fallback(1))]
     first: u64,
-    /// For how many seconds faults come.
+    /// For how many seconds faults are started.
     #[bpaf(argument("SECONDS"), fallback(6))]
     seconds: u64,
-    /// Gateway processes.
+    /// The number of gateway processes.
     #[bpaf(argument("COUNT"), fallback(3))]
     gateways: usize,
-    /// Seeds that are played at once.
+    /// How many seeds are played concurrently.
     #[bpaf(argument("COUNT"), fallback(2))]
     at_once: usize,
-    /// Tests that CI passes over in all test programs; none of them is here.
+    /// Tests that CI skips in all test programs. Accepted and ignored: none of them is in this program.
     #[bpaf(argument("NAME"), many)]
     skip: Vec<String>,
 }
@@ -66,11 +66,11 @@
 fn main() -> ExitCode {
     let options = soak_options().run();
     if !options.skip.is_empty() {
-        println!("passed over elsewhere: {:?}", options.skip);
+        println!("skipped in other test programs: {:?}", options.skip);
     }
     let seeds: Vec<u64> = match options.seeds {
         Some(count) => (options.first..options.first + count).collect(),
-        None => KEPT_SEEDS.iter().chain(FIXED_SEEDS).copied().collect(),
+        None => REGRESSION_SEEDS.iter().chain(FIXED_SEEDS).copied().collect(),
     };
     let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     let failed = runtime.block_on(play_all(&options, &seeds));
--- a/gateway/tests/soak/proxy.rs
+++ b/gateway/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback whose connections can be delayed, silenced, cut one way or reset.
+//! A TCP proxy on loopback whose connections can be delayed, stalled, stalled in one direction or reset.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,22 +10,22 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What happens on a link.
+/// How a link treats bytes and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkState {
     /// Bytes pass.
     Good,
-    /// Bytes pass late by so many milliseconds.
+    /// Bytes pass with a delay of so many milliseconds.
     Slow(u64),
-    /// No byte passes, and no connection ends.
-    Silent,
-    /// Bytes pass towards the far end alone: it acts, and its answers are lost.
+    /// No byte passes, and connections stay open.
+    Stalled,
+    /// Bytes pass towards the target only: it receives requests, and its answers are held back.
     AnswersLost,
-    /// Connections are cut, also new ones.
+    /// Open and new connections are closed.
     Reset,
 }
 
-/// A proxy; clones share it.
+/// A proxy. Clones share its state.
 #[derive(Clone)]
 pub(crate) struct LinkProxy {
     pub(crate) address: SocketAddr,
@@ -33,7 +33,7 @@
 }
 
 impl LinkProxy {
-    /// A proxy before `target`.
+    /// Starts a proxy that forwards connections to `target`.
     pub(crate) async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("it has an address");
@@ -43,7 +43,7 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let state = served.state.subscribe();
-                tokio::spawn(carry(stream, target, state));
+                tokio::spawn(forward(stream, target, state));
             }
         });
         proxy
@@ -54,34 +54,36 @@
     }
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, mut state: watch::Receiver<LinkState>) {
+/// Forwards one connection until an end closes it or the link is reset.
+async fn forward(near: TcpStream, target: SocketAddr, mut state: watch::Receiver<LinkState>) {
     if *state.borrow() == LinkState::Reset {
         return;
     }
     let Ok(far) = TcpStream::connect(target).await else { return };
-    // Connections that were good stay as they are once the link is cut: they go silent or end.
+    // A change of the link's state also applies to connections that are open.
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
     let mut reset = state.clone();
     tokio::select! {
-        () = pump(near_read, far_write, state.clone(), LinkSide::Requests) => {}
-        () = pump(far_read, near_write, state.clone(), LinkSide::Answers) => {}
+        () = copy_bytes(near_read, far_write, state.clone(), LinkDirection::Requests) => {}
+        () = copy_bytes(far_read, near_write, state.clone(), LinkDirection::Answers) => {}
         _ = reset.wait_for(|state| *state == LinkState::Reset) => {}
     }
     state.mark_unchanged();
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum LinkSide {
+enum LinkDirection {
     Requests,
     Answers,
 }
 
-async fn pump(
+/// Copies bytes in one direction as the link's state allows.
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut state: watch::Receiver<LinkState>,
-    side: LinkSide,
+    direction: LinkDirection,
 ) {
     let mut bytes = vec![0; 16 * 1024];
     loop {
@@ -93,9 +95,9 @@
         match now {
             LinkState::Good => {}
             LinkState::Slow(ms) => sleep(Duration::from_millis(ms)).await,
-            LinkState::AnswersLost if side == LinkSide::Requests => {}
-            // Bytes that a partition holds up are delivered once it heals.
-            LinkState::Silent | LinkState::AnswersLost | LinkState::Reset => {
+            LinkState::AnswersLost if direction == LinkDirection::Requests => {}
+            // Held bytes are delivered once the link is good or slow again.
+            LinkState::Stalled | LinkState::AnswersLost | LinkState::Reset => {
                 let healed =
                     |state: &LinkState| matches!(state, LinkState::Good | LinkState::Slow(_));
                 if state.wait_for(healed).await.is_err() {
--- a/gateway/tests/soak/verdict.rs
+++ b/gateway/tests/soak/verdict.rs
@@ -1,4 +1,4 @@
-//! What callers and servers saw, held against the promises.
+//! Checks what callers received and servers ran against the promises.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -7,22 +7,23 @@
 use crate::server::{EVENTS, RunNote};
 use crate::world::SoakWorld;
 
-/// How long a leaving server may get new work; the operators allow two seconds, and the answer of the
-/// store and the way there take some tens of milliseconds.
+/// How long a draining server may receive new requests. Operators allow two seconds; the store's answer and the
+/// transit add some tens of milliseconds.
 const DRAIN_TIME: Duration = Duration::from_millis(2_100);
-/// The share of requests that are served once all faults are over.
+/// The percentage of requests that must be served once all faults are over.
 const RECOVERED_PERCENT: usize = 90;
 
-/// Notes of one play and what is wrong with them.
+/// The requests of one seed and the findings about them.
 #[derive(Default)]
 pub(crate) struct SoakVerdict {
     calls: Mutex<Vec<CallNote>>,
     findings: Mutex<Vec<String>>,
-    /// For each life of a gateway the oldest configuration that explains what it did so far.
+    /// For each gateway and start of its process, the oldest configuration that is consistent with its answers.
     configurations: Mutex<Vec<((usize, u32), u64)>>,
 }
 
 impl SoakVerdict {
+    /// Records a request and checks its answer.
     pub(crate) fn note(&self, note: CallNote) {
         if let Some(finding) = wrong_answer(&note) {
             self.find(finding);
@@ -34,7 +35,7 @@
         self.findings.lock().unwrap().push(finding);
     }
 
-    /// Notes what each of many requests would show again.
+    /// Records a finding unless it is recorded already, for faults that many requests show.
     fn find_once(&self, finding: String) {
         let mut findings = self.findings.lock().unwrap();
         if !findings.contains(&finding) {
@@ -55,17 +56,17 @@
         format!("{} calls, {served} served, {refused} refused, {findings} findings", calls.len())
     }
 
-    /// A request of the route that configurations move between two services was answered. Within one
-    /// life of a gateway its configurations only grow.
-    pub(crate) fn moved(&self, gateway: usize, life: u32, note: &CallNote, world: &SoakWorld) {
+    /// Checks the answer to a request on the route that configurations move between two services. While a process
+    /// runs, it must not go back to an older configuration. `start` counts the starts of the gateway's process.
+    pub(crate) fn moved(&self, gateway: usize, start: u32, note: &CallNote, world: &SoakWorld) {
         let CallEnd::Answered { status: 200, seal, .. } = &note.end else { return };
         let elsewhere = seal.starts_with("seal-x");
         let newest = world.published();
         let mut known = self.configurations.lock().unwrap();
-        let at = match known.binary_search_by_key(&(gateway, life), |(life, _)| *life) {
+        let at = match known.binary_search_by_key(&(gateway, start), |(start, _)| *start) {
             Ok(at) => at,
             Err(at) => {
-                known.insert(at, ((gateway, life), 1));
+                known.insert(at, ((gateway, start), 1));
                 at
             }
         };
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Judges everything at the end.
-    pub(crate) fn judge(&self, world: &SoakWorld, calm_from: Instant) {
+    /// Checks all requests and runs at the end. `steady_from` is the time from which requests must be served again.
+    pub(crate) fn judge(&self, world: &SoakWorld, steady_from: Instant) {
         let calls = self.calls.lock().unwrap().clone();
         let runs = world.runs();
         for note in &calls {
@@ -105,12 +106,12 @@
                 self.find(format!("{server} ran {} that no caller sent", run.id));
             }
         }
-        self.judge_recovery(&calls, calm_from);
-        for fault in world.server_faults() {
-            self.find(fault);
+        self.judge_recovery(&calls, steady_from);
+        for violation in world.server_violations() {
+            self.find(violation);
         }
         for gateway in &world.gateways {
-            for line in gateway.complaints() {
+            for line in gateway.violations() {
                 self.find(line);
             }
         }
@@ -119,43 +120,49 @@
         }
     }
 
-    fn judge_recovery(&self, calls: &[CallNote], calm_from: Instant) {
-        let asked = |note: &&CallNote| note.sent > calm_from && !matches!(note.end, CallEnd::Left);
-        let late: Vec<&CallNote> = calls.iter().filter(asked).collect();
+    /// Checks that enough requests are served once all faults are over.
+    fn judge_recovery(&self, calls: &[CallNote], steady_from: Instant) {
+        let concerned =
+            |note: &&CallNote| note.sent > steady_from && !matches!(note.end, CallEnd::Abandoned);
+        let late: Vec<&CallNote> = calls.iter().filter(concerned).collect();
         let served = late.iter().filter(|note| note.served()).count();
         if late.is_empty() || served * 100 < late.len() * RECOVERED_PERCENT {
-            let ends: Vec<String> =
-                late.iter().filter(|note| !note.served()).map(|note| note.told()).take(4).collect();
+            let ends: Vec<String> = late
+                .iter()
+                .filter(|note| !note.served())
+                .map(|note| note.describe())
+                .take(4)
+                .collect();
             self.find(format!("after all faults {served} of {} were served: {ends:?}", late.len()));
         }
     }
 
-    /// Where all that happens is planned, no request that a server ran is lost, and a leaving server
-    /// gets no new work.
+    /// Checks, for seeds with planned work only, that no request that a server ran is lost and that draining servers
+    /// receive no new requests.
     fn judge_planned(&self, calls: &[CallNote], runs: &[(String, RunNote)], world: &SoakWorld) {
         for note in calls {
             let cut = match &note.end {
                 CallEnd::Cut => true,
                 CallEnd::Answered { status, whole, .. } => !whole || matches!(status, 502 | 504),
-                CallEnd::Left | CallEnd::Unsent => false,
+                CallEnd::Abandoned | CallEnd::Unsent => false,
             };
             let ran = runs.iter().any(|(_, run)| run.id == note.id);
             if cut && ran {
-                self.find(format!("cut by planned work: {}", note.told()));
+                self.find(format!("cut by planned work: {}", note.describe()));
             }
         }
-        for (server, left_at) in world.left_servers() {
+        for (server, draining_since) in world.drained_servers() {
             let late = |(name, run): &&(String, RunNote)| {
-                *name == server && run.at.is_some_and(|at| at > left_at + DRAIN_TIME)
+                *name == server && run.at.is_some_and(|at| at > draining_since + DRAIN_TIME)
             };
             if let Some((_, run)) = runs.iter().find(late) {
-                self.find(format!("{server} ran {} long after it began to leave", run.id));
+                self.find(format!("{server} ran {} too long after it began to drain", run.id));
             }
         }
     }
 }
 
-/// What is wrong with an answer by itself.
+/// Returns what is wrong with an answer, without regard to other requests.
 fn wrong_answer(note: &CallNote) -> Option<String> {
     let CallEnd::Answered { status, body, whole, seal } = &note.end else { return None };
     if *status != 200 {
--- a/gateway/tests/soak/world.rs
+++ b/gateway/tests/soak/world.rs
@@ -1,4 +1,4 @@
-//! The site of one seed.
+//! The site of one seed: store, servers, gateways and the proxies between them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,43 +11,44 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-use crate::callers::{call_on, probe_on};
+use crate::callers::{run_caller, run_probe};
 use crate::configuration::configuration;
-use crate::faults::{FaultMix, SLOTS, strike};
-use crate::fleet::{GatewayChild, GatewayPlace};
+use crate::faults::{FaultMix, SLOTS, inject_faults};
+use crate::fleet::{GatewayChild, GatewayEndpoints};
 use crate::proxy::LinkProxy;
-use crate::server::{RunNote, ServerMood, StandinServer};
+use crate::server::{RunNote, ServerMode, StandinServer};
 use crate::store::StandinStore;
 use crate::verdict::SoakVerdict;
 
-/// Callers at once.
+/// The number of callers that send requests concurrently.
 const CALLERS: usize = 10;
-/// Between two heartbeats of a server, as on the platform.
-const HEARTBEAT: Duration = Duration::from_millis(600);
-/// How long a leaving server goes on serving.
+/// The time between two heartbeats of a server, as on the platform.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(600);
+/// How long a draining server goes on serving before its entry is removed.
 const LINGER: Duration = Duration::from_millis(3_500);
-/// After the last fault, the time until requests are served as before: a share that moved waits for the
-/// pause between two holders, and leases must lapse before it.
+/// The time after the last fault until requests must be served as before. A partition is only moved once the lease of
+/// its holder has expired, and the next holder waits for the pause between two holders.
 const RECOVERY: Duration = Duration::from_secs(12);
-/// From when a configuration is published after the last fault until it alone may be in force: operators allow
-/// two seconds, and three after a fault of a VM or of the store.
+/// The time after the last fault from the publication of a configuration until no gateway may use an older one.
+/// Operators allow two seconds, and three after a fault of a VM or of the store.
 const IN_FORCE: Duration = Duration::from_secs(3);
-/// How long the last look at served requests lasts.
-const LAST_LOOK: Duration = Duration::from_secs(3);
-/// How long the gateways may take to be ready.
-const START: Duration = Duration::from_secs(20);
-/// How long a process that ended stays away.
-const RESTART: Duration = Duration::from_millis(300);
-
-/// What is played.
+/// How long requests are observed after [`RECOVERY`].
+const OBSERVATION_TIME: Duration = Duration::from_secs(3);
+/// How long the gateways may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// The time between the end of a gateway process and its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+
+/// The parameters of one seed's run.
 #[derive(Clone, Debug)]
 pub(crate) struct SoakPlan {
     pub(crate) seed: u64,
     pub(crate) gateways: usize,
+    /// How long faults are started.
     pub(crate) faults_for: Duration,
 }
 
-/// The services of the site.
+/// The services of the site. Configurations move a route between `Plain` and `Elsewhere`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServerKind {
     Engine,
@@ -64,7 +65,8 @@
         }
     }
 
-    fn mark(self) -> &'static str {
+    /// Returns the prefix of the names of its servers. The verdict recognises `x`.
+    fn name_prefix(self) -> &'static str {
         match self {
             Self::Engine => "e",
             Self::Plain => "p",
@@ -73,31 +75,35 @@
     }
 }
 
-/// A server's place in the site; one life after another stands in it.
+/// A position in the site, which one server after another fills.
 struct ServerSlot {
     kind: ServerKind,
     server: StandinServer,
     link: LinkProxy,
 }
 
+/// The running site of one seed.
 pub(crate) struct SoakWorld {
     pub(crate) store: StandinStore,
+    /// The link of each gateway to the store.
     pub(crate) store_links: Vec<LinkProxy>,
     pub(crate) gateways: Vec<GatewayChild>,
     pub(crate) verdict: SoakVerdict,
+    /// Whether the seed plays planned work only, so that no request may be lost.
     pub(crate) only_planned: bool,
     slots: Mutex<Vec<ServerSlot>>,
-    /// All lives, with the time at which each began to leave.
-    lives: Mutex<Vec<(StandinServer, Option<Instant>)>>,
+    /// All servers that were ever started, each with the time at which it began to drain.
+    all_servers: Mutex<Vec<(StandinServer, Option<Instant>)>>,
     heartbeat: AtomicU64,
     published: AtomicU64,
-    /// The configuration that was published last after all faults, and from when on it alone may be in force.
+    /// The last configuration that was published after all faults, and from when on no older one may be used.
     watched: Mutex<Option<(u64, Instant)>>,
     over: AtomicBool,
+    /// Holds the settings and logs of the gateways, and the log of faults.
     folder: PathBuf,
 }
 
-/// Plays one seed.
+/// Plays one seed and returns the verdict. The logs are kept if there are findings.
 pub(crate) async fn play(plan: SoakPlan) -> SoakVerdict {
     let mix = FaultMix::of(plan.seed);
     let world = Arc::new(SoakWorld::start(&plan, mix).await);
@@ -109,28 +115,29 @@
     }
     for number in 0..CALLERS {
         let random = Pcg64::seed_from_u64(plan.seed * 1_000 + number as u64);
-        tasks.spawn(call_on(Arc::clone(&world), number, random));
+        tasks.spawn(run_caller(Arc::clone(&world), number, random));
     }
     for gateway in 0..plan.gateways {
-        tasks.spawn(probe_on(Arc::clone(&world), gateway));
+        tasks.spawn(run_probe(Arc::clone(&world), gateway));
     }
     let random = Pcg64::seed_from_u64(plan.seed);
-    strike(&world, mix, plan.faults_for, random).await;
-    // A gateway that is two configurations behind sends to the right one of two services. One of two looks shows it.
+    inject_faults(&world, mix, plan.faults_for, random).await;
+    // The route alternates between two services, so a gateway that is two configurations behind uses the right one.
+    // Two publications, each with its own check, show such a gateway too.
     world.configure_watched();
     sleep(RECOVERY / 2).await;
     world.configure_watched();
     sleep(RECOVERY / 2).await;
-    let calm_from = Instant::now();
-    sleep(LAST_LOOK).await;
+    let steady_from = Instant::now();
+    sleep(OBSERVATION_TIME).await;
     world.over.store(true, Ordering::SeqCst);
-    // Requests that are open end by their deadlines.
+    // Open requests end by their deadlines.
     let ended = async { while tasks.join_next().await.is_some() {} };
     if timeout(Duration::from_secs(10), ended).await.is_err() {
         world.verdict.find("a caller's request never ended".to_owned());
     }
     tasks.shutdown().await;
-    world.verdict.judge(&world, calm_from);
+    world.verdict.judge(&world, steady_from);
     if world.verdict.findings().is_empty() {
         let _ = std::fs::remove_dir_all(&world.folder);
     } else {
@@ -153,9 +160,11 @@
         for _ in 0..plan.gateways {
             store_links.push(LinkProxy::start(store.address).await);
         }
-        let places: Vec<GatewayPlace> =
-            (0..plan.gateways).map(|number| place(plan.seed, number, &store_links)).collect();
-        let gateways = places.into_iter().map(|place| GatewayChild::new(place, folder.clone()));
+        let endpoints: Vec<GatewayEndpoints> = (0..plan.gateways)
+            .map(|number| endpoints_of(plan.seed, number, &store_links))
+            .collect();
+        let gateways =
+            endpoints.into_iter().map(|endpoints| GatewayChild::new(endpoints, folder.clone()));
         let world = Self {
             store,
             store_links,
@@ -163,7 +172,7 @@
             verdict: SoakVerdict::default(),
             only_planned: mix == FaultMix::Planned,
             slots: Mutex::default(),
-            lives: Mutex::default(),
+            all_servers: Mutex::default(),
             heartbeat: AtomicU64::new(0),
             published: AtomicU64::new(0),
             watched: Mutex::default(),
@@ -183,46 +192,46 @@
     }
 
     async fn new_server(&self, kind: ServerKind) -> ServerSlot {
-        let number = self.lives.lock().unwrap().len();
-        let server = StandinServer::start(&format!("{}-{number}", kind.mark())).await;
-        server.set_mood(ServerMood::Paced);
+        let number = self.all_servers.lock().unwrap().len();
+        let server = StandinServer::start(&format!("{}-{number}", kind.name_prefix())).await;
+        server.set_mode(ServerMode::Paced);
         let link = LinkProxy::start(server.address).await;
-        self.lives.lock().unwrap().push((server.clone(), None));
+        self.all_servers.lock().unwrap().push((server.clone(), None));
         ServerSlot { kind, server, link }
     }
 
     async fn wait_ready(&self) -> bool {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let mut all = true;
             for gateway in &self.gateways {
-                all &= is_ready(gateway.place.ready).await;
+                all &= is_ready(gateway.endpoints.ready).await;
             }
             if all {
                 return true;
             }
-            if begun.elapsed() > START {
+            if started.elapsed() > READY_TIMEOUT {
                 return false;
             }
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Publishes the next configuration; each one moves a route to the other of two services.
+    /// Publishes the next configuration, which moves a route to the other of two services.
     pub(crate) fn configure(&self) {
         let version = self.published.fetch_add(1, Ordering::SeqCst) + 1;
         let moved = if version.is_multiple_of(2) { "elsewhere" } else { "plain" };
         self.store.write("keyed.op", "config", Some(&configuration(version, moved)));
     }
 
-    /// Publishes a configuration that all gateways must use in a while.
+    /// Publishes the next configuration, which all gateways must use after [`IN_FORCE`].
     fn configure_watched(&self) {
         self.configure();
         *self.watched.lock().unwrap() = Some((self.published(), Instant::now() + IN_FORCE));
     }
 
-    /// The configuration that alone may be in force for a request sent at a time, if there is one. While the
-    /// next one is being published there is none: an answer may be of either.
+    /// Returns the only configuration that may be used for a request sent at this time, or `None` if more than one
+    /// may be, as while the next one is being published.
     pub(crate) fn in_force_at(&self, sent: Instant) -> Option<u64> {
         let (version, from) = (*self.watched.lock().unwrap())?;
         (sent > from && version == self.published()).then_some(version)
@@ -248,7 +257,7 @@
         self.slots.lock().unwrap()[slot].server.clone()
     }
 
-    /// Notes what happens, beside the logs of the gateways.
+    /// Appends a line to `faults.log`, with the time in milliseconds. It lies beside the logs of the gateways.
     pub(crate) fn log(&self, line: String) {
         use std::io::Write;
         let at = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -260,7 +269,8 @@
         }
     }
 
-    /// A server crashes; its entry lapses, and another life comes at another address.
+    /// Crashes a server. After `down` its entry is removed, and a new server with another name and address takes its
+    /// slot.
     pub(crate) async fn crash(&self, slot: usize, down: Duration) {
         let (kind, old) = {
             let slots = self.slots.lock().unwrap();
@@ -274,26 +284,29 @@
         self.register_all();
     }
 
-    /// A new server comes, and the old one leaves once the store has its word.
+    /// Starts a new server in the slot, then drains the old one, removes its entry and ends it.
     pub(crate) async fn replace(&self, slot: usize) {
         let kind = self.slots.lock().unwrap()[slot].kind;
         let new = self.new_server(kind).await;
         let old = std::mem::replace(&mut self.slots.lock().unwrap()[slot], new);
         self.register_all();
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
         self.register(&old, "draining");
-        self.note_leaving(&old.server.name);
+        self.record_draining(&old.server.name);
         sleep(LINGER).await;
         self.store.write("keyed.servers", &old.server.name, None);
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
         old.server.end();
     }
 
-    fn note_leaving(&self, name: &str) {
-        let mut lives = self.lives.lock().unwrap();
-        for (server, left_at) in lives.iter_mut().filter(|(server, _)| server.name == name) {
-            server.set_mood(ServerMood::Paced);
-            *left_at = Some(Instant::now());
+    /// Records that a server began to drain, and ends faults of the server itself.
+    fn record_draining(&self, name: &str) {
+        let mut all_servers = self.all_servers.lock().unwrap();
+        for (server, draining_since) in
+            all_servers.iter_mut().filter(|(server, _)| server.name == name)
+        {
+            server.set_mode(ServerMode::Paced);
+            *draining_since = Some(Instant::now());
         }
     }
 
@@ -310,39 +323,39 @@
         }
     }
 
-    /// Everything that servers ran, with the server's name.
+    /// Returns all requests that servers ran, each with the server's name.
     pub(crate) fn runs(&self) -> Vec<(String, RunNote)> {
-        let lives = self.lives.lock().unwrap();
-        let runs = lives.iter().flat_map(|(server, _)| {
+        let all_servers = self.all_servers.lock().unwrap();
+        let runs = all_servers.iter().flat_map(|(server, _)| {
             server.runs().into_iter().map(|run| (server.name.clone(), run))
         });
         runs.collect()
     }
 
-    /// Servers that began to leave, and when.
-    pub(crate) fn left_servers(&self) -> Vec<(String, Instant)> {
-        let lives = self.lives.lock().unwrap();
-        lives.iter().filter_map(|(server, at)| Some((server.name.clone(), (*at)?))).collect()
+    /// Returns the servers that began to drain, and when.
+    pub(crate) fn drained_servers(&self) -> Vec<(String, Instant)> {
+        let all_servers = self.all_servers.lock().unwrap();
+        all_servers.iter().filter_map(|(server, at)| Some((server.name.clone(), (*at)?))).collect()
     }
 
-    pub(crate) fn server_faults(&self) -> Vec<String> {
-        let lives = self.lives.lock().unwrap();
-        let faults = lives.iter().flat_map(|(server, _)| {
-            server.faults().into_iter().map(|fault| format!("{}: {fault}", server.name))
+    pub(crate) fn server_violations(&self) -> Vec<String> {
+        let all_servers = self.all_servers.lock().unwrap();
+        let violations = all_servers.iter().flat_map(|(server, _)| {
+            server.violations().into_iter().map(|violation| format!("{}: {violation}", server.name))
         });
-        faults.collect()
+        violations.collect()
     }
 }
 
-/// Each server writes its entry again and again.
+/// Writes the entries of all servers every [`HEARTBEAT_INTERVAL`].
 async fn heartbeats(world: Arc<SoakWorld>) {
     while !world.over() {
         world.register_all();
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Starts processes anew that have ended, as the platform does.
+/// Restarts gateway processes that have ended, as the platform does.
 async fn restarts(world: Arc<SoakWorld>) {
     use std::os::unix::process::ExitStatusExt;
     while !world.over() {
@@ -350,9 +363,9 @@
             let Some(status) = gateway.ended() else { continue };
             let killed = status.signal().is_some();
             if !killed && !status.success() {
-                world.verdict.find(format!("gateway {number} ended by itself: {status}"));
+                world.verdict.find(format!("gateway {number} exited with a failure: {status}"));
             }
-            sleep(RESTART).await;
+            sleep(RESTART_DELAY).await;
             gateway.start();
         }
         sleep(Duration::from_millis(20)).await;
@@ -366,14 +379,14 @@
     answer.is_ok_and(|answer| answer.status.as_u16() == 200)
 }
 
-/// Each gateway has a loopback address of its own, so that ports never meet.
-fn place(seed: u64, number: usize, store_links: &[LinkProxy]) -> GatewayPlace {
+/// Returns the endpoints of a gateway. Each has its own loopback address, so that the fixed ports never conflict.
+fn endpoints_of(seed: u64, number: usize, store_links: &[LinkProxy]) -> GatewayEndpoints {
     let ip = |number: usize| {
         let process = 1 + (std::process::id() % 200) as u8;
         [127, process, 1 + (seed % 250) as u8, 1 + number as u8]
     };
     let address = |port: u16| SocketAddr::from((ip(number), port));
-    GatewayPlace {
+    GatewayEndpoints {
         vm: format!("vm-{number}"),
         requests: address(7_001),
         ready: address(7_002),
--- a/gateway/tests/suite/customer_keys.rs
+++ b/gateway/tests/suite/customer_keys.rs
@@ -1,4 +1,4 @@
-//! Customers' keys and limits, as callers, servers and other VMs see them.
+//! Customers' keys and limits, as seen by callers, servers and other VMs.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::configuration::configuration;
 use crate::site::{RunningGateway, Site, eventually, get};
 
-/// Within which time a key that was taken away opens nothing in these tests.
+/// The promised time in these tests after which a removed key is accepted no more.
 const REMOVAL_MS: u64 = 1_500;
 
 /// A configuration whose customer `c1` has these keys; `/safe/` needs one and `/moved/` does not.
@@ -28,6 +28,7 @@
     site.store.write("keyed.op", "config", Some(&with_customers(version, keys, limit)));
 }
 
+/// Starts a gateway that refuses keys unless its configuration is confirmed within `REMOVAL_MS`.
 async fn strict_gateway(site: &Site, vm: &str, seeds: &[&RunningGateway]) -> RunningGateway {
     let promises = PromiseSettings {
         strict_key_removal: true,
@@ -51,7 +52,7 @@
     gateway.call("/safe/1", id, &[("authorization", &bearer)]).await.status
 }
 
-/// A server that gets a caller's key, or runs a request for the customer that its caller names.
+/// Guards against servers that receive a caller's key, or a customer's name that the caller chose.
 #[tokio::test]
 async fn named_to_servers() {
     let (site, gateway) = site_with(&["secret-key"]).await;
@@ -68,7 +69,7 @@
     }
 }
 
-/// A request that runs although no customer holds its key, or that holds up others.
+/// Guards against requests that run without a customer's key, and against wrong keys that block valid ones.
 #[tokio::test]
 async fn wrong_keys() {
     let (site, gateway) = site_with(&["secret-key"]).await;
@@ -85,7 +86,7 @@
     assert_eq!(status(&gateway, "r1", "secret-key").await, 200);
 }
 
-/// A caller that is told for good that its key is wrong, a moment after operators added it.
+/// Guards against a final 401 for a key that operators added in a configuration which the VM has not read yet.
 #[tokio::test]
 async fn added_key() {
     let (site, gateway) = site_with(&["first"]).await;
@@ -93,8 +94,8 @@
     assert_eq!(status(&gateway, "r1", "second").await, 200);
 }
 
-/// A key that was taken away and opens something at a VM which the store does not answer any more; and a VM
-/// that says so for good while it does not know.
+/// Guards against a removed key that is still accepted by a VM to which the store does not respond, and against a
+/// final 401 from a VM that cannot know whether a key is valid.
 #[tokio::test]
 async fn removed_unheard() {
     let (site, gateway) = site_with(&["kept", "removed"]).await;
@@ -117,7 +118,8 @@
     assert_eq!(status(&gateway, "r5", "kept").await, 200);
 }
 
-/// A VM that the store turns away stops serving, although another VM can tell it that its configuration holds.
+/// Guards against a VM that stops serving because the store does not answer its query, although another VM can
+/// confirm its configuration.
 #[tokio::test]
 async fn confirmed_by_others() {
     let site = Site::start_unconfigured(0, 1).await;
@@ -133,7 +135,7 @@
     }
 }
 
-/// What VMs give each other has a key in it.
+/// Guards against keys in the state that VMs give each other.
 #[tokio::test]
 async fn no_key_shared() {
     let (_site, gateway) = site_with(&["secret-key"]).await;
@@ -143,7 +145,7 @@
     assert!(!shared.body.contains("secret-key"));
 }
 
-/// A customer beyond its limit, whose requests run or who is told nothing of when to come back.
+/// Guards against requests that run beyond a customer's limit, or are refused without `Retry-After`.
 #[tokio::test]
 async fn beyond_limit() {
     let site = Site::start_unconfigured(0, 1).await;
@@ -160,7 +162,7 @@
     }
     assert_eq!(site.plain[0].runs().len(), 20 - refused);
     assert!((10..20).contains(&refused), "{refused} of 20 refused");
-    // Another customer is not concerned, and this one may come back.
+    // Another customer is not affected, and this one is served again after a while.
     assert_eq!(status(&gateway, "o", "other-key").await, 200);
     let again = async || status(&gateway, "again", "k").await == 200;
     eventually("the customer is served again", again).await;
--- a/gateway/tests/suite/main.rs
+++ b/gateway/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway against stand-ins of the platform, one file a feature.
+//! Tests of the gateway against stand-ins for the platform's store and servers, one file per feature.
 
 mod adapter_loads;
 mod broken_answers;
--- a/gateway/tests/suite/server.rs
+++ b/gateway/tests/suite/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's backend servers: it counts what runs, and fails as it is told.
+//! A stand-in for the platform's backend servers that records what it runs and fails as tests set it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,62 +10,62 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How a server treats the next requests.
+/// How a server handles the next requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum ServerMood {
-    /// It answers.
+pub(crate) enum ServerMode {
+    /// It answers correctly.
     #[default]
-    Well,
+    Normal,
     /// It runs a request and closes the connection without an answer.
     LosesAnswer,
-    /// It answers 500 after it ran.
+    /// It runs a request and answers 500.
     Fails,
     /// It closes a stream in the middle of its second event.
     CutsStream,
-    /// It sends an answer to another request first.
+    /// It sends an answer with another request's id before its own.
     AnswersTwice,
-    /// It says that it is full, and does not run the request.
+    /// It answers 503 with the statement that it did not run the request.
     Full,
     /// It takes a second for each event of a stream.
     Slow,
-    /// It takes some tens of milliseconds for each event.
+    /// It takes 60 ms for each event of a stream.
     Paced,
-    /// It falls silent after the first event, for longer than callers commonly wait, and goes on.
-    Silent,
+    /// It pauses for 2.4 s after the first event it sends, longer than a resumable stream may pause, and goes on.
+    Stalls,
 }
 
-/// An adapter whose load is accepted and never done.
+/// An adapter whose load is accepted and never completed.
 pub(crate) const NEVER_LOADED: &str = "a9";
 
 #[derive(Default)]
 struct ServerState {
-    mood: ServerMood,
+    mode: ServerMode,
     adapters: Vec<String>,
     orders: Vec<Value>,
-    /// Requests that ran: id, expected version, last event, deadline.
+    /// Requests that ran, in order.
     runs: Vec<RunNote>,
-    /// Streams whose reader left before their end.
-    left: usize,
-    /// The millisecond of its start; each start under its name has a later one.
-    born: u64,
-    /// The highest fencing number of an order, and who gave it.
+    /// Streams whose connection was closed before their end.
+    disconnects: usize,
+    /// Its start time in milliseconds; a restart under its name has a later one.
+    incarnation: u64,
+    /// The fencing number of the last accepted order, which is the highest, and its holder.
     fence: (u64, String),
-    /// What no caller of orders may do.
-    faults: Vec<String>,
+    /// Orders that no correct VM sends.
+    violations: Vec<String>,
 }
 
-/// A request as the server saw it.
+/// A request as the server received it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunNote {
     pub(crate) id: String,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// When it came.
+    /// When it was received.
     pub(crate) at: Option<Instant>,
 }
 
 impl RunNote {
-    /// A header of the request.
+    /// Returns a header of the request, trimmed.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let found = |line: &&str| {
             line.split_once(':').is_some_and(|(key, _)| key.eq_ignore_ascii_case(name))
@@ -74,21 +74,21 @@
     }
 }
 
-/// The server. Clones share it.
+/// The server. Clones share its state.
 #[derive(Clone)]
 pub(crate) struct StandinServer {
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
     state: Arc<Mutex<ServerState>>,
-    /// Grows with each start; connections of the one before are cut.
+    /// Grows with each restart, which cuts the connections of the previous incarnation.
     starts: Arc<watch::Sender<u64>>,
-    /// Set once the server has crashed or left.
+    /// Set once the server has crashed or shut down.
     ended: Arc<watch::Sender<bool>>,
 }
 
-/// Events of each stream.
+/// The number of events in each stream.
 pub(crate) const EVENTS: usize = 4;
-/// Places for adapters.
+/// How many adapters a server can hold.
 pub(crate) const PLACES: usize = 2;
 /// The base model that every server holds.
 pub(crate) const MODEL: &str = "base";
@@ -99,7 +99,10 @@
         let server = Self {
             name: name.to_owned(),
             address: listener.local_addr().unwrap(),
-            state: Arc::new(Mutex::new(ServerState { born: 1_000, ..ServerState::default() })),
+            state: Arc::new(Mutex::new(ServerState {
+                incarnation: 1_000,
+                ..ServerState::default()
+            })),
             starts: Arc::new(watch::Sender::new(0)),
             ended: Arc::new(watch::Sender::new(false)),
         };
@@ -128,52 +131,53 @@
         server
     }
 
-    /// Cuts all connections and takes no more, as a crash does.
+    /// Cuts all connections and accepts no more, as a crash does.
     pub(crate) fn end(&self) {
         self.ended.send_replace(true);
     }
 
-    /// Crashes and starts again under its name and at its address, with nothing of before.
+    /// Cuts all connections and continues as a restarted server of the same name and address, without adapters and
+    /// orders. The mode and the records of requests that ran stay.
     pub(crate) fn restart(&self) {
         let mut state = self.state.lock().unwrap();
-        let born = state.born + 5_000;
-        let (mood, runs) = (state.mood, std::mem::take(&mut state.runs));
-        *state = ServerState { born, mood, runs, ..ServerState::default() };
+        let incarnation = state.incarnation + 5_000;
+        let (mode, runs) = (state.mode, std::mem::take(&mut state.runs));
+        *state = ServerState { incarnation, mode, runs, ..ServerState::default() };
         drop(state);
         self.starts.send_modify(|starts| *starts += 1);
     }
 
-    /// Whether it has crashed or left.
+    /// Returns whether it has crashed or shut down.
     pub(crate) fn is_ended(&self) -> bool {
         *self.ended.borrow()
     }
 
-    /// What callers of orders did that none may do.
-    pub(crate) fn faults(&self) -> Vec<String> {
-        self.state.lock().unwrap().faults.clone()
+    /// Returns descriptions of orders that no correct VM sends.
+    pub(crate) fn violations(&self) -> Vec<String> {
+        self.state.lock().unwrap().violations.clone()
     }
 
-    /// Its entry in the store.
+    /// Returns its entry in the store.
     pub(crate) fn entry(&self, service: &str, heartbeat: u64, state: &str) -> Value {
         let held = self.state.lock().unwrap();
         let adapters: Vec<String> = held.adapters.iter().map(|name| format!("{name}@1")).collect();
         json!({
             "service": service, "address": self.address, "zone": "d1", "version": "v1",
-            "slots": 8, "state": state, "seq": heartbeat, "born": held.born,
+            "slots": 8, "state": state, "seq": heartbeat, "born": held.incarnation,
             "models": [{ "name": MODEL, "version": 1, "adapters": adapters }],
         })
     }
 
-    pub(crate) fn set_mood(&self, mood: ServerMood) {
-        self.state.lock().unwrap().mood = mood;
+    pub(crate) fn set_mode(&self, mode: ServerMode) {
+        self.state.lock().unwrap().mode = mode;
     }
 
     pub(crate) fn runs(&self) -> Vec<RunNote> {
         self.state.lock().unwrap().runs.clone()
     }
 
-    pub(crate) fn left(&self) -> usize {
-        self.state.lock().unwrap().left
+    pub(crate) fn disconnects(&self) -> usize {
+        self.state.lock().unwrap().disconnects
     }
 
     pub(crate) fn orders(&self) -> Vec<Value> {
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Answers one request; false if the connection ends.
+    /// Answers one request. Returns false if the connection must be closed.
     async fn answer(&self, stream: &mut TcpStream, head: String, body: String) -> bool {
         let note = RunNote { head, body, at: Some(Instant::now()), ..RunNote::default() };
         let note = RunNote {
@@ -208,8 +212,8 @@
             return send(stream, status, "", "").await;
         }
         let echo = format!("coltsfoothook-request-id: {}\r\n", note.id);
-        let mood = self.state.lock().unwrap().mood;
-        if mood == ServerMood::Full {
+        let mode = self.state.lock().unwrap().mode;
+        if mode == ServerMode::Full {
             let head = format!("{echo}coltsfoothook-not-run: 1\r\n");
             return send(stream, 503, &head, "").await;
         }
@@ -221,10 +225,10 @@
         }
         self.state.lock().unwrap().runs.push(note.clone());
         let sealed = format!("{echo}coltsfoothook-server-seal: seal-{}\r\n", self.name);
-        match mood {
-            ServerMood::LosesAnswer => return false,
-            ServerMood::Fails => return send(stream, 500, &sealed, "failed").await,
-            ServerMood::AnswersTwice => {
+        match mode {
+            ServerMode::LosesAnswer => return false,
+            ServerMode::Fails => return send(stream, 500, &sealed, "failed").await,
+            ServerMode::AnswersTwice => {
                 let other = "coltsfoothook-request-id: another\r\ncoltsfoothook-server-seal: x\r\n";
                 return send(stream, 200, other, "another's answer").await
                     && send(stream, 200, &sealed, "own answer").await;
@@ -234,7 +238,7 @@
         if note.header("coltsfoothook-model").is_none() {
             return send(stream, 200, &sealed, &format!("ran {}", note.id)).await;
         }
-        self.stream(stream, &note, &sealed, mood).await
+        self.stream(stream, &note, &sealed, mode).await
     }
 
     async fn stream(
@@ -242,7 +246,7 @@
         stream: &mut TcpStream,
         note: &RunNote,
         sealed: &str,
-        mood: ServerMood,
+        mode: ServerMode,
     ) -> bool {
         let head = format!(
             "HTTP/1.1 200 OK\r\n{sealed}content-type: text/event-stream\r\n\
@@ -254,20 +258,20 @@
         }
         for number in last + 1..=EVENTS {
             let event = format!("id: {number}\ndata: {} {number}\n\n", note.id);
-            let cut = mood == ServerMood::CutsStream && number == 2;
+            let cut = mode == ServerMode::CutsStream && number == 2;
             let event = if cut { &event[..event.len() / 2] } else { &event };
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
             if stream.write_all(chunk.as_bytes()).await.is_err() {
-                self.state.lock().unwrap().left += 1;
+                self.state.lock().unwrap().disconnects += 1;
                 return false;
             }
             if cut {
                 return false;
             }
-            let pause = match mood {
-                ServerMood::Slow => 1_000,
-                ServerMood::Paced => 60,
-                ServerMood::Silent if number == last + 1 => 2_400,
+            let pause = match mode {
+                ServerMode::Slow => 1_000,
+                ServerMode::Paced => 60,
+                ServerMode::Stalls if number == last + 1 => 2_400,
                 _ => 5,
             };
             sleep(Duration::from_millis(pause)).await;
@@ -279,11 +283,13 @@
         let state = self.state.lock().unwrap();
         let adapters: Vec<String> = state.adapters.iter().map(|name| format!("{name}@1")).collect();
         json!({
-            "stage": "hybrid", "busy": false, "seq": state.orders.len(), "born": state.born,
+            "stage": "hybrid", "busy": false, "seq": state.orders.len(), "born": state.incarnation,
             "models": [{ "name": MODEL, "version": 1, "adapters": adapters }],
         })
     }
 
+    /// Carries out an order and returns the status of the answer. Refuses a fencing number that is lower than an
+    /// earlier one (412) and a wrong count of earlier orders (409).
     fn order(&self, order: Value) -> u16 {
         let mut state = self.state.lock().unwrap();
         let (fence, holder) = (order["fence"].as_u64(), order["holder"].as_str());
@@ -292,8 +298,9 @@
             return 412;
         }
         if fence == state.fence.0 && fence > 0 && holder != state.fence.1 {
-            let fault = format!("{holder} and {} both order with {fence}", state.fence.1);
-            state.faults.push(fault);
+            let violation =
+                format!("{holder} and {} both order with fencing number {fence}", state.fence.1);
+            state.violations.push(violation);
         }
         state.fence = (fence, holder);
         if order["precondition"].as_u64() != Some(state.orders.len() as u64) {
@@ -306,8 +313,8 @@
             state.adapters.push(adapter);
         }
         if state.adapters.len() > PLACES {
-            let fault = format!("{:?} are more than {PLACES} adapters", state.adapters);
-            state.faults.push(fault);
+            let violation = format!("{:?} exceed the {PLACES} adapter slots", state.adapters);
+            state.violations.push(violation);
         }
         state.orders.push(order);
         if load { 202 } else { 200 }
@@ -320,7 +327,7 @@
     stream.write_all(text.as_bytes()).await.is_ok()
 }
 
-/// Reads a request with a length, or without a body.
+/// Reads a request, with a body if it has a `Content-Length`. `buffer` keeps the bytes behind it.
 async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<(String, String)> {
     loop {
         if let Some(end) = buffer.windows(4).position(|four| four == b"\r\n\r\n") {
--- a/gateway/tests/suite/site.rs
+++ b/gateway/tests/suite/site.rs
@@ -1,4 +1,4 @@
-//! A small site on loopback: the store, servers, and gateways as callers see them.
+//! A small site on loopback: a stand-in store, stand-in servers and gateways, and the calls to them.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicU16, Ordering};
@@ -17,43 +17,45 @@
 use crate::server::{MODEL, StandinServer};
 use crate::store::StandinStore;
 
-/// The longest that a test waits for something.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for a condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// The store and the servers of a test. Its gateways are started by the test.
 pub(crate) struct Site {
     pub(crate) store: StandinStore,
     pub(crate) engines: Vec<StandinServer>,
     pub(crate) plain: Vec<StandinServer>,
+    /// The heartbeat count of the last entry that a server wrote.
     heartbeat: u64,
-    /// The port on which VMs talk to each other, the same for all; each has a loopback address.
+    /// The port for other VMs, the same for all gateways; each gateway has its own loopback address.
     peer_port: u16,
 }
 
-/// A gateway and where it listens.
+/// A gateway and the addresses that it listens on.
 pub(crate) struct RunningGateway {
     pub(crate) process: GatewayProcess,
     pub(crate) listen: ListenSettings,
 }
 
-/// What a caller got.
+/// The answer that a caller received.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct CallerAnswer {
     pub(crate) status: u16,
     pub(crate) body: String,
-    /// Whether the answer came to its end.
+    /// Whether the body was received to its end.
     pub(crate) whole: bool,
     pub(crate) retry_after: Option<String>,
 }
 
 impl Site {
-    /// A site with a configuration and servers that are registered.
+    /// Starts a site with registered servers and a published configuration.
     pub(crate) async fn start(engines: usize, plain: usize) -> Self {
         let site = Self::start_unconfigured(engines, plain).await;
         site.configure(1, "plain");
         site
     }
 
-    /// A site whose operators have not published a configuration yet.
+    /// Starts a site with registered servers and no configuration.
     pub(crate) async fn start_unconfigured(engines: usize, plain: usize) -> Self {
         let store = StandinStore::start().await;
         let mut site = Self {
@@ -73,13 +75,13 @@
         site
     }
 
-    /// Publishes a configuration whose `/moved/` goes to `service`.
+    /// Publishes a configuration whose route `/moved/` leads to `service`.
     pub(crate) fn configure(&self, version: u64, service: &str) {
         let config = configuration(version, service);
         self.store.write("keyed.op", "config", Some(&config));
     }
 
-    /// Each server writes its entry.
+    /// Writes the entries of all servers with the next heartbeat.
     pub(crate) fn register(&mut self, state: &str) {
         self.heartbeat += 1;
         for server in &self.engines {
@@ -92,24 +94,25 @@
         }
     }
 
-    /// A server that started again writes its first heartbeat.
-    pub(crate) fn register_anew(&mut self, server: &StandinServer, service: &str) {
+    /// Writes the entry of a restarted server with its first heartbeat.
+    pub(crate) fn register_restarted(&mut self, server: &StandinServer, service: &str) {
         self.store.write("keyed.servers", &server.name, Some(&server.entry(service, 1, "ready")));
     }
 
-    /// One server writes that it leaves.
+    /// Writes the entry of a server that drains.
     pub(crate) fn drain(&mut self, server: &StandinServer, service: &str) {
         self.heartbeat += 1;
         let entry = server.entry(service, self.heartbeat, "draining");
         self.store.write("keyed.servers", &server.name, Some(&entry));
     }
 
-    /// Starts the gateway of `vm-N` on free ports, in a system that starts for the first time.
+    /// Starts a gateway on free ports, in a system that starts for the first time. `vm` is `vm-N`, where N is the
+    /// last number of its loopback address for other VMs.
     pub(crate) async fn gateway(&self, vm: &str, seeds: &[&RunningGateway]) -> RunningGateway {
         self.start_gateway(vm, seeds, true).await
     }
 
-    /// The same in a system that ran before.
+    /// Starts a gateway as [`Self::gateway`] does; the system ran before unless `first_start`.
     pub(crate) async fn start_gateway(
         &self,
         vm: &str,
@@ -120,7 +123,7 @@
         self.start_gateway_with(vm, seeds, first_start, promises).await
     }
 
-    /// The same with other promises to the operators.
+    /// Starts a gateway as [`Self::start_gateway`] does, with these promises except for the grace time and the fences.
     pub(crate) async fn start_gateway_with(
         &self,
         vm: &str,
@@ -155,7 +158,7 @@
         eventually("the gateway is ready", async || self.ready().await).await;
     }
 
-    /// The addresses that it tells callers to use.
+    /// Returns the addresses that it gives to callers; empty if it gives none.
     pub(crate) async fn addresses(&self) -> Vec<SocketAddr> {
         let path = "/v1/resolve?name=a.example&region=r&zone=d1";
         let Some(answer) = get(self.listen.addresses, path).await else { return Vec::new() };
@@ -163,7 +166,7 @@
         serde_json::from_value(body["addresses"].clone()).unwrap_or_default()
     }
 
-    /// Sends a request as a caller does.
+    /// Sends a request to the gateway as a caller does.
     pub(crate) async fn call(
         &self,
         path: &str,
@@ -173,8 +176,8 @@
         call(self.listen.requests, path, id, headers).await.expect("the gateway answers")
     }
 
-    /// The same with an adapter.
-    pub(crate) async fn ask(&self, route: &str, id: &str, adapter: &str) -> CallerAnswer {
+    /// Sends a request to `/{route}/x` that needs an adapter.
+    pub(crate) async fn request(&self, route: &str, id: &str, adapter: &str) -> CallerAnswer {
         let model = format!("{MODEL}/{adapter}");
         let headers = [("coltsfoothook-model", &*model), ("coltsfoothook-token-count", "100,8")];
         self.call(&format!("/{route}/x"), id, &headers).await
@@ -222,18 +225,19 @@
     Some(CallerAnswer { status: answer.status.as_u16(), body, whole, retry_after })
 }
 
-/// Ports below those that the kernel gives to outgoing connections. One that was free a moment ago could
-/// else be taken by a connection of another test before its gateway listens.
-const FIRST_PORT: u16 = 12_000;
-const PORTS_A_PROCESS: u16 = 300;
+/// The first port of the tests. The range is below the kernel's ephemeral ports: one of those could be taken by an
+/// outgoing connection of another test between the check and the start of the gateway.
+const BASE_PORT: u16 = 12_000;
+/// Ports for each of the test processes that may run at once.
+const PORTS_PER_PROCESS: u16 = 300;
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
 fn free_port(ip: &str) -> SocketAddr {
     let ip: IpAddr = ip.parse().unwrap();
-    let process = u16::try_from(std::process::id() % 60).unwrap() * PORTS_A_PROCESS;
+    let process = u16::try_from(std::process::id() % 60).unwrap() * PORTS_PER_PROCESS;
     loop {
-        let number = NEXT_PORT.fetch_add(1, Ordering::Relaxed) % PORTS_A_PROCESS;
-        let address = SocketAddr::new(ip, FIRST_PORT + process + number);
+        let number = NEXT_PORT.fetch_add(1, Ordering::Relaxed) % PORTS_PER_PROCESS;
+        let address = SocketAddr::new(ip, BASE_PORT + process + number);
         let tcp = std::net::TcpListener::bind(address);
         if tcp.is_ok() && std::net::UdpSocket::bind(address).is_ok() {
             return address;
@@ -246,11 +250,11 @@
     ListenSettings { requests: free(), ready: free(), addresses: free(), peers, metrics: free() }
 }
 
-/// Waits until `holds`, and fails after a long time.
+/// Waits until `holds` returns true. Panics with `what` after [`WAIT_TIMEOUT`].
 pub(crate) async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     while !holds().await {
-        assert!(begun.elapsed() < PATIENCE, "{what}: not within {PATIENCE:?}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "{what}: not within {WAIT_TIMEOUT:?}");
         sleep(Duration::from_millis(20)).await;
     }
 }
--- a/gateway/tests/suite/vm_leaves.rs
+++ b/gateway/tests/suite/vm_leaves.rs
@@ -1,21 +1,21 @@
-//! A VM ends: no request is cut, and callers are sent elsewhere.
+//! Shutdown of a VM: no request is cut, and callers are sent to other VMs.
 
 use std::time::Duration;
 
 use tokio::time::sleep;
 
-use crate::server::ServerMood;
+use crate::server::ServerMode;
 use crate::site::{Site, call, eventually};
 
-/// SIGTERM comes while a stream runs. It goes on to its end, the VM is not ready at once, and the
-/// process ends after the stream.
+/// The process is stopped while a stream runs. The VM is no longer ready at once, the stream is completed, and the
+/// process ends after it.
 #[tokio::test]
 async fn running_stream() {
     let site = Site::start(1, 0).await;
     let gateway = site.gateway("vm-1", &[]).await;
     gateway.wait_ready().await;
-    assert_eq!(gateway.ask("stream", "r0", "a1").await.status, 200);
-    site.engines[0].set_mood(ServerMood::Slow);
+    assert_eq!(gateway.request("stream", "r0", "a1").await.status, 200);
+    site.engines[0].set_mode(ServerMode::Slow);
     let (requests, ready) = (gateway.listen.requests, gateway.listen.ready);
     let stream = tokio::spawn(async move {
         let headers = [("coltsfoothook-model", "base/a1"), ("coltsfoothook-token-count", "9,9")];
@@ -33,15 +33,15 @@
     stopping.await.unwrap();
 }
 
-/// A VM that leaves tells the others, which send callers elsewhere at once.
+/// A VM that shuts down reports it to the others, which at once no longer give its address to callers.
 #[tokio::test]
 async fn told_others() {
     let site = Site::start(0, 1).await;
     let first = site.gateway("vm-1", &[]).await;
     let second = site.gateway("vm-2", &[&first]).await;
-    eventually("both are told of", async || first.addresses().await.len() == 2).await;
+    eventually("both addresses are given", async || first.addresses().await.len() == 2).await;
     let own = first.listen.requests;
     let stopping = tokio::spawn(second.process.stop());
-    eventually("one is told of", async || first.addresses().await == [own]).await;
+    eventually("one address is given", async || first.addresses().await == [own]).await;
     stopping.await.unwrap();
 }
--- a/gateway/tests/suite/wire_names.rs
+++ b/gateway/tests/suite/wire_names.rs
@@ -1,9 +1,9 @@
-//! What servers get of a caller's request.
+//! The head of a caller's request as servers receive it.
 
 use crate::site::Site;
 
-/// A caller sets headers that are the system's to set, and names others as concerning the connection
-/// alone. Servers get the system's own values and everything else unchanged.
+/// Callers must not be able to set the headers that the gateway sets, nor have it drop them by naming them in
+/// `Connection`. Servers receive the gateway's values and all other end-to-end headers unchanged.
 #[tokio::test]
 async fn forged_headers() {
     let site = Site::start(0, 1).await;
@@ -34,7 +34,7 @@
     assert!((3_000..=4_000).contains(&left), "the route allows 4 s, not {left} ms");
 }
 
-/// Bad input gets a clear answer and reaches no server.
+/// Malformed requests are answered with 400 or 404 and reach no server.
 #[tokio::test]
 async fn bad_requests() {
     let site = Site::start(0, 1).await;
