--- a/gateway/src/find.rs
+++ b/gateway/src/find.rs
@@ -202,8 +202,8 @@
     }
 }
 
-/// Sends a load request for an adapter to the VM that orders the server, unless one was sent shortly before. If this VM
-/// orders the server, the request goes to its own tracker.
+/// Sends a load request for an adapter to the VM that orders the server, unless one was sent shortly before. If this
+/// VM orders the server, the request goes to its own tracker.
 fn request_load(
     gateway: &Arc<Gateway>,
     key: &AdapterKey,
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -104,8 +104,8 @@
         // partitions, while leaving would move them twice.
         sleep((grace.mul_f64(ACCEPT_FRACTION)).saturating_sub(stop_started.elapsed())).await;
         gateway.closing.send_replace(true);
-        let deadline = grace.saturating_sub(SHUTDOWN_MARGIN);
-        while gateway.open.load(Ordering::Relaxed) > 0 && stop_started.elapsed() < deadline {
+        let max_time = grace.saturating_sub(SHUTDOWN_MARGIN);
+        while gateway.open.load(Ordering::Relaxed) > 0 && stop_started.elapsed() < max_time {
             sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
         let open = gateway.open.load(Ordering::Relaxed);
--- a/gateway/tests/soak/callers.rs
+++ b/gateway/tests/soak/callers.rs
@@ -58,7 +58,7 @@
 
 /// One request and its result for the caller.
 #[derive(Clone, Debug)]
-pub(crate) struct CallNote {
+pub(crate) struct CallRecord {
     pub(crate) id: String,
     pub(crate) kind: CallKind,
     pub(crate) at: SocketAddr,
@@ -80,7 +80,7 @@
     Abandoned,
 }
 
-impl CallNote {
+impl CallRecord {
     /// Returns a description for a finding.
     pub(crate) fn describe(&self) -> String {
         let Self { id, kind, at, took, end, .. } = self;
@@ -117,11 +117,11 @@
         let kind = *kinds.choose(&mut random).expect("there are kinds");
         let adapter =
             format!("a{}", random.random_range(0..ADAPTERS).min(random.random_range(0..ADAPTERS)));
-        let note = if random.random_ratio(1, ABANDONED_ONE_IN) {
+        let record = if random.random_ratio(1, ABANDONED_ONE_IN) {
             let abandon_after = Duration::from_millis(random.random_range(5..120));
             let sent = Instant::now();
             let called = call(&client, address, kind, &id, &adapter);
-            let abandoned = CallNote {
+            let abandoned = CallRecord {
                 id: id.clone(),
                 kind,
                 at: address,
@@ -133,10 +133,10 @@
         } else {
             call(&client, address, kind, &id, &adapter).await
         };
-        if matches!(note.end, CallEnd::Unsent) {
+        if matches!(record.end, CallEnd::Unsent) {
             addresses.retain(|other| *other != address);
         }
-        world.verdict.note(note);
+        world.verdict.record(record);
     }
 }
 
@@ -150,12 +150,12 @@
         count += 1;
         let id = format!("g{gateway}-{count}");
         let start = world.gateways[gateway].starts();
-        let note = call(&client, address, CallKind::Moved, &id, "").await;
+        let record = call(&client, address, CallKind::Moved, &id, "").await;
         // If the process restarted meanwhile, it is not known which incarnation answered.
         if world.gateways[gateway].starts() == start {
-            world.verdict.moved(gateway, start, &note, &world);
+            world.verdict.moved(gateway, start, &record, &world);
         }
-        world.verdict.note(note);
+        world.verdict.record(record);
     }
 }
 
@@ -185,7 +185,7 @@
     kind: CallKind,
     id: &str,
     adapter: &str,
-) -> CallNote {
+) -> CallRecord {
     let method = if kind == CallKind::Safe { Method::GET } else { Method::POST };
     let mut request = ExchangeRequest::new(method, format!("/{}/x", kind.route()));
     let mut set = |name: &'static str, value: &str| {
@@ -208,7 +208,7 @@
         Err(ExchangeError::NotSent { .. }) => CallEnd::Unsent,
         Err(_) => CallEnd::Cut,
     };
-    CallNote { id: id.to_owned(), kind, at: address, sent, took: sent.elapsed(), end }
+    CallRecord { id: id.to_owned(), kind, at: address, sent, took: sent.elapsed(), end }
 }
 
 async fn read(mut answer: ExchangeAnswer) -> CallEnd {
--- a/gateway/tests/soak/verdict.rs
+++ b/gateway/tests/soak/verdict.rs
@@ -3,8 +3,8 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use crate::callers::{CallEnd, CallNote};
-use crate::server::{EVENTS, RunNote};
+use crate::callers::{CallEnd, CallRecord};
+use crate::server::{EVENTS, RunRecord};
 use crate::world::SoakWorld;
 
 /// How long a draining server may receive new requests. Operators allow two seconds; the store's answer and the
@@ -16,7 +16,7 @@
 /// The requests of one seed and the findings about them.
 #[derive(Default)]
 pub(crate) struct SoakVerdict {
-    calls: Mutex<Vec<CallNote>>,
+    calls: Mutex<Vec<CallRecord>>,
     findings: Mutex<Vec<String>>,
     /// For each gateway and start of its process, the oldest configuration that is consistent with its answers.
     configurations: Mutex<Vec<((usize, u32), u64)>>,
@@ -24,11 +24,11 @@
 
 impl SoakVerdict {
     /// Records a request and checks its answer.
-    pub(crate) fn note(&self, note: CallNote) {
-        if let Some(finding) = wrong_answer(&note) {
+    pub(crate) fn record(&self, record: CallRecord) {
+        if let Some(finding) = wrong_answer(&record) {
             self.find(finding);
         }
-        self.calls.lock().unwrap().push(note);
+        self.calls.lock().unwrap().push(record);
     }
 
     pub(crate) fn find(&self, finding: String) {
@@ -49,8 +49,9 @@
 
     pub(crate) fn summary(&self) -> String {
         let calls = self.calls.lock().unwrap();
-        let served = calls.iter().filter(|note| note.served()).count();
-        let refused = |note: &&CallNote| matches!(note.end, CallEnd::Answered { status: 503, .. });
+        let served = calls.iter().filter(|record| record.served()).count();
+        let refused =
+            |record: &&CallRecord| matches!(record.end, CallEnd::Answered { status: 503, .. });
         let refused = calls.iter().filter(refused).count();
         let findings = self.findings.lock().unwrap().len();
         format!("{} calls, {served} served, {refused} refused, {findings} findings", calls.len())
@@ -58,8 +59,8 @@
 
     /// Checks the answer to a request on the route that configurations move between two services. While a process
     /// runs, it must not go back to an older configuration. `start` counts the starts of the gateway's process.
-    pub(crate) fn moved(&self, gateway: usize, start: u32, note: &CallNote, world: &SoakWorld) {
-        let CallEnd::Answered { status: 200, seal, .. } = &note.end else { return };
+    pub(crate) fn moved(&self, gateway: usize, start: u32, record: &CallRecord, world: &SoakWorld) {
+        let CallEnd::Answered { status: 200, seal, .. } = &record.end else { return };
         let elsewhere = seal.starts_with("seal-x");
         let newest = world.published();
         let mut known = self.configurations.lock().unwrap();
@@ -70,7 +71,7 @@
                 at
             }
         };
-        let only = world.in_force_at(note.sent);
+        let only = world.in_force_at(record.sent);
         if only.is_some_and(|version| version.is_multiple_of(2) != elsewhere) {
             self.find_once(format!("gateway {gateway} uses an old configuration"));
         }
@@ -81,7 +82,7 @@
         if *oldest > newest {
             self.find(format!(
                 "{}: gateway {gateway} went back to an older configuration",
-                note.id
+                record.id
             ));
         }
     }
@@ -90,19 +91,19 @@
     pub(crate) fn judge(&self, world: &SoakWorld, steady_from: Instant) {
         let calls = self.calls.lock().unwrap().clone();
         let runs = world.runs();
-        for note in &calls {
-            let own: Vec<&(String, RunNote)> =
-                runs.iter().filter(|(_, run)| run.id == note.id).collect();
-            if note.kind.runs_once() && own.len() > 1 {
-                self.find(format!("{}: {:?} ran {} times", note.id, note.kind, own.len()));
+        for record in &calls {
+            let own: Vec<&(String, RunRecord)> =
+                runs.iter().filter(|(_, run)| run.id == record.id).collect();
+            if record.kind.runs_once() && own.len() > 1 {
+                self.find(format!("{}: {:?} ran {} times", record.id, record.kind, own.len()));
             }
-            let CallEnd::Answered { status, seal, .. } = &note.end else { continue };
+            let CallEnd::Answered { status, seal, .. } = &record.end else { continue };
             if matches!(status, 503 | 429 | 408 | 421) && seal.is_empty() && !own.is_empty() {
-                self.find(format!("{}: answered {status} and ran", note.id));
+                self.find(format!("{}: answered {status} and ran", record.id));
             }
         }
         for (server, run) in &runs {
-            if !calls.iter().any(|note| note.id == run.id) {
+            if !calls.iter().any(|record| record.id == run.id) {
                 self.find(format!("{server} ran {} that no caller sent", run.id));
             }
         }
@@ -120,17 +121,17 @@
         }
     }
 
-    /// Checks that enough requests are served once all faults are over.
-    fn judge_recovery(&self, calls: &[CallNote], steady_from: Instant) {
-        let concerned =
-            |note: &&CallNote| note.sent > steady_from && !matches!(note.end, CallEnd::Abandoned);
-        let late: Vec<&CallNote> = calls.iter().filter(concerned).collect();
-        let served = late.iter().filter(|note| note.served()).count();
+    /// Checks that enough of the requests sent after `from`, when all faults are over, are served.
+    fn judge_recovery(&self, calls: &[CallRecord], from: Instant) {
+        let due =
+            |record: &&CallRecord| record.sent > from && !matches!(record.end, CallEnd::Abandoned);
+        let late: Vec<&CallRecord> = calls.iter().filter(due).collect();
+        let served = late.iter().filter(|record| record.served()).count();
         if late.is_empty() || served * 100 < late.len() * RECOVERED_PERCENT {
             let ends: Vec<String> = late
                 .iter()
-                .filter(|note| !note.served())
-                .map(|note| note.describe())
+                .filter(|record| !record.served())
+                .map(|record| record.describe())
                 .take(4)
                 .collect();
             self.find(format!("after all faults {served} of {} were served: {ends:?}", late.len()));
@@ -139,20 +140,20 @@
 
     /// Checks, for seeds with planned work only, that no request that a server ran is lost and that draining servers
     /// receive no new requests.
-    fn judge_planned(&self, calls: &[CallNote], runs: &[(String, RunNote)], world: &SoakWorld) {
-        for note in calls {
-            let cut = match &note.end {
+    fn judge_planned(&self, calls: &[CallRecord], runs: &[(String, RunRecord)], world: &SoakWorld) {
+        for record in calls {
+            let cut = match &record.end {
                 CallEnd::Cut => true,
                 CallEnd::Answered { status, whole, .. } => !whole || matches!(status, 502 | 504),
                 CallEnd::Abandoned | CallEnd::Unsent => false,
             };
-            let ran = runs.iter().any(|(_, run)| run.id == note.id);
+            let ran = runs.iter().any(|(_, run)| run.id == record.id);
             if cut && ran {
-                self.find(format!("cut by planned work: {}", note.describe()));
+                self.find(format!("cut by planned work: {}", record.describe()));
             }
         }
         for (server, draining_since) in world.drained_servers() {
-            let late = |(name, run): &&(String, RunNote)| {
+            let late = |(name, run): &&(String, RunRecord)| {
                 *name == server && run.at.is_some_and(|at| at > draining_since + DRAIN_TIME)
             };
             if let Some((_, run)) = runs.iter().find(late) {
@@ -163,24 +164,24 @@
 }
 
 /// Returns what is wrong with an answer, without regard to other requests.
-fn wrong_answer(note: &CallNote) -> Option<String> {
-    let CallEnd::Answered { status, body, whole, seal } = &note.end else { return None };
+fn wrong_answer(record: &CallRecord) -> Option<String> {
+    let CallEnd::Answered { status, body, whole, seal } = &record.end else { return None };
     if *status != 200 {
         let own = matches!(status, 502..=504) && seal.is_empty() && body.is_empty();
         let servers = *status == 500 && !seal.is_empty();
-        return (!own && !servers).then(|| format!("{}: unexpected {status}", note.id));
+        return (!own && !servers).then(|| format!("{}: unexpected {status}", record.id));
     }
     if seal.is_empty() {
-        return Some(format!("{}: a success without seal", note.id));
+        return Some(format!("{}: a success without seal", record.id));
     }
-    if !note.kind.is_stream() {
-        let right = *body == format!("ran {}", note.id);
-        return (*whole && !right).then(|| format!("{}: got {body:?}", note.id));
+    if !record.kind.is_stream() {
+        let right = *body == format!("ran {}", record.id);
+        return (*whole && !right).then(|| format!("{}: got {body:?}", record.id));
     }
     let mut expected = String::new();
     for number in 1..=EVENTS {
-        expected.push_str(&format!("id: {number}\ndata: {} {number}\n\n", note.id));
+        expected.push_str(&format!("id: {number}\ndata: {} {number}\n\n", record.id));
     }
     let right = if *whole { *body == expected } else { expected.starts_with(body.as_str()) };
-    (!right).then(|| format!("{}: got {body:?}", note.id))
+    (!right).then(|| format!("{}: got {body:?}", record.id))
 }
--- a/gateway/tests/soak/world.rs
+++ b/gateway/tests/soak/world.rs
@@ -16,7 +16,7 @@
 use crate::faults::{FaultMix, SLOTS, inject_faults};
 use crate::fleet::{GatewayChild, GatewayEndpoints};
 use crate::proxy::LinkProxy;
-use crate::server::{RunNote, ServerMode, StandinServer};
+use crate::server::{RunRecord, ServerMode, StandinServer};
 use crate::store::StandinStore;
 use crate::verdict::SoakVerdict;
 
@@ -324,7 +324,7 @@
     }
 
     /// Returns all requests that servers ran, each with the server's name.
-    pub(crate) fn runs(&self) -> Vec<(String, RunNote)> {
+    pub(crate) fn runs(&self) -> Vec<(String, RunRecord)> {
         let all_servers = self.all_servers.lock().unwrap();
         let runs = all_servers.iter().flat_map(|(server, _)| {
             server.runs().into_iter().map(|run| (server.name.clone(), run))
--- a/gateway/tests/suite/server.rs
+++ b/gateway/tests/suite/server.rs
@@ -43,7 +43,7 @@
     adapters: Vec<String>,
     orders: Vec<Value>,
     /// Requests that ran, in order.
-    runs: Vec<RunNote>,
+    runs: Vec<RunRecord>,
     /// Streams whose connection was closed before their end.
     disconnects: usize,
     /// Its start time in milliseconds; a restart under its name has a later one.
@@ -56,7 +56,7 @@
 
 /// A request as the server received it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct RunNote {
+pub(crate) struct RunRecord {
     pub(crate) id: String,
     pub(crate) head: String,
     pub(crate) body: String,
@@ -64,7 +64,7 @@
     pub(crate) at: Option<Instant>,
 }
 
-impl RunNote {
+impl RunRecord {
     /// Returns a header of the request, trimmed.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let found = |line: &&str| {
@@ -172,7 +172,7 @@
         self.state.lock().unwrap().mode = mode;
     }
 
-    pub(crate) fn runs(&self) -> Vec<RunNote> {
+    pub(crate) fn runs(&self) -> Vec<RunRecord> {
         self.state.lock().unwrap().runs.clone()
     }
 
@@ -195,35 +195,35 @@
 
     /// Answers one request. Returns false if the connection must be closed.
     async fn answer(&self, stream: &mut TcpStream, head: String, body: String) -> bool {
-        let note = RunNote { head, body, at: Some(Instant::now()), ..RunNote::default() };
-        let note = RunNote {
-            id: note.header("coltsfoothook-request-id").unwrap_or_default().to_owned(),
-            ..note
+        let record = RunRecord { head, body, at: Some(Instant::now()), ..RunRecord::default() };
+        let record = RunRecord {
+            id: record.header("coltsfoothook-request-id").unwrap_or_default().to_owned(),
+            ..record
         };
-        if note.header("coltsfoothook-expect-instance") != Some(&self.name) {
+        if record.header("coltsfoothook-expect-instance") != Some(&self.name) {
             return send(stream, 421, "", "").await;
         }
-        if note.head.starts_with("GET /v1/report") {
+        if record.head.starts_with("GET /v1/report") {
             let report = self.report().to_string();
             return send(stream, 200, "", &report).await;
         }
-        if note.head.starts_with("POST /v1/order") {
-            let status = self.order(serde_json::from_str(&note.body).unwrap());
+        if record.head.starts_with("POST /v1/order") {
+            let status = self.order(serde_json::from_str(&record.body).unwrap());
             return send(stream, status, "", "").await;
         }
-        let echo = format!("coltsfoothook-request-id: {}\r\n", note.id);
+        let echo = format!("coltsfoothook-request-id: {}\r\n", record.id);
         let mode = self.state.lock().unwrap().mode;
         if mode == ServerMode::Full {
             let head = format!("{echo}coltsfoothook-not-run: 1\r\n");
             return send(stream, 503, &head, "").await;
         }
         if let Some((_, adapter)) =
-            note.header("coltsfoothook-model").and_then(|m| m.split_once('/'))
+            record.header("coltsfoothook-model").and_then(|m| m.split_once('/'))
             && !self.state.lock().unwrap().adapters.iter().any(|held| held == adapter)
         {
             return send(stream, 421, &echo, "").await;
         }
-        self.state.lock().unwrap().runs.push(note.clone());
+        self.state.lock().unwrap().runs.push(record.clone());
         let sealed = format!("{echo}coltsfoothook-server-seal: seal-{}\r\n", self.name);
         match mode {
             ServerMode::LosesAnswer => return false,
@@ -235,16 +235,16 @@
             }
             _ => {}
         }
-        if note.header("coltsfoothook-model").is_none() {
-            return send(stream, 200, &sealed, &format!("ran {}", note.id)).await;
+        if record.header("coltsfoothook-model").is_none() {
+            return send(stream, 200, &sealed, &format!("ran {}", record.id)).await;
         }
-        self.stream(stream, &note, &sealed, mode).await
+        self.stream(stream, &record, &sealed, mode).await
     }
 
     async fn stream(
         &self,
         stream: &mut TcpStream,
-        note: &RunNote,
+        record: &RunRecord,
         sealed: &str,
         mode: ServerMode,
     ) -> bool {
@@ -252,12 +252,12 @@
             "HTTP/1.1 200 OK\r\n{sealed}content-type: text/event-stream\r\n\
              transfer-encoding: chunked\r\n\r\n"
         );
-        let last = note.header("last-event-id").map_or(0, |id| id.parse::<usize>().unwrap());
+        let last = record.header("last-event-id").map_or(0, |id| id.parse::<usize>().unwrap());
         if stream.write_all(head.as_bytes()).await.is_err() {
             return false;
         }
         for number in last + 1..=EVENTS {
-            let event = format!("id: {number}\ndata: {} {number}\n\n", note.id);
+            let event = format!("id: {number}\ndata: {} {number}\n\n", record.id);
             let cut = mode == ServerMode::CutsStream && number == 2;
             let event = if cut { &event[..event.len() / 2] } else { &event };
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
@@ -332,13 +332,13 @@
     loop {
         if let Some(end) = buffer.windows(4).position(|four| four == b"\r\n\r\n") {
             let head = String::from_utf8(buffer[..end].to_vec()).ok()?;
-            let note = RunNote { head, ..RunNote::default() };
+            let record = RunRecord { head, ..RunRecord::default() };
             let length: usize =
-                note.header("content-length").map_or(0, |text| text.parse().unwrap());
+                record.header("content-length").map_or(0, |text| text.parse().unwrap());
             if buffer.len() >= end + 4 + length {
                 let body = String::from_utf8_lossy(&buffer[end + 4..end + 4 + length]).into_owned();
                 buffer.drain(..end + 4 + length);
-                return Some((note.head, body));
+                return Some((record.head, body));
             }
         }
         let mut piece = [0; 4_096];
