--- a/keys/src/config.rs
+++ b/keys/src/config.rs
@@ -1,4 +1,4 @@
-//! TLS configurations whose keys can be replaced while they are in use.
+//! TLS configurations whose keys and certificate authorities (CAs) can be replaced while in use.
 
 use std::path::Path;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -17,29 +17,33 @@
 use crate::files::{KeyFiles, LoadedKeys, provider, read_roots};
 use crate::verify::{CurrentVerifiers, PeerVerifier};
 
-/// The protocol that the HTTP faces speak over TLS.
+/// ALPN name of the protocol that the HTTP listeners serve over TLS.
 const HTTP_PROTOCOL: &[u8] = b"http/1.1";
 
-/// A VM's key and the authorities it trusts, as they are now.
+/// A VM's certificate and key, and the CAs it trusts, reloadable from their files.
+///
+/// Every configuration made from it uses the values of the last successful load at each handshake.
 pub struct TlsKeys {
     files: KeyFiles,
+    /// [`LoadedKeys::digest`] of the keys in use.
     digest: RwLock<[u8; 32]>,
     identity: Arc<CurrentIdentity>,
+    /// `None` if the settings name no CA file; mutual TLS is then unavailable.
     verifier: Option<Arc<PeerVerifier>>,
 }
 
-/// The certificate and key that handshakes use from now on.
+/// The certificate and key that new handshakes use.
 #[derive(Debug)]
 struct CurrentIdentity {
     certified: RwLock<Arc<CertifiedKey>>,
 }
 
 impl TlsKeys {
-    /// Reads the files.
+    /// Loads the keys from `files`, which [`TlsKeys::reload`] reads again.
     ///
     /// # Errors
     ///
-    /// A file is missing or broken, or the key is not the certificate's.
+    /// A file cannot be read or parsed, or the private key does not match the certificate.
     pub fn load(files: KeyFiles) -> Result<Arc<Self>, KeyError> {
         let loaded = LoadedKeys::read(&files)?;
         let verifier = match &loaded.roots {
@@ -51,11 +55,12 @@
         Ok(Arc::new(Self { files, digest, identity: Arc::new(identity), verifier }))
     }
 
-    /// TLS towards callers and operators, who prove themselves by their credentials.
+    /// Returns the configuration for serving callers and operators. It requests no client
+    /// certificate; clients authenticate with credentials in their requests.
     ///
     /// # Errors
     ///
-    /// The TLS library refuses the configuration.
+    /// The TLS library rejects the configuration.
     pub fn server(&self) -> Result<ServerConfig, KeyError> {
         let builder = ServerConfig::builder_with_provider(provider())
             .with_safe_default_protocol_versions()
@@ -65,11 +70,12 @@
         Ok(config)
     }
 
-    /// The answering side between VMs: only certificates of our authorities get through.
+    /// Returns the server side of connections between VMs. It accepts only clients whose
+    /// certificate was issued by a configured CA.
     ///
     /// # Errors
     ///
-    /// The files name no authorities, or the TLS library refuses the configuration.
+    /// No CA file is configured, or the TLS library rejects the configuration.
     pub fn mutual_server(&self) -> Result<Arc<ServerConfig>, KeyError> {
         let verifier = self.verifier.clone().context(NoAuthoritySnafu)?;
         let builder = ServerConfig::builder_with_provider(provider())
@@ -77,14 +83,14 @@
             .context(ConfigureSnafu)?;
         let mut config =
             builder.with_client_cert_verifier(verifier).with_cert_resolver(self.identity.clone());
-        // A resumed session skips the check of the certificate, so a VM whose authority was taken
-        // out of the files could go on joining.
+        // A resumed session skips certificate verification, so a VM whose CA was removed from the
+        // files could still connect.
         config.session_storage = Arc::new(NoServerSessionStorage {});
         config.send_tls13_tickets = 0;
         Ok(Arc::new(config))
     }
 
-    /// The calling side between VMs.
+    /// Returns the client side of connections between VMs, also without session resumption.
     ///
     /// # Errors
     ///
@@ -102,12 +108,13 @@
         Ok(Arc::new(config))
     }
 
-    /// Reads the files again and tells whether they changed. New handshakes use what was read.
+    /// Reads the files again and returns whether they changed. If so, new handshakes use the new
+    /// keys; established connections are not affected.
     ///
     /// # Errors
     ///
-    /// As for [`TlsKeys::load`]; the keys in use then stay. That is also what happens between the
-    /// replacement of a certificate and that of its key, and the next reading mends it.
+    /// As for [`TlsKeys::load`]; the keys in use are then kept. This also happens if the files are
+    /// read after a certificate was replaced but before its key was; a later reload succeeds.
     pub fn reload(&self) -> Result<bool, KeyError> {
         let loaded = LoadedKeys::read(&self.files)?;
         if loaded.digest == *self.digest.read().unwrap_or_else(PoisonError::into_inner) {
@@ -122,15 +129,15 @@
         Ok(true)
     }
 
-    /// Reads the files again at every period, for as long as the future is polled.
+    /// Calls [`TlsKeys::reload`] once per `period` and logs replacements and errors. Never returns.
     pub async fn watch(self: Arc<Self>, period: Duration) {
         let mut ticks = tokio::time::interval(period);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             let keys = self.clone();
-            let read = tokio::task::spawn_blocking(move || keys.reload()).await;
-            match read {
+            let outcome = tokio::task::spawn_blocking(move || keys.reload()).await;
+            match outcome {
                 Ok(Ok(false)) => {}
                 Ok(Ok(true)) => {
                     event!(KeysReplaced, file = self.files.chain.display());
@@ -144,11 +151,12 @@
     }
 }
 
-/// The configuration of a client, such as the operators' program, that trusts the given authorities.
+/// Returns a client configuration without a client certificate that trusts the CAs in the given PEM
+/// file. For clients of the HTTP listeners, such as the operators' program.
 ///
 /// # Errors
 ///
-/// The file is missing or broken.
+/// The file cannot be read or parsed, or the TLS library rejects the configuration.
 pub fn trusting_client(authority: &Path) -> Result<ClientConfig, KeyError> {
     let roots = read_roots(authority)?;
     let builder = ClientConfig::builder_with_provider(provider())
@@ -159,14 +167,15 @@
     Ok(config)
 }
 
+/// Builds the verifiers for both sides from the CAs in `roots`.
 fn verifiers(files: &KeyFiles, roots: &Arc<RootCertStore>) -> Result<CurrentVerifiers, KeyError> {
     let path = files.authority.as_deref().context(NoAuthoritySnafu)?;
-    let refused = |reason: String| AuthoritySnafu { path, reason }.build();
+    let rejected = |reason: String| AuthoritySnafu { path, reason }.build();
     let client = WebPkiClientVerifier::builder_with_provider(roots.clone(), provider());
     let server = WebPkiServerVerifier::builder_with_provider(roots.clone(), provider());
     Ok(CurrentVerifiers {
-        client: client.build().map_err(|error| refused(error.to_string()))?,
-        server: server.build().map_err(|error| refused(error.to_string()))?,
+        client: client.build().map_err(|error| rejected(error.to_string()))?,
+        server: server.build().map_err(|error| rejected(error.to_string()))?,
     })
 }
 
--- a/keys/src/error.rs
+++ b/keys/src/error.rs
@@ -1,60 +1,60 @@
-//! Faults of key files and credentials. None of them repeats a secret.
+//! Errors of loading TLS keys. No message contains file contents, so none can leak a secret.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Keys or credentials cannot be used.
+/// TLS keys cannot be loaded, or no TLS configuration can be made from them.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum KeyError {
-    /// A file cannot be read.
+    /// A file cannot be opened or read.
     #[snafu(display("cannot read {}: {source}", path.display()))]
     Read {
-        /// The file.
+        /// The file that cannot be read.
         path: PathBuf,
-        /// The cause.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// A file is larger than any key or secret.
-    #[snafu(display("{} has more than {most} bytes", path.display()))]
+    /// A file exceeds the size limit for key files.
+    #[snafu(display("{} has more than {limit} bytes", path.display()))]
     TooLarge {
-        /// The file.
+        /// The oversized file.
         path: PathBuf,
-        /// The bound.
-        most: u64,
+        /// The limit in bytes.
+        limit: u64,
     },
-    /// A file holds no certificate or key in PEM form.
-    #[snafu(display("{} holds no {what} in PEM form", path.display()))]
+    /// A file contains no valid PEM block of the expected type.
+    #[snafu(display("{} contains no {what} in PEM format", path.display()))]
     NoPem {
-        /// The file.
+        /// The file without the expected block.
         path: PathBuf,
-        /// What was looked for.
+        /// The expected content: `"certificate"` or `"private key"`.
         what: &'static str,
     },
-    /// A certificate or key cannot be used.
-    #[snafu(display("{} cannot be used: {source}", path.display()))]
+    /// The TLS library rejects the certificate chain or the private key, or the two do not match.
+    #[snafu(display("certificate chain {} cannot be used: {source}", path.display()))]
     Unusable {
-        /// The file.
+        /// The certificate chain's file, also if the fault is in the key.
         path: PathBuf,
-        /// The cause.
+        /// The TLS library's error.
         source: rustls::Error,
     },
-    /// The authorities cannot be used.
-    #[snafu(display("the authorities in {} cannot be used: {reason}", path.display()))]
+    /// The TLS library rejects the CA certificates.
+    #[snafu(display("the CA certificates in {} cannot be used: {reason}", path.display()))]
     Authority {
-        /// The file.
+        /// The CA file.
         path: PathBuf,
-        /// The cause.
+        /// The library's message.
         reason: String,
     },
-    /// Mutual TLS was asked for without authorities.
-    #[snafu(display("mutual TLS needs a file of authorities in the settings"))]
+    /// A mutual TLS configuration was requested, but [`crate::KeyFiles::authority`] is `None`.
+    #[snafu(display("mutual TLS needs a CA certificate file in the settings"))]
     NoAuthority,
-    /// The TLS library refused the configuration.
-    #[snafu(display("TLS cannot be configured: {source}"))]
+    /// The TLS library rejects the protocol versions or cipher suites.
+    #[snafu(display("cannot configure TLS: {source}"))]
     Configure {
-        /// The cause.
+        /// The TLS library's error.
         source: rustls::Error,
     },
 }
--- a/keys/src/files.rs
+++ b/keys/src/files.rs
@@ -1,4 +1,4 @@
-//! Reading key files.
+//! Reading and parsing of certificate, key and CA files.
 
 use std::fs::File;
 use std::io::Read;
@@ -16,38 +16,41 @@
 
 use crate::error::{AuthoritySnafu, KeyError, NoPemSnafu, ReadSnafu, TooLargeSnafu, UnusableSnafu};
 
-/// The largest file that is read.
-const FILE_BYTES: u64 = 1024 * 1024;
+/// Size limit of a key file; a mistaken path to a large file must not exhaust memory.
+const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// The files of a VM's key.
+/// Paths of a VM's certificate, private key and trusted CAs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyFiles {
-    /// The certificate and those between it and the authority, in PEM form.
+    /// The VM's certificate followed by intermediate CA certificates, in PEM format.
     pub chain: PathBuf,
-    /// The private key, in PEM form.
+    /// The certificate's private key, in PEM format.
     pub key: PathBuf,
-    /// The authorities whose certificates other VMs must have, in PEM form; needed between VMs.
+    /// Certificates of the CAs that must have issued other VMs' certificates, in PEM format.
+    /// Required for mutual TLS between VMs; `None` where only the HTTP listeners use the keys.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub authority: Option<PathBuf>,
 }
 
-/// The contents of the files.
+/// Parsed contents of the files.
 pub(crate) struct LoadedKeys {
     pub(crate) certified: Arc<CertifiedKey>,
+    /// The trusted CAs; `None` if [`KeyFiles::authority`] is.
     pub(crate) roots: Option<Arc<RootCertStore>>,
-    /// A hash of the files' bytes, which tells whether they changed. Times of files do not: a link
-    /// may be moved to files that were written long ago.
+    /// SHA-256 of the files' bytes, to detect changes. Modification times are not reliable: a
+    /// symbolic link may be moved to files with older times.
     pub(crate) digest: [u8; 32],
 }
 
-/// The cryptography that all of the project's TLS uses, so that no process-wide choice is needed.
+/// Returns the cryptography provider for all of the project's TLS configurations, so that none
+/// depends on the process-wide default.
 pub(crate) fn provider() -> Arc<CryptoProvider> {
     Arc::new(aws_lc_rs::default_provider())
 }
 
 impl LoadedKeys {
-    /// Reads all files, and checks that the key is the certificate's.
+    /// Reads and parses all files, and checks that the private key matches the certificate.
     pub(crate) fn read(files: &KeyFiles) -> Result<Self, KeyError> {
         let chain = read_bounded(&files.chain)?;
         let key = read_bounded(&files.key)?;
@@ -61,12 +64,17 @@
             (Some(path), Some(pem)) => Some(Arc::new(parse_roots(path, pem)?)),
             _ => None,
         };
-        let certified = Arc::new(certify(files, &chain, &key)?);
+        let certified = Arc::new(parse_certified_key(files, &chain, &key)?);
         Ok(Self { certified, roots, digest: hasher.finalize().into() })
     }
 }
 
-fn certify(files: &KeyFiles, chain: &[u8], key: &[u8]) -> Result<CertifiedKey, KeyError> {
+/// Parses the certificate chain and the private key, and checks that they match.
+fn parse_certified_key(
+    files: &KeyFiles,
+    chain: &[u8],
+    key: &[u8],
+) -> Result<CertifiedKey, KeyError> {
     let certificates = parse_certificates(&files.chain, chain)?;
     let what = "private key";
     let key = PrivateKeyDer::from_pem_slice(key).ok();
@@ -77,7 +85,7 @@
 
 fn parse_certificates(path: &Path, pem: &[u8]) -> Result<Vec<CertificateDer<'static>>, KeyError> {
     let parsed: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
-    let certificates = parsed.ok().filter(|found| !found.is_empty());
+    let certificates = parsed.ok().filter(|parsed| !parsed.is_empty());
     certificates.context(NoPemSnafu { path, what: "certificate" })
 }
 
@@ -90,16 +98,16 @@
     Ok(roots)
 }
 
-/// Reads a file of authorities.
+/// Reads the CA certificates in a PEM file.
 pub(crate) fn read_roots(path: &Path) -> Result<RootCertStore, KeyError> {
     parse_roots(path, &read_bounded(path)?)
 }
 
-/// Reads a file within the bound.
+/// Reads a file of at most [`MAX_FILE_BYTES`].
 fn read_bounded(path: &Path) -> Result<Vec<u8>, KeyError> {
     let file = File::open(path).context(ReadSnafu { path })?;
     let mut bytes = Vec::new();
-    file.take(FILE_BYTES + 1).read_to_end(&mut bytes).context(ReadSnafu { path })?;
-    ensure!(bytes.len() as u64 <= FILE_BYTES, TooLargeSnafu { path, most: FILE_BYTES });
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).context(ReadSnafu { path })?;
+    ensure!(bytes.len() as u64 <= MAX_FILE_BYTES, TooLargeSnafu { path, limit: MAX_FILE_BYTES });
     Ok(bytes)
 }
--- a/keys/src/lib.rs
+++ b/keys/src/lib.rs
@@ -1,8 +1,8 @@
-//! TLS keys.
+//! TLS keys that can be replaced without a restart.
 //!
-//! Keys are read from files that the settings name and are replaced without a restart: every
-//! configuration that [`TlsKeys`] gives out looks its certificate and authorities up at each
-//! handshake. docs/KEYS.md tells how to make, install and replace them.
+//! Certificates, private keys and trusted certificate authorities (CAs) are read from files named in
+//! the settings. Every configuration made by [`TlsKeys`] uses the current certificate and CAs at
+//! each handshake. docs/KEYS.md describes how to create, install and replace the files.
 //!
 //! ```no_run
 //! # use std::time::Duration;
@@ -14,10 +14,10 @@
 //!     authority: Some("/run/keys/ca.crt".into()),
 //! };
 //! let keys = TlsKeys::load(files)?;
-//! let towards_callers = keys.server()?;
+//! let for_callers = keys.server()?;
 //! let between_vms = (keys.mutual_server()?, keys.mutual_client()?);
 //! tokio::spawn(keys.watch(Duration::from_secs(5)));
-//! # drop((towards_callers, between_vms));
+//! # drop((for_callers, between_vms));
 //! # Ok(())
 //! # }
 //! ```
--- a/keys/src/testing.rs
+++ b/keys/src/testing.rs
@@ -1,4 +1,4 @@
-//! Certificates for tests, the demonstration and the load tool; never for a deployment.
+//! Certificates for tests, the demonstration and the load tool. Not for use in deployments.
 
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr};
@@ -11,37 +11,38 @@
 
 use crate::files::KeyFiles;
 
-/// An authority that lives in memory.
+/// A certificate authority (CA) whose key is kept in memory only.
 pub struct TestAuthority {
     issuer: CertifiedIssuer<'static, KeyPair>,
 }
 
 impl TestAuthority {
-    /// Makes an authority with a fresh key.
+    /// Creates a CA with a new key and a self-signed certificate.
     ///
     /// # Panics
     ///
-    /// The cryptography library fails, which no test goes on from.
+    /// The cryptography library fails.
     #[must_use]
     pub fn new() -> Self {
-        let mut params = CertificateParams::new(Vec::new()).expect("no names to be wrong");
+        let mut params = CertificateParams::new(Vec::new()).expect("parameters without names");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
         let key = KeyPair::generate().expect("a key");
         Self { issuer: CertifiedIssuer::self_signed(params, key).expect("a certificate") }
     }
 
-    /// The authority's certificate in PEM form.
+    /// Returns the CA's certificate in PEM format.
     #[must_use]
     pub fn pem(&self) -> String {
         self.issuer.pem()
     }
 
-    /// Writes the files of a VM of the given name into a directory; 127.0.0.1 is in the certificate.
+    /// Issues a certificate for the VM `name` and for 127.0.0.1, and writes it, its key and the CA's
+    /// certificate to `directory`, replacing earlier files for that name.
     ///
     /// # Panics
     ///
-    /// The name cannot stand in a certificate, or the directory cannot be written.
+    /// `name` is not a valid DNS name, or a file cannot be written.
     #[must_use]
     pub fn write(&self, directory: &Path, name: &str) -> KeyFiles {
         let mut params = CertificateParams::new(vec![name.to_owned()]).expect("a DNS name");
@@ -51,9 +52,9 @@
         let key = KeyPair::generate().expect("a key");
         let certificate = params.signed_by(&key, &self.issuer).expect("a certificate");
         KeyFiles {
-            chain: put(directory, &format!("{name}.crt"), &certificate.pem()),
-            key: put(directory, &format!("{name}.key"), &key.serialize_pem()),
-            authority: Some(put(directory, &format!("{name}.ca.crt"), &self.pem())),
+            chain: write_file(directory, &format!("{name}.crt"), &certificate.pem()),
+            key: write_file(directory, &format!("{name}.key"), &key.serialize_pem()),
+            authority: Some(write_file(directory, &format!("{name}.ca.crt"), &self.pem())),
         }
     }
 }
@@ -64,25 +65,26 @@
     }
 }
 
-/// Writes a file whole before it gets its name, as a deployment should.
-fn put(directory: &Path, name: &str, text: &str) -> PathBuf {
+/// Writes a file under a temporary name and renames it, so that readers never see part of it.
+fn write_file(directory: &Path, name: &str, text: &str) -> PathBuf {
     let path = directory.join(name);
-    let fresh = directory.join(format!("{name}.new"));
-    let mut file = std::fs::File::create(&fresh).expect("a file");
+    let temporary = directory.join(format!("{name}.new"));
+    let mut file = std::fs::File::create(&temporary).expect("a file");
     file.write_all(text.as_bytes()).expect("a written file");
-    std::fs::rename(&fresh, &path).expect("a renamed file");
+    std::fs::rename(&temporary, &path).expect("a renamed file");
     path
 }
 
-/// A directory that is removed at the end of a test.
+/// A temporary directory that is removed on drop.
 pub struct TestDirectory(PathBuf);
 
 impl TestDirectory {
-    /// Makes an empty directory of its own for the named test.
+    /// Creates the directory. Its name contains `test` and the process id, so `test` must be unique
+    /// within the process.
     ///
     /// # Panics
     ///
-    /// The directory cannot be made.
+    /// The directory cannot be created.
     #[must_use]
     pub fn new(test: &str) -> Self {
         let name = format!("coltsfoothook-{test}-{}", std::process::id());
@@ -91,7 +93,7 @@
         Self(path)
     }
 
-    /// Where it is.
+    /// Returns the directory's absolute path.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.0
--- a/keys/src/verify.rs
+++ b/keys/src/verify.rs
@@ -1,4 +1,4 @@
-//! Checking other VMs' certificates against authorities that can be replaced.
+//! Verification of other VMs' certificates against a replaceable set of CAs.
 
 use std::sync::{Arc, PoisonError, RwLock};
 
@@ -8,15 +8,17 @@
 use rustls::{DigitallySignedStruct, DistinguishedName, Error, SignatureScheme};
 use rustls_pki_types::{CertificateDer, ServerName, UnixTime};
 
-/// The TLS library's own verifiers for the authorities in force.
+/// The TLS library's verifiers for the current CAs.
 #[derive(Clone, Debug)]
 pub(crate) struct CurrentVerifiers {
+    /// Verifies client certificates.
     pub(crate) client: Arc<dyn ClientCertVerifier>,
+    /// Verifies server certificates.
     pub(crate) server: Arc<WebPkiServerVerifier>,
 }
 
-/// Passes every check on to the verifiers in force. It decides nothing itself: the library asks for
-/// one verifier for the life of a configuration, and authorities must be replaceable within it.
+/// Delegates every check to the current verifiers. A TLS configuration holds one verifier for its
+/// whole lifetime; this indirection lets the CAs change within it.
 #[derive(Debug)]
 pub(crate) struct PeerVerifier {
     current: RwLock<CurrentVerifiers>,
@@ -37,7 +39,8 @@
 }
 
 impl ClientCertVerifier for PeerVerifier {
-    /// No hints: they would have to outlive a replacement, and VMs have one certificate anyway.
+    /// Returns no hints: a borrowed list could not be replaced, and each VM has a single certificate
+    /// to present.
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
--- a/keys/tests/suite/key_files.rs
+++ b/keys/tests/suite/key_files.rs
@@ -1,9 +1,10 @@
-//! Broken key files give an error that names the file, and no panic.
+//! Invalid key files are reported as errors, without a panic.
 
 use coltsfoothook_keys::testing::{TestAuthority, TestDirectory};
 use coltsfoothook_keys::{KeyError, KeyFiles, TlsKeys, trusting_client};
 
-fn fault(files: &KeyFiles) -> String {
+/// Returns the message of the error that loading gives, or "none".
+fn load_error(files: &KeyFiles) -> String {
     match TlsKeys::load(files.clone()) {
         Ok(_) => "none".to_owned(),
         Err(error) => error.to_string(),
@@ -16,26 +17,29 @@
     let authority = TestAuthority::new();
     let good = authority.write(directory.path(), "nbo-1");
     let other = authority.write(directory.path(), "nbo-2");
-    assert_eq!(fault(&good), "none");
-    let garbage = directory.path().join("garbage");
-    std::fs::write(&garbage, "-----BEGIN CERTIFICATE-----\n!!\n-----END CERTIFICATE-----\n")
+    assert_eq!(load_error(&good), "none");
+    let invalid_pem = directory.path().join("invalid_pem");
+    std::fs::write(&invalid_pem, "-----BEGIN CERTIFICATE-----\n!!\n-----END CERTIFICATE-----\n")
         .expect("a written file");
     let missing = directory.path().join("missing");
     let huge = directory.path().join("huge");
     std::fs::write(&huge, vec![b'x'; 2 * 1024 * 1024]).expect("a written file");
     let cases = [
-        (KeyFiles { chain: garbage.clone(), ..good.clone() }, "holds no certificate"),
-        (KeyFiles { key: garbage.clone(), ..good.clone() }, "holds no private key"),
+        (KeyFiles { chain: invalid_pem.clone(), ..good.clone() }, "contains no certificate"),
+        (KeyFiles { key: invalid_pem.clone(), ..good.clone() }, "contains no private key"),
         (KeyFiles { chain: missing, ..good.clone() }, "cannot read"),
         (KeyFiles { key: huge, ..good.clone() }, "more than"),
         (KeyFiles { key: other.key, ..good.clone() }, "cannot be used"),
-        (KeyFiles { authority: Some(garbage.clone()), ..good.clone() }, "holds no certificate"),
+        (
+            KeyFiles { authority: Some(invalid_pem.clone()), ..good.clone() },
+            "contains no certificate",
+        ),
     ];
-    for (files, want) in cases {
-        let fault = fault(&files);
-        assert!(fault.contains(want), "{fault}");
+    for (files, expected) in cases {
+        let message = load_error(&files);
+        assert!(message.contains(expected), "{message}");
     }
-    assert!(trusting_client(&garbage).is_err());
+    assert!(trusting_client(&invalid_pem).is_err());
 }
 
 #[test]
--- a/keys/tests/suite/main.rs
+++ b/keys/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of keys.
+//! Tests of loading, replacing and verifying TLS keys.
 
 mod key_files;
 mod replaced_keys;
--- a/keys/tests/suite/replaced_keys.rs
+++ b/keys/tests/suite/replaced_keys.rs
@@ -1,4 +1,4 @@
-//! Keys are replaced while configurations made from them are in use.
+//! Keys and CAs are replaced while TLS configurations made from them are in use.
 
 use std::sync::Arc;
 
@@ -10,8 +10,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, duplex};
 use tokio_rustls::{TlsAcceptor, TlsConnector};
 
-/// Shakes hands in memory and gives the certificate that the client saw.
-async fn shake(
+/// Performs a TLS handshake over an in-memory stream and returns the server's certificate as the
+/// client received it, or `None` if either side rejects the other.
+async fn handshake(
     server: &Arc<ServerConfig>,
     client: &Arc<ClientConfig>,
     name: &str,
@@ -31,9 +32,9 @@
     stream.get_ref().1.peer_certificates()?.first().cloned()
 }
 
-/// The certificate of a VM is renewed. New handshakes show the new one with the configuration that
-/// was made before; a half-done replacement keeps the old one in use. Each look is by a new client,
-/// since a client that resumes a session is not shown a certificate.
+/// An existing configuration presents a renewed certificate in new handshakes, and keeps the old one
+/// while the new certificate's key is not yet written. Each handshake uses a new client, because a
+/// resumed session does not present a certificate.
 #[tokio::test]
 async fn renewed_certificate() {
     let directory = TestDirectory::new("renewed_certificate");
@@ -43,7 +44,7 @@
     let server = Arc::new(keys.server().expect("a configuration"));
     let trusted = files.authority.clone().expect("a file");
     let client = || Arc::new(trusting_client(&trusted).expect("a configuration"));
-    let before = shake(&server, &client(), "127.0.0.1").await.expect("a handshake");
+    let before = handshake(&server, &client(), "127.0.0.1").await.expect("a handshake");
     assert!(!keys.reload().expect("read"), "nothing has changed");
 
     let old_key = std::fs::read(&files.key).expect("a key");
@@ -51,17 +52,17 @@
     let new_key = std::fs::read(&files.key).expect("a key");
     std::fs::write(&files.key, old_key).expect("written");
     assert!(keys.reload().is_err(), "the new certificate with the old key");
-    assert_eq!(shake(&server, &client(), "nbo-1").await.as_ref(), Some(&before));
+    assert_eq!(handshake(&server, &client(), "nbo-1").await.as_ref(), Some(&before));
 
     std::fs::write(&files.key, new_key).expect("written");
     assert!(keys.reload().expect("read"));
-    let after = shake(&server, &client(), "nbo-1").await.expect("a handshake");
+    let after = handshake(&server, &client(), "nbo-1").await.expect("a handshake");
     assert_ne!(before, after);
 }
 
-/// The authority is replaced in two steps: first all VMs trust both, then the old one is taken out.
-/// VMs talk throughout, and afterwards a key of the old authority no longer joins, not even by
-/// resuming an earlier session.
+/// The CA is replaced in two steps: all VMs trust both CAs, then the old one is removed. VMs can
+/// connect after each complete step; a certificate of the old CA is rejected after the second, even
+/// by a client that connected before.
 #[tokio::test]
 async fn replaced_authority() {
     let directory = TestDirectory::new("replaced_authority");
@@ -72,25 +73,31 @@
     let (first, second) = (load(&one), load(&two));
     let server = first.mutual_server().expect("a configuration");
     let client = second.mutual_client().expect("a configuration");
-    assert!(shake(&server, &client, "nbo-1").await.is_some());
-    assert!(shake(&server, &client, "nbo-2").await.is_none(), "another VM answered");
+    assert!(handshake(&server, &client, "nbo-1").await.is_some());
+    assert!(
+        handshake(&server, &client, "nbo-2").await.is_none(),
+        "the certificate of another VM was accepted"
+    );
 
     let both = format!("{}{}", old.pem(), new.pem());
     for files in [&one, &two] {
         std::fs::write(files.authority.as_ref().expect("a file"), &both).expect("written");
     }
     assert!(first.reload().expect("read") && second.reload().expect("read"));
-    assert!(shake(&server, &client, "nbo-1").await.is_some());
+    assert!(handshake(&server, &client, "nbo-1").await.is_some());
 
     let _ = new.write(directory.path(), "nbo-1");
     assert!(first.reload().expect("read"));
-    assert!(shake(&server, &client, "nbo-1").await.is_none(), "the old key joins no more");
+    assert!(
+        handshake(&server, &client, "nbo-1").await.is_none(),
+        "the certificate of the old CA is rejected"
+    );
     let _ = new.write(directory.path(), "nbo-2");
     assert!(second.reload().expect("read"));
-    assert!(shake(&server, &client, "nbo-1").await.is_some());
+    assert!(handshake(&server, &client, "nbo-1").await.is_some());
 }
 
-/// Parses the files of a VM for a configuration that is not ours.
+/// Parses a VM's files, to build a TLS configuration without this package.
 fn parse(
     files: &KeyFiles,
 ) -> (RootCertStore, Vec<CertificateDer<'static>>, PrivateKeyDer<'static>) {
@@ -102,11 +109,11 @@
     (roots, chain, PrivateKeyDer::from_pem_file(&files.key).expect("a key"))
 }
 
-/// A VM with a stolen key connects with a program of its own, which keeps its TLS session. After the
-/// authority was replaced it resumes the session, which would skip the check of its certificate.
+/// A client with a stolen key stores its TLS session and tries to resume it after the CA was
+/// replaced. Resumption would skip verification of its certificate.
 #[tokio::test]
-async fn thief_resumes_as_client() {
-    let directory = TestDirectory::new("thief_resumes_as_client");
+async fn stolen_key_resumes_as_client() {
+    let directory = TestDirectory::new("stolen_key_resumes_as_client");
     let (old, new) = (TestAuthority::new(), TestAuthority::new());
     let keys = TlsKeys::load(old.write(directory.path(), "nbo-1")).expect("keys");
     let server = keys.mutual_server().expect("a configuration");
@@ -116,18 +123,19 @@
     let provider = Arc::new(rustls::crypto::aws_lc_rs::default_provider());
     let builder = ClientConfig::builder_with_provider(provider);
     let builder = builder.with_safe_default_protocol_versions().expect("versions");
-    let thief = builder.with_root_certificates(roots).with_client_auth_cert(chain, key);
-    let thief = Arc::new(thief.expect("a configuration"));
-    assert!(shake(&server, &thief, "nbo-1").await.is_some());
+    let attacker = builder.with_root_certificates(roots).with_client_auth_cert(chain, key);
+    let attacker = Arc::new(attacker.expect("a configuration"));
+    assert!(handshake(&server, &attacker, "nbo-1").await.is_some());
     let _ = new.write(directory.path(), "nbo-1");
     assert!(keys.reload().expect("read"));
-    assert!(shake(&server, &thief, "nbo-1").await.is_none());
+    assert!(handshake(&server, &attacker, "nbo-1").await.is_none());
 }
 
-/// The same the other way round: the thief answers at the address of the VM whose key it has.
+/// A server with a stolen key answers at the address of the VM that the key belongs to, and offers
+/// session resumption after the CA was replaced.
 #[tokio::test]
-async fn thief_resumes_as_server() {
-    let directory = TestDirectory::new("thief_resumes_as_server");
+async fn stolen_key_resumes_as_server() {
+    let directory = TestDirectory::new("stolen_key_resumes_as_server");
     let (old, new) = (TestAuthority::new(), TestAuthority::new());
     let keys = TlsKeys::load(old.write(directory.path(), "nbo-1")).expect("keys");
     let client = keys.mutual_client().expect("a configuration");
@@ -135,24 +143,24 @@
     let provider = Arc::new(rustls::crypto::aws_lc_rs::default_provider());
     let builder = ServerConfig::builder_with_provider(provider);
     let builder = builder.with_safe_default_protocol_versions().expect("versions");
-    let thief = builder.with_no_client_auth().with_single_cert(chain, key);
-    let thief = Arc::new(thief.expect("a configuration"));
-    assert!(shake(&thief, &client, "nbo-2").await.is_some());
+    let attacker = builder.with_no_client_auth().with_single_cert(chain, key);
+    let attacker = Arc::new(attacker.expect("a configuration"));
+    assert!(handshake(&attacker, &client, "nbo-2").await.is_some());
     let _ = new.write(directory.path(), "nbo-1");
     assert!(keys.reload().expect("read"));
-    assert!(shake(&thief, &client, "nbo-2").await.is_none());
+    assert!(handshake(&attacker, &client, "nbo-2").await.is_none());
 }
 
-/// A stranger with a certificate of its own authority, or with none, gets no answer.
+/// A client with a certificate of an unknown CA, or with none, is rejected.
 #[tokio::test]
-async fn stranger_refused() {
-    let directory = TestDirectory::new("stranger_refused");
+async fn unknown_ca_refused() {
+    let directory = TestDirectory::new("unknown_ca_refused");
     let ours = TestAuthority::new().write(directory.path(), "nbo-1");
-    let stranger = TestAuthority::new().write(directory.path(), "nbo-9");
+    let unknown = TestAuthority::new().write(directory.path(), "nbo-9");
     let server = TlsKeys::load(ours.clone()).expect("keys").mutual_server().expect("made");
-    let forged = KeyFiles { authority: ours.authority.clone(), ..stranger };
+    let forged = KeyFiles { authority: ours.authority.clone(), ..unknown };
     let client = TlsKeys::load(forged).expect("keys").mutual_client().expect("made");
-    assert!(shake(&server, &client, "nbo-1").await.is_none());
-    let bare = trusting_client(ours.authority.as_deref().expect("a file")).expect("made");
-    assert!(shake(&server, &Arc::new(bare), "nbo-1").await.is_none());
+    assert!(handshake(&server, &client, "nbo-1").await.is_none());
+    let no_certificate = trusting_client(ours.authority.as_deref().expect("a file")).expect("made");
+    assert!(handshake(&server, &Arc::new(no_certificate), "nbo-1").await.is_none());
 }
