--- a/keys/src/error.rs
+++ b/keys/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of loading TLS keys. No message contains file contents, so none can leak a secret.
+//! Errors of loading TLS keys. No message contains a secret.
 
 use std::path::PathBuf;
 
@@ -33,7 +33,7 @@
         what: &'static str,
     },
     /// The TLS library rejects the certificate chain or the private key, or the two do not match.
-    #[snafu(display("certificate chain {} cannot be used: {source}", path.display()))]
+    #[snafu(display("certificate chain {} and its key cannot be used: {source}", path.display()))]
     Unusable {
         /// The certificate chain's file, also if the fault is in the key.
         path: PathBuf,
--- a/keys/src/lib.rs
+++ b/keys/src/lib.rs
@@ -1,7 +1,7 @@
 //! TLS keys that can be replaced without a restart.
 //!
-//! Certificates, private keys and trusted certificate authorities (CAs) are read from files named in
-//! the settings. Every configuration made by [`TlsKeys`] uses the current certificate and CAs at
+//! Certificates, private keys and trusted certificate authorities (CAs) are read from files named
+//! in the settings. Every configuration made by [`TlsKeys`] uses the current certificate and CAs at
 //! each handshake. docs/KEYS.md describes how to create, install and replace the files.
 //!
 //! ```no_run
--- a/keys/src/testing.rs
+++ b/keys/src/testing.rs
@@ -37,8 +37,8 @@
         self.issuer.pem()
     }
 
-    /// Issues a certificate for the VM `name` and for 127.0.0.1, and writes it, its key and the CA's
-    /// certificate to `directory`, replacing earlier files for that name.
+    /// Issues a certificate for the VM `name` and for 127.0.0.1, and writes it, its key and the
+    /// CA's certificate to `directory`, replacing earlier files for that name.
     ///
     /// # Panics
     ///
@@ -93,7 +93,7 @@
         Self(path)
     }
 
-    /// Returns the directory's absolute path.
+    /// Returns the path, which is inside the system's temporary directory.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.0
--- a/keys/src/verify.rs
+++ b/keys/src/verify.rs
@@ -39,8 +39,8 @@
 }
 
 impl ClientCertVerifier for PeerVerifier {
-    /// Returns no hints: a borrowed list could not be replaced, and each VM has a single certificate
-    /// to present.
+    /// Returns no hints: a borrowed list could not be replaced, and each VM has a single
+    /// certificate to present.
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
--- a/keys/tests/suite/replaced_keys.rs
+++ b/keys/tests/suite/replaced_keys.rs
@@ -32,9 +32,9 @@
     stream.get_ref().1.peer_certificates()?.first().cloned()
 }
 
-/// An existing configuration presents a renewed certificate in new handshakes, and keeps the old one
-/// while the new certificate's key is not yet written. Each handshake uses a new client, because a
-/// resumed session does not present a certificate.
+/// An existing configuration presents a renewed certificate in new handshakes, and keeps the old
+/// one while the new certificate's key is not yet written. Each handshake uses a new client,
+/// because a resumed session does not present a certificate.
 #[tokio::test]
 async fn renewed_certificate() {
     let directory = TestDirectory::new("renewed_certificate");
--- a/peer/examples/reserve_trip.rs
+++ b/peer/examples/reserve_trip.rs
@@ -1,7 +1,7 @@
-//! Measures round trips of `reserve` between two VMs over loopback, with and without mutual TLS.
+//! Measures round-trip times of `reserve` calls over loopback, with and without mutual TLS.
 //!
 //! ```text
-//! cargo run --release -p coltsfoothook-peer --example reserve_trip -- [calls] [at_once]
+//! cargo run --release -p coltsfoothook-peer --example reserve_trip -- [calls] [concurrency]
 //! ```
 
 use std::sync::Arc;
@@ -26,11 +26,12 @@
 use coltsfoothook_peer::{PeerHandler, PeerPool, PeerServer, PeerSettings, PeerTarget};
 use hdrhistogram::Histogram;
 
-const LIMIT: Duration = Duration::from_secs(20);
-/// The longest round trip that is told apart.
-const LONGEST_NANOS: u64 = 60_000_000_000;
+/// Deadline of each call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
+/// Upper bound of the histogram: 60 s. Longer round trips are recorded as this value.
+const MAX_ROUND_TRIP_NANOS: u64 = 60_000_000_000;
 
-/// Grants at once, so that the calls themselves are measured.
+/// Grants every request immediately, so that only the cost of the calls is measured.
 struct GrantingVm;
 
 fn identity(name: &str) -> VmIdentity {
@@ -115,42 +116,43 @@
     }
 }
 
-async fn measure(name: &str, pool: PeerPool, target: PeerTarget, calls: u32, at_once: u32) {
+/// Makes `calls` calls from `concurrency` tasks and prints the results as a line of JSON.
+async fn measure(name: &str, pool: PeerPool, target: PeerTarget, calls: u32, concurrency: u32) {
     let pool = Arc::new(pool);
-    pool.status(&target, LIMIT).await.expect("a connection");
+    pool.status(&target, CALL_TIMEOUT).await.expect("a connection");
     let (sent, received) = (pool.counters().sent_bytes(), pool.counters().received_bytes());
     let start = Instant::now();
-    let workers = (0..at_once).map(|_| {
+    let workers = (0..concurrency).map(|_| {
         let (pool, target) = (pool.clone(), target.clone());
         tokio::spawn(async move {
             let mut times = Vec::new();
-            for _ in 0..calls / at_once {
-                let begun = Instant::now();
-                pool.reserve(&target, reserve_call(), LIMIT).await.expect("a grant");
-                times.push(begun.elapsed());
+            for _ in 0..calls / concurrency {
+                let call_start = Instant::now();
+                pool.reserve(&target, reserve_call(), CALL_TIMEOUT).await.expect("a grant");
+                times.push(call_start.elapsed());
             }
             times
         })
     });
     let mut histogram =
-        Histogram::<u64>::new_with_bounds(1, LONGEST_NANOS, 3).expect("a histogram");
+        Histogram::<u64>::new_with_bounds(1, MAX_ROUND_TRIP_NANOS, 3).expect("a histogram");
     for times in futures::future::join_all(workers).await {
         for time in times.expect("a worker") {
             histogram.saturating_record(u64::try_from(time.as_nanos()).unwrap_or(u64::MAX));
         }
     }
-    let took = start.elapsed().as_secs_f64();
-    let made = histogram.len();
+    let elapsed_s = start.elapsed().as_secs_f64();
+    let completed = histogram.len();
     let micros = |quantile| histogram.value_at_quantile(quantile) / 1_000;
     println!(
-        "{{\"line\":\"{name}\",\"calls\":{made},\"at_once\":{at_once},\"p50_us\":{},\"p95_us\":{},\
+        "{{\"line\":\"{name}\",\"calls\":{completed},\"at_once\":{concurrency},\"p50_us\":{},\"p95_us\":{},\
          \"p99_us\":{},\"calls_per_s\":{:.0},\"call_bytes\":{},\"reply_bytes\":{}}}",
         micros(0.5),
         micros(0.95),
         micros(0.99),
-        made as f64 / took,
-        (pool.counters().sent_bytes() - sent) / made,
-        (pool.counters().received_bytes() - received) / made,
+        completed as f64 / elapsed_s,
+        (pool.counters().sent_bytes() - sent) / completed,
+        (pool.counters().received_bytes() - received) / completed,
     );
 }
 
@@ -158,14 +160,14 @@
 async fn main() {
     let mut arguments = std::env::args().skip(1).map(|text| text.parse().expect("a number"));
     let calls = arguments.next().unwrap_or(20_000);
-    let at_once = arguments.next().unwrap_or(1);
+    let concurrency = arguments.next().unwrap_or(1);
 
     let settings = PeerSettings { plaintext: true, ..Default::default() };
     let server = PeerServer::start(settings.clone(), Arc::new(GrantingVm), None);
     let server = server.expect("a server");
     let pool = PeerPool::new(settings, None).expect("a pool");
     let target = PeerTarget { vm: "b".into(), address: server.address() };
-    measure("plain", pool, target, calls, at_once).await;
+    measure("plain", pool, target, calls, concurrency).await;
 
     let directory = TestDirectory::new("reserve_trip");
     let files = TestAuthority::new().write(directory.path(), "b");
@@ -177,6 +179,6 @@
     let tls = keys.mutual_client().expect("a configuration");
     let pool = PeerPool::new(settings, Some(tls)).expect("a pool");
     let target = PeerTarget { vm: "b".into(), address: server.address() };
-    // The test certificate is the answering VM's, so the asker has its name too.
-    measure("mutual_tls", pool, target, calls, at_once).await;
+    // Both sides use the server's certificate, so the calls name the server's VM as requester.
+    measure("mutual_tls", pool, target, calls, concurrency).await;
 }
--- a/peer/src/handler.rs
+++ b/peer/src/handler.rs
@@ -1,4 +1,4 @@
-//! What the entry process implements to answer other VMs.
+//! Interface between the peer server and the entry process, which handles the calls.
 
 use std::sync::Arc;
 
@@ -12,44 +12,49 @@
 
 use crate::settings::PeerCounters;
 
-/// Answers calls of other VMs. The names in messages have been checked against the certificates.
+/// Handles calls from other VMs.
+///
+/// With TLS, VM names in calls that carry the sender's identity have been checked against the
+/// sender's certificate.
 #[async_trait]
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Where to count traffic and refusals, usually the counters of the pool, so that both
-    /// directions add up. By default the server has counters of its own.
+    /// Returns the counters that the server updates. Implementations usually return those of their
+    /// [`crate::PeerPool`], so that the counts cover both directions; the default is a separate
+    /// set.
     fn counters(&self) -> Arc<PeerCounters> {
         Arc::default()
     }
 
-    /// Answers a probe, or probes the named VM on the sender's behalf.
+    /// Answers a probe, or probes the VM in [`ProbeMessage::target`] on the sender's behalf.
     async fn probe(&self, message: ProbeMessage) -> ProbeReply;
 
-    /// Waits until the request may run or is refused.
+    /// Queues a request and returns when it is granted or refused.
     ///
-    /// The future is dropped when the asker's caller goes away, when the asker's connection breaks,
-    /// and at the call's deadline. A guard in it must then withdraw the request from the queue, and
-    /// release a grant that was already given as not run: the asker will never learn of it. The
-    /// [`PeerHandler::withdraw`] that an asker sends besides finds nothing more to do.
+    /// The future is dropped when the requester cancels the call, when its connection breaks, and
+    /// at the call's deadline. A guard in the future must then remove the request from the queue,
+    /// or release a grant already made as not run, since the requester never receives it. A
+    /// [`PeerHandler::withdraw`] for the same request must then have no further effect.
     async fn reserve(&self, call: ReserveCall) -> ReserveReply;
 
-    /// Forgets a request that waits for a grant, or releases the grant if there is one.
+    /// Removes a request from the queue, or releases its grant if it has one.
     async fn withdraw(&self, call: WithdrawCall);
 
-    /// Takes grants back.
+    /// Releases grants that their holders no longer use.
     async fn release(&self, calls: Vec<ReleaseCall>);
 
-    /// Tells a new owner which grants are held.
+    /// Returns the grants that this VM holds in a group to the group's new owner. The VM must
+    /// accept no grants of an older epoch from then on.
     async fn held(&self, call: HeldCall) -> HeldReply;
 
-    /// Gives up a key that was not begun.
+    /// Revokes an idempotency key whose request has not started on this VM.
     async fn revoke(&self, call: RevokeCall) -> RevokeReply;
 
-    /// Tells a VM without the log what it missed.
+    /// Returns newer configuration and control state to a VM that cannot read the log.
     async fn catch_up(&self, call: CatchUpCall) -> CatchUpReply;
 
-    /// Tells operators what this VM knows and does.
+    /// Returns this VM's state for operators.
     async fn status(&self) -> StatusReply;
 
-    /// Tells the steps of a request.
+    /// Returns the steps that this VM recorded for a request.
     async fn explain(&self, call: ExplainCall) -> ExplainReply;
 }
--- a/peer/src/identity.rs
+++ b/peer/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who is at the other end of a connection.
+//! Identity of the VM at the other end of a connection.
 
 use std::sync::Mutex;
 
@@ -7,38 +7,41 @@
 use rustls::server::ParsedCertificate;
 use rustls_pki_types::{CertificateDer, ServerName};
 
-/// The identity that the other end has proved.
+/// The identity that the peer proved in the TLS handshake.
 pub(crate) struct PeerIdentity {
-    /// The verified certificate; none on a connection without TLS, where names are believed.
+    /// The verified certificate. `None` on a connection without TLS, where every claimed name is
+    /// accepted.
     certificate: Option<CertificateDer<'static>>,
-    /// The name that was found to be the certificate's, so that it is parsed once a connection.
-    proved: Mutex<Option<VmName>>,
+    /// The first claimed name that matched the certificate, cached to parse the certificate once
+    /// per connection.
+    verified_name: Mutex<Option<VmName>>,
 }
 
 impl PeerIdentity {
     pub(crate) fn new(certificate: Option<CertificateDer<'static>>) -> Self {
-        Self { certificate, proved: Mutex::new(None) }
+        Self { certificate, verified_name: Mutex::new(None) }
     }
 
-    /// Whether the other end is the named VM.
+    /// Returns whether the peer is the VM `claimed`.
     pub(crate) fn is(&self, claimed: &VmName) -> bool {
         let Some(certificate) = &self.certificate else { return true };
-        let mut proved = self.proved.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        if let Some(name) = proved.as_ref() {
+        let mut verified_name =
+            self.verified_name.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        if let Some(name) = verified_name.as_ref() {
             return name == claimed;
         }
         let matches = names_vm(certificate, claimed);
         if matches {
-            *proved = Some(claimed.clone());
+            *verified_name = Some(claimed.clone());
         }
         matches
     }
 }
 
-/// Whether the certificate is that of the named VM.
+/// Returns whether the certificate was issued for the VM `claimed`.
 ///
-/// DNS names match whatever the case, but VM names are told apart by it, so a name with capitals
-/// could stand for two VMs and is refused.
+/// DNS names are case-insensitive and VM names are not, so one certificate would match several VM
+/// names. Names with ASCII uppercase letters are therefore rejected.
 fn names_vm(certificate: &CertificateDer<'_>, claimed: &VmName) -> bool {
     let text = claimed.as_str();
     if text.bytes().any(|byte| byte.is_ascii_uppercase()) {
--- a/peer/src/lib.rs
+++ b/peer/src/lib.rs
@@ -1,8 +1,9 @@
 //! Calls between entry VMs: tarpc over TCP with named-field MessagePack and mutual TLS.
 //!
-//! [`PeerServer`] answers other VMs through the [`PeerHandler`] that the entry process implements;
-//! [`PeerPool`] keeps one connection to each VM that is called. Frames and the tolerance between
-//! releases are described in [`PeerSettings`] and in docs/KEYS.md, "Between entry VMs".
+//! [`PeerServer`] passes calls of other VMs to the [`PeerHandler`] that the entry process
+//! implements. [`PeerPool`] keeps one connection to each VM that this one calls. [`PeerSettings`]
+//! describes the compatibility between releases, and docs/KEYS.md, "Between entry VMs", the setup
+//! of TLS.
 //!
 //! ```no_run
 //! # use std::{sync::Arc, time::Duration};
--- a/peer/src/pool.rs
+++ b/peer/src/pool.rs
@@ -1,4 +1,4 @@
-//! Calling other VMs.
+//! Client side of calls between VMs.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -28,94 +28,99 @@
 use crate::settings::{PeerCounters, PeerSettings, SetupError};
 use crate::wire::{ClientCodec, FrameTransport};
 
-/// Shards of the table of connections, so that calls to different VMs seldom meet at a lock.
+/// Shards of the connection table, to reduce lock contention between calls to different VMs.
 const SHARDS: usize = 8;
-/// Doublings after which the backoff is at its most in any case.
-const MOST_DOUBLINGS: u32 = 16;
+/// Limit of the exponent in the backoff, so that the shift cannot overflow.
+const MAX_DOUBLINGS: u32 = 16;
 
 value! {
-    /// A VM to call.
+    /// Address and name of a VM to call.
     #[derive(Eq, PartialOrd, Ord)]
     pub struct PeerTarget {
-        /// Where it listens for other VMs.
+        /// The address of its [`crate::PeerServer`].
         pub address: SocketAddr,
-        /// Its name, which its certificate and its answers must carry.
+        /// The name that its certificate, and its replies where they contain one, must match.
         pub vm: VmName,
     }
 }
 
-/// A call that brought no answer.
+/// A call without a usable reply.
 #[derive(Debug, Snafu)]
 pub enum PeerError {
-    /// Nothing has reached the other VM.
-    #[snafu(display("{vm} was not called: {reason}"))]
+    /// The call was not sent, so it was certainly not carried out.
+    #[snafu(display("call to {vm} was not sent: {reason}"))]
     NotSent {
-        /// The VM.
+        /// The called VM.
         vm: VmName,
-        /// Why.
+        /// The cause.
         reason: String,
     },
-    /// The other VM did not carry the call out.
+    /// The called VM refused the call without carrying out any part of it.
     #[snafu(display("{vm} refused the call: {fault:?}"))]
     Refused {
-        /// The VM.
+        /// The called VM.
         vm: VmName,
-        /// Why.
+        /// The reason and details that the VM sent.
         fault: PeerFault,
     },
-    /// The call may have been carried out.
-    #[snafu(display("{vm} was called and gave no answer: {reason}"))]
+    /// The outcome is unknown: the call may have been carried out.
+    #[snafu(display("no valid reply from {vm}: {reason}"))]
     Unknown {
-        /// The VM.
+        /// The called VM.
         vm: VmName,
-        /// Why.
+        /// The cause.
         reason: String,
     },
 }
 
 impl PeerError {
-    /// Whether the call may have been carried out.
+    /// Returns whether the call may have been carried out, so that repeating it may run it twice.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Unknown { .. })
     }
 }
 
-/// Connections to other VMs: one to each, shared by all calls.
+/// Connections to other VMs: one per [`PeerTarget`], opened by the first call and shared by all.
 pub struct PeerPool {
     settings: PeerSettings,
     tls: Option<TlsConnector>,
     counters: Arc<PeerCounters>,
-    shards: [Mutex<Vec<Arc<PeerLine>>>; SHARDS],
+    shards: [Mutex<Vec<Arc<PeerLink>>>; SHARDS],
 }
 
-/// The line to one VM.
-struct PeerLine {
+/// The connection state of one target.
+struct PeerLink {
     target: PeerTarget,
-    room: Semaphore,
-    state: tokio::sync::Mutex<LineState>,
-    used: Mutex<Instant>,
+    /// Permits for calls in flight.
+    call_permits: Semaphore,
+    state: tokio::sync::Mutex<LinkState>,
+    /// When the last call to the target began.
+    last_used: Mutex<Instant>,
 }
 
 #[derive(Default)]
-struct LineState {
+struct LinkState {
     connection: Option<LiveConnection>,
+    /// Consecutive failed attempts to connect.
     failures: u32,
+    /// Time before which no connection is attempted; `None` if the last attempt succeeded.
     retry_at: Option<Instant>,
 }
 
 #[derive(Clone)]
 struct LiveConnection {
     client: VmPeerClient,
+    /// Set when the connection has ended.
     closed: Arc<AtomicBool>,
 }
 
 impl PeerPool {
-    /// Makes a pool without connections.
+    /// Creates a pool. `tls` may be `None` only if [`PeerSettings::plaintext`] is set.
     ///
     /// # Errors
     ///
-    /// There are no keys and the settings do not waive them.
+    /// `tls` is `None` and the settings do not permit plaintext.
     pub fn new(
         settings: PeerSettings,
         tls: Option<Arc<rustls::ClientConfig>>,
@@ -126,17 +131,20 @@
         Ok(Self { settings, tls, counters, shards: Default::default() })
     }
 
-    /// What went wrong on the calling side so far.
+    /// Returns the pool's counters. A handler may return them to make its server share them.
     #[must_use]
     pub fn counters(&self) -> &Arc<PeerCounters> {
         &self.counters
     }
 
-    /// Probes a VM.
+    /// Probes a VM, or asks it to probe the VM in [`ProbeMessage::target`].
+    ///
+    /// In this and all other calls, `limit` bounds the time until the reply, including the time to
+    /// connect; [`PeerSettings::call_most_ms`] applies if it is shorter.
     ///
     /// # Errors
     ///
-    /// See [`PeerError`]; so for all calls below.
+    /// See [`PeerError`]; the same holds for all other calls.
     pub async fn probe(
         &self,
         target: &PeerTarget,
@@ -146,12 +154,12 @@
         let run =
             |client: VmPeerClient, context| async move { client.probe(context, message).await };
         let reply = self.call(target, limit, run).await?;
-        self.check_answerer(target, &reply.from.vm.vm)?;
+        self.check_responder(target, &reply.from.vm.vm)?;
         Ok(reply)
     }
 
-    /// Asks an owner for a grant. `limit` is how long the request may wait in its queue. Dropping
-    /// the future tells the owner to forget the request.
+    /// Requests a grant from an owner. `limit` also bounds the wait in the owner's queue. Dropping
+    /// the future cancels the call, which removes the request from the queue.
     pub async fn reserve(
         &self,
         target: &PeerTarget,
@@ -163,7 +171,7 @@
         self.call(target, limit, run).await
     }
 
-    /// Withdraws a request after [`PeerPool::reserve`] ended with an unknown outcome.
+    /// Withdraws a request after [`PeerPool::reserve`] failed with [`PeerError::Unknown`].
     pub async fn withdraw(
         &self,
         target: &PeerTarget,
@@ -175,7 +183,7 @@
         self.call(target, limit, run).await
     }
 
-    /// Gives grants back.
+    /// Releases grants at their owner.
     pub async fn release(
         &self,
         target: &PeerTarget,
@@ -187,7 +195,7 @@
         self.call(target, limit, run).await
     }
 
-    /// Asks which grants a VM holds.
+    /// Queries the grants of a group that a VM holds.
     pub async fn held(
         &self,
         target: &PeerTarget,
@@ -196,14 +204,14 @@
     ) -> Result<HeldReply, PeerError> {
         let run = |client: VmPeerClient, context| async move { client.held(context, call).await };
         let reply = self.call(target, limit, run).await?;
-        self.check_answerer(target, &reply.vm.vm)?;
+        self.check_responder(target, &reply.vm.vm)?;
         Ok(reply)
     }
 
-    /// Whether the process that listened at `target` has certainly ended.
+    /// Returns whether the process that listened at `target` has certainly ended.
     ///
-    /// A process that is merely paused keeps its socket, and the host still takes connections for
-    /// it; one that a host refuses has no listener any more. A host that is silent proves nothing.
+    /// This is so if the host refuses the connection. The socket of a paused process still accepts
+    /// connections, and a timeout or other error does not show whether the process runs.
     pub async fn process_ended(&self, target: &PeerTarget) -> bool {
         let limit = self.settings.connect_timeout();
         match tokio::time::timeout(limit, TcpStream::connect(target.address)).await {
@@ -212,7 +220,7 @@
         }
     }
 
-    /// Asks a VM to give a key up.
+    /// Requests that a VM revoke an idempotency key whose request has not started there.
     pub async fn revoke(
         &self,
         target: &PeerTarget,
@@ -223,7 +231,7 @@
         self.call(target, limit, run).await
     }
 
-    /// Asks for what the log could not tell.
+    /// Queries newer configuration and control state when this VM cannot read the log.
     pub async fn catch_up(
         &self,
         target: &PeerTarget,
@@ -235,7 +243,7 @@
         self.call(target, limit, run).await
     }
 
-    /// Asks what a VM knows and does.
+    /// Queries a VM's state for operators.
     pub async fn status(
         &self,
         target: &PeerTarget,
@@ -243,11 +251,11 @@
     ) -> Result<StatusReply, PeerError> {
         let run = |client: VmPeerClient, context| async move { client.status(context).await };
         let reply = self.call(target, limit, run).await?;
-        self.check_answerer(target, &reply.vm.vm)?;
+        self.check_responder(target, &reply.vm.vm)?;
         Ok(reply)
     }
 
-    /// Asks for the steps of a request.
+    /// Queries the steps that a VM recorded for a request.
     pub async fn explain(
         &self,
         target: &PeerTarget,
@@ -257,22 +265,23 @@
         let run =
             |client: VmPeerClient, context| async move { client.explain(context, call).await };
         let reply = self.call(target, limit, run).await?;
-        self.check_answerer(target, &reply.vm.vm)?;
+        self.check_responder(target, &reply.vm.vm)?;
         Ok(reply)
     }
 
-    /// An answer under another name comes from a VM that took over the address; believing it would,
-    /// for one, count the wrong VM's grants as told.
-    fn check_answerer(&self, target: &PeerTarget, name: &VmName) -> Result<(), PeerError> {
+    /// Rejects a reply from another VM than the target, such as one that took over its address.
+    /// Otherwise, for example, the wrong VM's grants would be recorded as the target's.
+    fn check_responder(&self, target: &PeerTarget, name: &VmName) -> Result<(), PeerError> {
         if *name == target.vm {
             return Ok(());
         }
-        self.counters.count_forged();
+        self.counters.count_forged_name();
         event!(PeerRefused, reason = "forged_name", vm = name, expected = target.vm);
-        let reason = format!("{name} answered in its place");
+        let reason = format!("{name} replied from its address");
         Err(PeerError::Unknown { vm: target.vm.clone(), reason })
     }
 
+    /// Runs a call on the target's connection, which is opened if necessary.
     async fn call<T, F, R>(
         &self,
         target: &PeerTarget,
@@ -287,15 +296,15 @@
         let not_sent = |reason: String| PeerError::NotSent { vm: vm.clone(), reason };
         let deadline =
             Instant::now() + limit.min(Duration::from_millis(self.settings.call_most_ms));
-        let line = self.line(target);
-        let _permit = line
-            .room
+        let link = self.link(target);
+        let _permit = link
+            .call_permits
             .try_acquire()
-            .map_err(|_| not_sent("too many calls are in flight".to_owned()))?;
-        let connected = tokio::time::timeout_at(deadline.into(), self.connection(&line)).await;
+            .map_err(|_| not_sent("too many calls in flight".to_owned()))?;
+        let connected = tokio::time::timeout_at(deadline.into(), self.connection(&link)).await;
         let connection = match connected {
             Ok(connected) => connected.map_err(not_sent)?,
-            Err(_) => return Err(not_sent("connecting took too long".to_owned())),
+            Err(_) => return Err(not_sent("timed out while connecting".to_owned())),
         };
         let mut context = context::current();
         context.deadline = deadline;
@@ -306,8 +315,8 @@
         }
     }
 
-    /// What a failed call says about the other side. Where the library cannot tell whether it sent
-    /// the call, the answer is that it may have.
+    /// Converts an RPC error. If the call may have been sent, the result is [`PeerError::Unknown`],
+    /// unless the called VM refused it as busy.
     fn failed_call(&self, vm: &VmName, error: &RpcError) -> PeerError {
         let vm = vm.clone();
         match error {
@@ -320,37 +329,39 @@
         }
     }
 
-    fn line(&self, target: &PeerTarget) -> Arc<PeerLine> {
+    /// Returns the target's link, created if missing. Creating one drops the idle links of the same
+    /// shard.
+    fn link(&self, target: &PeerTarget) -> Arc<PeerLink> {
         let shard = &self.shards[usize::from(target.address.port()) % SHARDS];
-        let mut lines = shard.lock().unwrap_or_else(PoisonError::into_inner);
-        let line = match lines.binary_search_by(|line| line.target.cmp(target)) {
-            Ok(at) => lines[at].clone(),
+        let mut links = shard.lock().unwrap_or_else(PoisonError::into_inner);
+        let link = match links.binary_search_by(|link| link.target.cmp(target)) {
+            Ok(at) => links[at].clone(),
             Err(_) => {
                 let idle = Duration::from_millis(self.settings.idle_ms);
-                lines.retain(|line| !line.is_idle(idle));
-                let at = lines.partition_point(|line| line.target < *target);
-                lines.insert(at, Arc::new(PeerLine::new(target.clone(), self.settings.calls)));
-                lines[at].clone()
+                links.retain(|link| !link.is_idle(idle));
+                let at = links.partition_point(|link| link.target < *target);
+                links.insert(at, Arc::new(PeerLink::new(target.clone(), self.settings.calls)));
+                links[at].clone()
             }
         };
-        line.touch();
-        line
+        link.touch();
+        link
     }
 
-    /// The line's connection, made anew where there is none.
-    async fn connection(&self, line: &PeerLine) -> Result<LiveConnection, String> {
-        let mut state = line.state.lock().await;
+    /// Returns the link's connection, opening a new one if there is none or it has ended.
+    async fn connection(&self, link: &PeerLink) -> Result<LiveConnection, String> {
+        let mut state = link.state.lock().await;
         if let Some(connection) = state.live() {
             return Ok(connection);
         }
-        // Each call to a dead VM would otherwise connect again, and a VM that comes back would meet
-        // all of them at once.
+        // Otherwise every call to a dead VM would attempt a connection, and a restarted VM would
+        // receive all attempts at once.
         if state.retry_at.is_some_and(|at| Instant::now() < at) {
-            return Err("the last connect failed a moment ago".to_owned());
+            return Err("waiting to reconnect after a failed attempt".to_owned());
         }
-        match self.connect(&line.target).await {
+        match self.connect(&link.target).await {
             Ok(connection) => {
-                *state = LineState { connection: Some(connection.clone()), ..Default::default() };
+                *state = LinkState { connection: Some(connection.clone()), ..Default::default() };
                 Ok(connection)
             }
             Err(reason) => {
@@ -362,8 +373,9 @@
         }
     }
 
+    /// Returns the delay until the next attempt to connect after `failures` failed ones.
     fn backoff(&self, failures: u32) -> Duration {
-        let doublings = failures.saturating_sub(1).min(MOST_DOUBLINGS);
+        let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let millis = self.settings.backoff_ms.saturating_mul(1 << doublings);
         Duration::from_millis(millis.min(self.settings.backoff_most_ms))
     }
@@ -375,18 +387,19 @@
         let _ = stream.set_nodelay(true);
         let Some(connector) = &self.tls else { return Ok(self.start(stream)) };
         let name = ServerName::try_from(target.vm.as_str().to_owned())
-            .map_err(|_| "its name cannot stand in a certificate".to_owned())?;
+            .map_err(|_| "its name is not a valid certificate name".to_owned())?;
         let handshake = tokio::time::timeout(limit, connector.connect(name, stream));
         match flatten(handshake.await) {
             Ok(stream) => Ok(self.start(stream)),
             Err(reason) => {
-                self.counters.count_handshake();
+                self.counters.count_failed_handshake();
                 event!(PeerRefused, reason = "handshake", detail = reason, vm = target.vm);
                 Err(reason)
             }
         }
     }
 
+    /// Starts the task that exchanges frames on an established connection.
     fn start<S>(&self, stream: S) -> LiveConnection
     where
         S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
@@ -396,43 +409,51 @@
         let mut config = Config::default();
         config.max_in_flight_requests = self.settings.calls;
         config.pending_request_buffer = self.settings.calls;
-        let made = VmPeerClient::new(config, transport);
+        let new_client = VmPeerClient::new(config, transport);
         let closed = Arc::new(AtomicBool::new(false));
         let flag = closed.clone();
         tokio::spawn(async move {
-            // How a connection ended is told by the calls on it.
-            let _ = made.dispatch.await;
+            // The calls in flight report why the connection ended.
+            let _ = new_client.dispatch.await;
             flag.store(true, Ordering::Release);
         });
-        LiveConnection { client: made.client, closed }
+        LiveConnection { client: new_client.client, closed }
     }
 }
 
-impl PeerLine {
+impl PeerLink {
     fn new(target: PeerTarget, calls: usize) -> Self {
-        let room = Semaphore::new(calls);
-        Self { target, room, state: Default::default(), used: Mutex::new(Instant::now()) }
+        let call_permits = Semaphore::new(calls);
+        Self {
+            target,
+            call_permits,
+            state: Default::default(),
+            last_used: Mutex::new(Instant::now()),
+        }
     }
 
+    /// Records a use now.
     fn touch(&self) {
-        *self.used.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+        *self.last_used.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
     fn is_idle(&self, limit: Duration) -> bool {
-        self.used.lock().unwrap_or_else(PoisonError::into_inner).elapsed() > limit
+        self.last_used.lock().unwrap_or_else(PoisonError::into_inner).elapsed() > limit
     }
 }
 
-impl LineState {
+impl LinkState {
+    /// Returns the connection unless there is none or it has ended.
     fn live(&self) -> Option<LiveConnection> {
         self.connection.clone().filter(|live| !live.closed.load(Ordering::Acquire))
     }
 }
 
+/// Converts the result of a timed I/O operation, with errors as text.
 fn flatten<T, E: std::fmt::Display>(result: Result<std::io::Result<T>, E>) -> Result<T, String> {
     match result {
         Ok(Ok(value)) => Ok(value),
         Ok(Err(error)) => Err(error.to_string()),
-        Err(_) => Err("it did not answer in time".to_owned()),
+        Err(_) => Err("timed out".to_owned()),
     }
 }
--- a/peer/src/server.rs
+++ b/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering other VMs.
+//! Server side of calls between VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,14 +21,15 @@
 use crate::settings::{ListenSnafu, PeerCounters, PeerSettings, SetupError};
 use crate::wire::{FrameTransport, ServerCodec};
 
-/// Connections that may wait to be accepted; the kernel may allow fewer.
+/// Connections that may wait to be accepted. The kernel may apply a lower limit.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// How long the listener rests when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// How long a closing connection still writes answers that are ready.
-const LAST_WRITES: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which would otherwise be retried in a busy loop while the process
+/// is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long a closing connection may take to write replies that are ready.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Listens for other VMs.
+/// A listener for connections of other VMs.
 pub struct PeerServer {
     address: SocketAddr,
     counters: Arc<PeerCounters>,
@@ -36,8 +37,8 @@
     task: JoinHandle<()>,
 }
 
-/// What every connection needs.
-struct ServerParts {
+/// State shared by all connections.
+struct ServerContext {
     settings: PeerSettings,
     handler: Arc<dyn PeerHandler>,
     tls: Option<TlsAcceptor>,
@@ -46,11 +47,12 @@
 }
 
 impl PeerServer {
-    /// Starts to listen. With `tls`, only VMs with a certificate of our authority get through.
+    /// Starts to listen at [`PeerSettings::listen`]. `tls` must require client certificates; it may
+    /// be `None` only if [`PeerSettings::plaintext`] is set.
     ///
     /// # Errors
     ///
-    /// There are no keys and the settings do not waive them, or the address is taken.
+    /// `tls` is `None` and the settings do not permit plaintext, or the address cannot be bound.
     pub fn start(
         settings: PeerSettings,
         handler: Arc<dyn PeerHandler>,
@@ -62,47 +64,48 @@
         let address = listener.local_addr().context(ListenSnafu { listen })?;
         let counters = handler.counters();
         let closing = CancellationToken::new();
-        let parts = ServerParts {
+        let shared = ServerContext {
             settings,
             handler,
             tls: tls.map(TlsAcceptor::from),
             counters: counters.clone(),
             closing: closing.clone(),
         };
-        let task = tokio::spawn(accept_peers(listener, Arc::new(parts)));
+        let task = tokio::spawn(accept_peers(listener, Arc::new(shared)));
         Ok(Self { address, counters, closing, task })
     }
 
-    /// Where it listens.
+    /// Returns the bound address, with the actual port where the settings have port 0.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What was refused so far.
+    /// Returns the counters, which are those of [`PeerHandler::counters`].
     #[must_use]
     pub fn counters(&self) -> &Arc<PeerCounters> {
         &self.counters
     }
 
-    /// Stops taking connections and calls, waits for running calls as long as the settings say, and
-    /// closes the connections.
+    /// Stops accepting connections and calls, waits for running calls for at most
+    /// [`PeerSettings::close_ms`], and closes the connections.
     pub async fn close(mut self) {
         self.closing.cancel();
         let _ = (&mut self.task).await;
     }
 }
 
-/// Dropping the server without closing it cuts all connections at once, as the death of the process
-/// would.
+/// Dropping the server without [`PeerServer::close`] breaks all connections at once, as if the
+/// process had ended.
 impl Drop for PeerServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Listens with room for all VMs at once: after a failure domain is lost they turn to a new owner
-/// together, and the kernel drops connections beyond the library's bound of 128.
+/// Binds a listener with a backlog for connections from all VMs at once, as when a failure domain
+/// is lost and all VMs connect to the new owner. With the library's default backlog of 128 the
+/// kernel would drop some of them.
 fn bind(listen: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match listen {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -113,78 +116,81 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-async fn accept_peers(listener: TcpListener, parts: Arc<ServerParts>) {
-    let room = Arc::new(Semaphore::new(parts.settings.connections));
+/// Accepts connections until the server closes, then waits for those that are open.
+async fn accept_peers(listener: TcpListener, shared: Arc<ServerContext>) {
+    let connection_permits = Arc::new(Semaphore::new(shared.settings.connections));
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, from)) => {
-                    let Ok(permit) = room.clone().try_acquire_owned() else {
-                        parts.counters.count_crowded();
+                    let Ok(permit) = connection_permits.clone().try_acquire_owned() else {
+                        shared.counters.count_refused_connection();
                         event!(PeerRefused, reason = "too_many_connections", from = from);
                         continue;
                     };
-                    connections.spawn(serve_stream(stream, from, permit, parts.clone()));
+                    connections.spawn(serve_stream(stream, from, permit, shared.clone()));
                 }
                 Err(error) => {
                     event!(AcceptFailed, face = "peer", reason = error);
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
             Some(_) = connections.join_next() => {}
-            () = parts.closing.cancelled() => break,
+            () = shared.closing.cancelled() => break,
         }
     }
     drop(listener);
     while connections.join_next().await.is_some() {}
 }
 
+/// Performs the TLS handshake, if TLS is configured, and serves the connection.
 async fn serve_stream(
     stream: TcpStream,
     from: SocketAddr,
     permit: OwnedSemaphorePermit,
-    parts: Arc<ServerParts>,
+    shared: Arc<ServerContext>,
 ) {
     let _permit = permit;
-    // Calls are small and wait for their answers; Nagle's algorithm would hold them back.
+    // Nagle's algorithm would delay calls, which are small and wait for their replies.
     let _ = stream.set_nodelay(true);
-    let Some(acceptor) = &parts.tls else {
-        return serve_calls(stream, PeerIdentity::new(None), &parts).await;
+    let Some(acceptor) = &shared.tls else {
+        return serve_calls(stream, PeerIdentity::new(None), &shared).await;
     };
-    let limit = parts.settings.connect_timeout();
+    let limit = shared.settings.connect_timeout();
     match tokio::time::timeout(limit, acceptor.accept(stream)).await {
         Ok(Ok(stream)) => {
             let chain = stream.get_ref().1.peer_certificates().unwrap_or_default();
             let Some(certificate) = chain.first().cloned() else {
-                return refuse_handshake(&parts, from, "no certificate");
+                return refuse_handshake(&shared, from, "no certificate");
             };
-            serve_calls(stream, PeerIdentity::new(Some(certificate)), &parts).await;
+            serve_calls(stream, PeerIdentity::new(Some(certificate)), &shared).await;
         }
-        Ok(Err(error)) => refuse_handshake(&parts, from, &error.to_string()),
-        Err(_) => refuse_handshake(&parts, from, "the handshake took too long"),
+        Ok(Err(error)) => refuse_handshake(&shared, from, &error.to_string()),
+        Err(_) => refuse_handshake(&shared, from, "the handshake timed out"),
     }
 }
 
-fn refuse_handshake(parts: &ServerParts, from: SocketAddr, reason: &str) {
-    parts.counters.count_handshake();
+fn refuse_handshake(shared: &ServerContext, from: SocketAddr, reason: &str) {
+    shared.counters.count_failed_handshake();
     event!(PeerRefused, reason = "handshake", detail = reason, from = from);
 }
 
 /// Serves one connection until it breaks or the server closes.
 ///
-/// Handlers belong to the connection: when it breaks, the set of their tasks is dropped, which drops
-/// their futures, so that a VM which is gone keeps no place in a queue.
-async fn serve_calls<S>(stream: S, identity: PeerIdentity, parts: &ServerParts)
+/// When the connection breaks, the futures of its calls are dropped with `running`, so that a dead
+/// VM's requests do not stay in a queue.
+async fn serve_calls<S>(stream: S, identity: PeerIdentity, shared: &ServerContext)
 where
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
 {
-    let settings = &parts.settings;
-    let transport = FrameTransport::<_, ServerCodec>::new(stream, settings, parts.counters.clone());
+    let settings = &shared.settings;
+    let transport =
+        FrameTransport::<_, ServerCodec>::new(stream, settings, shared.counters.clone());
     let service = PeerService {
-        handler: parts.handler.clone(),
+        handler: shared.handler.clone(),
         identity: Arc::new(identity),
-        counters: parts.counters.clone(),
+        counters: shared.counters.clone(),
     };
     let config = Config { pending_response_buffer: settings.calls };
     let channel = BaseChannel::new(config, transport).max_concurrent_requests(settings.calls);
@@ -197,7 +203,7 @@
                 None => return,
             },
             Some(_) = running.join_next() => {}
-            () = parts.closing.cancelled() => break,
+            () = shared.closing.cancelled() => break,
         }
     }
     let finish = async {
@@ -207,7 +213,7 @@
                 _ = running.join_next() => {}
             }
         }
-        let _ = tokio::time::timeout(LAST_WRITES, calls.next()).await;
+        let _ = tokio::time::timeout(FINAL_WRITE_TIMEOUT, calls.next()).await;
     };
     let _ = tokio::time::timeout(Duration::from_millis(settings.close_ms), finish).await;
 }
--- a/peer/src/service.rs
+++ b/peer/src/service.rs
@@ -1,4 +1,4 @@
-//! The tarpc service, and its server side before the handler.
+//! The tarpc service and its server side, which checks sender names before calling the handler.
 
 use std::sync::Arc;
 
@@ -19,23 +19,23 @@
 use crate::settings::PeerCounters;
 
 value! {
-    /// Why a VM did not carry a call out.
+    /// The reason why a VM refused a call.
     #[derive(Copy, Eq)]
     pub enum FaultReason {
-        /// The message claims another VM's name than the certificate.
+        /// The VM name in the message does not match the sender's certificate.
         ForgedName,
-        /// The receiver's release does not know the message.
+        /// The receiver's release cannot decode the message, for example an unknown method.
         Unsupported,
         /// The receiver has too many calls in flight.
         Busy,
     }
 
-    /// A call that was not carried out, not even in part.
+    /// A refusal of a call, of which no part was carried out.
     #[derive(Eq)]
     pub struct PeerFault {
-        /// Why.
+        /// The kind of refusal.
         pub reason: FaultReason,
-        /// What a person should know beyond the reason.
+        /// Details for people; may be empty.
         #[serde(default)]
         pub detail: String,
     }
@@ -53,11 +53,11 @@
     async fn catch_up(call: CatchUpCall) -> Result<CatchUpReply, PeerFault>;
     async fn status() -> Result<StatusReply, PeerFault>;
     async fn explain(call: ExplainCall) -> Result<ExplainReply, PeerFault>;
-    /// Stands for a message that this release cannot read; never sent.
+    /// Replaces a received message that this release cannot decode. Never sent.
     async fn unsupported(detail: String) -> Result<(), PeerFault>;
 }
 
-/// One connection's side of the service.
+/// Server side of the service on one connection.
 #[derive(Clone)]
 pub(crate) struct PeerService {
     pub(crate) handler: Arc<dyn PeerHandler>,
@@ -66,17 +66,17 @@
 }
 
 impl PeerService {
-    /// Checks that the sender is the VM that its message claims.
+    /// Checks that the sender is the VM named in its message.
     ///
-    /// Otherwise one VM with a stolen key could release the grants of all others, and their slots
+    /// Otherwise an attacker with one VM's key could release other VMs' grants, and their slots
     /// would be evicted under running requests.
     fn check_name(&self, claimed: &VmName) -> Result<(), PeerFault> {
         if self.identity.is(claimed) {
             return Ok(());
         }
-        self.counters.count_forged();
+        self.counters.count_forged_name();
         event!(PeerRefused, reason = "forged_name", vm = claimed);
-        let detail = format!("the certificate is not that of {claimed}");
+        let detail = format!("the certificate does not match the VM name {claimed}");
         Err(PeerFault { reason: FaultReason::ForgedName, detail })
     }
 }
--- a/peer/src/settings.rs
+++ b/peer/src/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds of the calls between VMs, and what is counted.
+//! Settings, setup errors and counters of calls between VMs.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,39 +8,41 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Bytes of the length that precedes each frame.
+/// Size in bytes of the length field that precedes each frame.
 const LENGTH_BYTES: usize = 4;
 
 /// Settings of the calls between entry VMs.
 ///
-/// Two releases talk to each other while VMs are replaced one by one: fields are sent by name,
-/// unknown ones are ignored, new ones need a serde default, and a method that the receiver does not
-/// know is answered with [`crate::FaultReason::Unsupported`] without harm to the connection.
+/// Different releases call each other during a rolling upgrade. Message fields are sent by name,
+/// the receiver ignores unknown ones, and new ones need a serde default. A call of an unknown
+/// method is answered with [`crate::FaultReason::Unsupported`], and the connection stays open.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PeerSettings {
-    /// Where to listen. Port 0 takes a free one.
+    /// Address to listen at. Port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Whether to speak without TLS, for loopback and tests. Without TLS any process that reaches
-    /// the port can pretend to be a VM, so leaving out the keys is not enough.
+    /// Whether connections without TLS are permitted, for loopback and tests. Without TLS any
+    /// process that reaches the port can impersonate a VM, so omitting the keys must not imply it.
     pub plaintext: bool,
-    /// The largest frame in bytes; a snapshot of the configuration must fit.
+    /// Maximum frame size in bytes. A snapshot of the configuration must fit.
     pub frame_bytes: usize,
-    /// The most connections that are served at once.
+    /// Maximum number of connections that the server serves at once.
     pub connections: usize,
-    /// The most calls in flight on a connection, at either end.
+    /// Maximum number of calls in flight on a connection, applied by both client and server.
     pub calls: usize,
-    /// Milliseconds for connecting, and again for the TLS handshake.
+    /// Timeout in milliseconds for the TCP connection, and separately for the TLS handshake.
     pub connect_timeout_ms: u64,
-    /// Milliseconds after a failed connect before the next, doubled with each failure.
+    /// Delay in milliseconds after the first failed attempt to connect; doubles with each further
+    /// one.
     pub backoff_ms: u64,
-    /// The most milliseconds between connects.
+    /// Maximum of that delay in milliseconds.
     pub backoff_most_ms: u64,
-    /// The longest time in milliseconds that a call may take, whatever its sender says.
+    /// Maximum duration of a call in milliseconds, also if its sender requests a longer one.
     pub call_most_ms: u64,
-    /// Milliseconds after which a connection that nobody used is closed.
+    /// Milliseconds since the last call after which a client may close a connection. It does so
+    /// when it next calls a new target.
     pub idle_ms: u64,
-    /// Milliseconds that closing waits for running calls.
+    /// Milliseconds that a closing server waits for running calls.
     pub close_ms: u64,
 }
 
@@ -67,38 +69,38 @@
         Duration::from_millis(self.connect_timeout_ms)
     }
 
-    /// Fails where TLS is neither given nor waived.
+    /// Fails if TLS is not configured (`given` is false) and plaintext is not permitted.
     pub(crate) fn check_tls(&self, given: bool) -> Result<(), SetupError> {
         snafu::ensure!(given || self.plaintext, NoKeysSnafu);
         Ok(())
     }
 }
 
-/// Calls between VMs could not be set up.
+/// The client or server side of calls between VMs could not be set up.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SetupError {
-    /// Neither keys nor an explicit waiver.
+    /// There is no TLS configuration and [`PeerSettings::plaintext`] is not set.
     #[snafu(display("calls between VMs need TLS keys, or plaintext set to true in the settings"))]
     NoKeys,
     /// The address cannot be bound.
     #[snafu(display("cannot listen for other VMs at {listen}"))]
     Listen {
-        /// The address.
+        /// The address in the settings.
         listen: SocketAddr,
-        /// The cause.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
 
-/// Counts of refused peers, broken frames and bytes, for metrics.
+/// Counters of refused connections and messages and of traffic, for metrics.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
-    handshakes: AtomicU64,
-    frames: AtomicU64,
+    bad_handshakes: AtomicU64,
+    bad_frames: AtomicU64,
     forged: AtomicU64,
     unsupported: AtomicU64,
-    crowded: AtomicU64,
+    over_limit: AtomicU64,
     sent: AtomicU64,
     received: AtomicU64,
     probes: TrafficCounter,
@@ -106,66 +108,68 @@
     calls: TrafficCounter,
 }
 
-/// Frames of one kind that are not yet told.
+/// Frames of one kind, in both directions, since the last [`PeerCounters::take_traffic`].
 #[derive(Debug, Default)]
 struct TrafficCounter {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-/// Frames, both ways.
+/// Numbers of frames and bytes, sent and received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCount {
-    /// How many.
+    /// Number of frames.
     pub messages: u64,
-    /// Their bytes.
+    /// Size of the frames in bytes, without TLS and TCP overhead.
     pub bytes: u64,
 }
 
 impl PeerCounters {
-    /// Connections that ended in the TLS handshake: no certificate of ours, or no TLS at all.
+    /// Returns the number of failed TLS handshakes: no certificate of a configured CA, a
+    /// certificate for another name, no TLS, or a timeout.
     #[must_use]
     pub fn failed_handshakes(&self) -> u64 {
-        self.handshakes.load(Ordering::Relaxed)
+        self.bad_handshakes.load(Ordering::Relaxed)
     }
 
-    /// Connections closed for a frame that was garbage, too large or cut.
+    /// Returns the number of frames that were invalid, too large or truncated, each of which closes
+    /// its connection.
     #[must_use]
     pub fn broken_frames(&self) -> u64 {
-        self.frames.load(Ordering::Relaxed)
+        self.bad_frames.load(Ordering::Relaxed)
     }
 
-    /// Messages that claimed another VM's name.
+    /// Returns the number of messages with the name of another VM than the sender or call target.
     #[must_use]
     pub fn forged_names(&self) -> u64 {
         self.forged.load(Ordering::Relaxed)
     }
 
-    /// Messages that this release does not know.
+    /// Returns the number of received messages that this release cannot decode.
     #[must_use]
     pub fn unsupported_messages(&self) -> u64 {
         self.unsupported.load(Ordering::Relaxed)
     }
 
-    /// Connections refused because there were too many.
+    /// Returns the number of connections refused because [`PeerSettings::connections`] were open.
     #[must_use]
     pub fn refused_connections(&self) -> u64 {
-        self.crowded.load(Ordering::Relaxed)
+        self.over_limit.load(Ordering::Relaxed)
     }
 
-    /// Bytes of frames sent, without what TLS and TCP add.
+    /// Returns the bytes of frames sent, without TLS and TCP overhead.
     #[must_use]
     pub fn sent_bytes(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Bytes of frames received, without what TLS and TCP add.
+    /// Returns the bytes of frames received, without TLS and TCP overhead.
     #[must_use]
     pub fn received_bytes(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Frames of a kind since this was asked the last time.
+    /// Returns the traffic of a kind since the last call with that kind, and resets its count.
     #[must_use]
     pub fn take_traffic(&self, kind: TrafficKind) -> TrafficCount {
         let counter = self.traffic(kind);
@@ -191,6 +195,7 @@
         self.received.fetch_add(self.count_traffic(kind, frame), Ordering::Relaxed);
     }
 
+    /// Counts a frame of `frame` bytes without its length field, and returns its size with it.
     fn count_traffic(&self, kind: TrafficKind, frame: usize) -> u64 {
         let bytes = u64::try_from(frame + LENGTH_BYTES).unwrap_or(u64::MAX);
         let counter = self.traffic(kind);
@@ -199,15 +204,15 @@
         bytes
     }
 
-    pub(crate) fn count_handshake(&self) {
-        self.handshakes.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn count_failed_handshake(&self) {
+        self.bad_handshakes.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_frame(&self) {
-        self.frames.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn count_broken_frame(&self) {
+        self.bad_frames.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_forged(&self) {
+    pub(crate) fn count_forged_name(&self) {
         self.forged.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -215,7 +220,7 @@
         self.unsupported.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn count_crowded(&self) {
-        self.crowded.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn count_refused_connection(&self) {
+        self.over_limit.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/peer/src/wire.rs
+++ b/peer/src/wire.rs
@@ -1,8 +1,9 @@
-//! Frames on the wire.
+//! Frame format of calls between VMs.
 //!
-//! A frame is a length, a [`FrameHead`] and a message, both as MessagePack with named fields. The
-//! head is the project's own, so that the wire format does not change with the library, and that a
-//! message which this release cannot read still has an id to answer to.
+//! A frame consists of its length as a 32-bit big-endian number, a [`FrameHeader`], and a message
+//! for some kinds; the last two are MessagePack with named fields. The header is defined here
+//! rather than by tarpc, so that the wire format does not change with that library, and so that a
+//! message which this release cannot decode still has an id to respond to.
 
 use std::io;
 use std::marker::PhantomData;
@@ -23,56 +24,60 @@
 use crate::service::{VmPeerRequest, VmPeerResponse};
 use crate::settings::{PeerCounters, PeerSettings};
 
-/// How deep a message may be nested. The parser recurses, and a deep frame would exhaust its stack.
+/// Maximum nesting depth of headers and messages. The recursive parser would otherwise exhaust the
+/// stack on a deeply nested frame.
 const MESSAGE_DEPTH: usize = 64;
 
-/// The beginning of a frame.
+/// The first part of a frame.
 #[derive(Debug, Serialize, Deserialize)]
-struct FrameHead {
-    /// The call's number on its connection.
+struct FrameHeader {
+    /// Identifies a call among those in flight on its connection.
     id: u64,
-    /// What follows.
+    /// Determines which message follows, if any.
     kind: FrameKind,
-    /// Milliseconds that the sender of a call still waits. Clocks of VMs differ, so that a time of
-    /// day would not do.
+    /// Milliseconds until the call's deadline; the receiver's maximum if `None`. Relative, because
+    /// the clocks of VMs differ.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     left_ms: Option<u64>,
-    /// Why a call was not answered.
+    /// The error message of [`FrameKind::Error`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     error: Option<String>,
 }
 
+/// The purpose of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum FrameKind {
-    /// A call; the message follows.
+    /// A call. A [`VmPeerRequest`] follows.
     Call,
-    /// The sender no longer waits for a call; nothing follows.
+    /// The sender cancels a call. No message follows.
     Cancel,
-    /// The answer to a call; the message follows.
+    /// The response to a call. A [`VmPeerResponse`] follows.
     Answer,
-    /// The call was not answered; nothing follows.
+    /// The call failed in the server's RPC layer. No message follows.
     Error,
-    /// There were too many calls and this one was not begun; nothing follows.
+    /// The call was not started because too many were in flight. No message follows.
     Busy,
 }
 
-/// One direction's conversion between tarpc's messages and frames.
+/// Conversion between tarpc's messages and frames, for one side of a connection.
 pub(crate) trait FrameCodec {
     type Sent;
     type Received;
 
-    /// What a message is for; messages without a body count as other calls.
+    /// Returns the traffic kind for which a message is counted; [`TrafficKind::Call`] for those
+    /// without a body.
     fn sent_kind(message: &Self::Sent) -> TrafficKind;
     fn received_kind(message: &Self::Received) -> TrafficKind;
     fn encode(message: Self::Sent) -> io::Result<Vec<u8>>;
-    fn decode(frame: &[u8], call_most: Duration) -> io::Result<Self::Received>;
+    /// Decodes a frame; a server limits the deadline of a call to `max_call` from now.
+    fn decode(frame: &[u8], max_call: Duration) -> io::Result<Self::Received>;
 }
 
-/// The frames of a connection's client.
+/// Sends calls and receives responses.
 pub(crate) struct ClientCodec;
 
-/// The frames of a connection's server.
+/// Receives calls and sends responses.
 pub(crate) struct ServerCodec;
 
 impl FrameCodec for ClientCodec {
@@ -90,29 +95,32 @@
     fn encode(message: Self::Sent) -> io::Result<Vec<u8>> {
         match message {
             ClientMessage::Request(request) => {
-                let left = request.context.deadline.saturating_duration_since(Instant::now());
-                let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-                let head = head(request.id, FrameKind::Call);
-                write_frame(&FrameHead { left_ms: Some(left_ms), ..head }, Some(&request.message))
+                let time_left = request.context.deadline.saturating_duration_since(Instant::now());
+                let left_ms = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
+                let header = header(request.id, FrameKind::Call);
+                write_frame(
+                    &FrameHeader { left_ms: Some(left_ms), ..header },
+                    Some(&request.message),
+                )
             }
             ClientMessage::Cancel { request_id, .. } => {
-                write_frame(&head(request_id, FrameKind::Cancel), None::<&()>)
+                write_frame(&header(request_id, FrameKind::Cancel), None::<&()>)
             }
-            _ => Err(io::Error::other("unknown kind of message")),
+            _ => Err(io::Error::other("unsupported kind of tarpc message")),
         }
     }
 
     fn decode(frame: &[u8], _: Duration) -> io::Result<Self::Received> {
-        let (head, rest) = read_head(frame)?;
-        let message = match head.kind {
-            FrameKind::Answer => read_message(rest).map_err(|error| unreadable(&error)),
-            FrameKind::Error => Err(server_error(head.error.unwrap_or_default())),
+        let (header, rest) = read_header(frame)?;
+        let message = match header.kind {
+            FrameKind::Answer => read_message(rest).map_err(|error| undecodable(&error)),
+            FrameKind::Error => Err(server_error(header.error.unwrap_or_default())),
             FrameKind::Busy => {
                 Err(ServerError::new(io::ErrorKind::WouldBlock, "too many calls".to_owned()))
             }
-            FrameKind::Call | FrameKind::Cancel => return Err(invalid("a call came as an answer")),
+            FrameKind::Call | FrameKind::Cancel => return Err(invalid("client received a call")),
         };
-        Ok(Response { request_id: head.id, message })
+        Ok(Response { request_id: header.id, message })
     }
 }
 
@@ -131,38 +139,39 @@
     fn encode(response: Self::Sent) -> io::Result<Vec<u8>> {
         match response.message {
             Ok(message) => {
-                write_frame(&head(response.request_id, FrameKind::Answer), Some(&message))
+                write_frame(&header(response.request_id, FrameKind::Answer), Some(&message))
             }
             Err(error) if error.kind == io::ErrorKind::WouldBlock => {
-                write_frame(&head(response.request_id, FrameKind::Busy), None::<&()>)
+                write_frame(&header(response.request_id, FrameKind::Busy), None::<&()>)
             }
             Err(error) => {
-                let head = head(response.request_id, FrameKind::Error);
-                write_frame(&FrameHead { error: Some(error.detail), ..head }, None::<&()>)
+                let header = header(response.request_id, FrameKind::Error);
+                write_frame(&FrameHeader { error: Some(error.detail), ..header }, None::<&()>)
             }
         }
     }
 
-    fn decode(frame: &[u8], call_most: Duration) -> io::Result<Self::Received> {
-        let (head, rest) = read_head(frame)?;
-        match head.kind {
+    fn decode(frame: &[u8], max_call: Duration) -> io::Result<Self::Received> {
+        let (header, rest) = read_header(frame)?;
+        match header.kind {
             FrameKind::Call => {
-                // A newer release may call what this one does not know; breaking the connection
-                // would fail every other call on it.
+                // The sender may run a newer release with other methods. An error here would close
+                // the connection and fail all other calls on it.
                 let message = read_message(rest).unwrap_or_else(|error| {
                     VmPeerRequest::Unsupported { detail: error.to_string() }
                 });
-                let left = head.left_ms.map_or(call_most, Duration::from_millis).min(call_most);
+                let time_left =
+                    header.left_ms.map_or(max_call, Duration::from_millis).min(max_call);
                 let mut context = context::current();
-                context.deadline = Instant::now() + left;
-                Ok(ClientMessage::Request(Request { context, id: head.id, message }))
+                context.deadline = Instant::now() + time_left;
+                Ok(ClientMessage::Request(Request { context, id: header.id, message }))
             }
             FrameKind::Cancel => Ok(ClientMessage::Cancel {
                 trace_context: trace::Context::default(),
-                request_id: head.id,
+                request_id: header.id,
             }),
             FrameKind::Answer | FrameKind::Error | FrameKind::Busy => {
-                Err(invalid("an answer came as a call"))
+                Err(invalid("server received a response"))
             }
         }
     }
@@ -191,24 +200,27 @@
     }
 }
 
-fn head(id: u64, kind: FrameKind) -> FrameHead {
-    FrameHead { id, kind, left_ms: None, error: None }
+/// Returns a header without optional fields.
+fn header(id: u64, kind: FrameKind) -> FrameHeader {
+    FrameHeader { id, kind, left_ms: None, error: None }
 }
 
-fn write_frame(head: &FrameHead, message: Option<&impl Serialize>) -> io::Result<Vec<u8>> {
+fn write_frame(header: &FrameHeader, message: Option<&impl Serialize>) -> io::Result<Vec<u8>> {
     let mut frame = Vec::with_capacity(256);
-    rmp_serde::encode::write_named(&mut frame, head).map_err(io::Error::other)?;
+    rmp_serde::encode::write_named(&mut frame, header).map_err(io::Error::other)?;
     if let Some(message) = message {
         rmp_serde::encode::write_named(&mut frame, message).map_err(io::Error::other)?;
     }
     Ok(frame)
 }
 
-fn read_head(frame: &[u8]) -> io::Result<(FrameHead, &[u8])> {
+/// Decodes the header and returns the bytes after it.
+fn read_header(frame: &[u8]) -> io::Result<(FrameHeader, &[u8])> {
     let mut parser = rmp_serde::Deserializer::new(frame);
     parser.set_max_depth(MESSAGE_DEPTH);
-    let head = FrameHead::deserialize(&mut parser).map_err(|error| invalid(&error.to_string()))?;
-    Ok((head, parser.into_inner()))
+    let header =
+        FrameHeader::deserialize(&mut parser).map_err(|error| invalid(&error.to_string()))?;
+    Ok((header, parser.into_inner()))
 }
 
 fn read_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, rmp_serde::decode::Error> {
@@ -217,8 +229,8 @@
     T::deserialize(&mut parser)
 }
 
-fn unreadable(error: &rmp_serde::decode::Error) -> ServerError {
-    server_error(format!("the answer is not understood: {error}"))
+fn undecodable(error: &rmp_serde::decode::Error) -> ServerError {
+    server_error(format!("cannot decode the response: {error}"))
 }
 
 fn server_error(detail: String) -> ServerError {
@@ -229,10 +241,10 @@
     io::Error::new(io::ErrorKind::InvalidData, reason)
 }
 
-/// A connection as tarpc sees it.
+/// A connection as a tarpc transport, which also counts traffic and invalid frames.
 pub(crate) struct FrameTransport<S, C> {
     framed: Framed<S, LengthDelimitedCodec>,
-    call_most: Duration,
+    max_call: Duration,
     counters: Arc<PeerCounters>,
     codec: PhantomData<fn() -> C>,
 }
@@ -242,28 +254,29 @@
         let framed = LengthDelimitedCodec::builder()
             .max_frame_length(settings.frame_bytes)
             .new_framed(stream);
-        let call_most = Duration::from_millis(settings.call_most_ms);
-        Self { framed, call_most, counters, codec: PhantomData }
+        let max_call = Duration::from_millis(settings.call_most_ms);
+        Self { framed, max_call, counters, codec: PhantomData }
     }
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin, C: FrameCodec> Stream for FrameTransport<S, C> {
     type Item = io::Result<C::Received>;
 
-    /// The next message. A closed connection is an error here: tarpc would otherwise let calls run
-    /// on for a peer that is gone, and their grants would wait for the deadline.
+    /// Returns the next message, and an error when the peer has disconnected. If the stream ended
+    /// instead, tarpc would let that peer's calls run, and their grants would be held until the
+    /// calls' deadlines.
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let frame = match ready!(Pin::new(&mut self.framed).poll_next(context)) {
             Some(frame) => frame,
             None => return Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
         };
         let decoded = frame.and_then(|bytes| {
-            let message = C::decode(&bytes, self.call_most)?;
+            let message = C::decode(&bytes, self.max_call)?;
             self.counters.count_received(C::received_kind(&message), bytes.len());
             Ok(message)
         });
         if let Err(error) = &decoded {
-            self.counters.count_frame();
+            self.counters.count_broken_frame();
             event!(PeerRefused, reason = "broken_frame", detail = error);
         }
         Poll::Ready(Some(decoded))
@@ -301,7 +314,7 @@
 
     use super::*;
 
-    const MOST: Duration = Duration::from_secs(5);
+    const MAX_CALL: Duration = Duration::from_secs(5);
 
     fn call_frame() -> Vec<u8> {
         let fingerprint = RequestFingerprint(7);
@@ -312,63 +325,63 @@
         ClientCodec::encode(ClientMessage::Request(request)).expect("a frame")
     }
 
-    /// A sender that names an endless deadline would overflow the clock, or hold a place for ever.
+    /// An excessive deadline must not overflow the clock or keep a request queued without limit.
     #[test]
     fn deadline_is_bounded() {
-        let head = FrameHead { left_ms: Some(u64::MAX), ..head(1, FrameKind::Call) };
-        let frame = write_frame(&head, Some(&"Status")).expect("a frame");
-        let decoded = ServerCodec::decode(&frame, MOST).expect("a call");
-        let ClientMessage::Request(request) = decoded else { panic!("no call") };
+        let header = FrameHeader { left_ms: Some(u64::MAX), ..header(1, FrameKind::Call) };
+        let frame = write_frame(&header, Some(&"Status")).expect("a frame");
+        let decoded = ServerCodec::decode(&frame, MAX_CALL).expect("a call");
+        let ClientMessage::Request(request) = decoded else { panic!("not a request") };
         assert!(matches!(
             request.message,
             VmPeerRequest::Status {} | VmPeerRequest::Unsupported { .. }
         ));
-        assert!(request.context.deadline <= Instant::now() + MOST);
+        assert!(request.context.deadline <= Instant::now() + MAX_CALL);
     }
 
     #[test]
-    fn frame_comes_back() {
-        let decoded = ServerCodec::decode(&call_frame(), MOST).expect("a call");
-        let ClientMessage::Request(request) = decoded else { panic!("no call") };
+    fn call_round_trip() {
+        let decoded = ServerCodec::decode(&call_frame(), MAX_CALL).expect("a call");
+        let ClientMessage::Request(request) = decoded else { panic!("not a request") };
         assert_eq!(request.id, 4);
         assert!(
             matches!(request.message, VmPeerRequest::Revoke { call } if call.key.as_str() == "k")
         );
     }
 
-    /// Parsers recurse; a frame of nothing but opening brackets must not exhaust the stack.
+    /// A frame that consists of nested array headers must not exhaust the parser's stack.
     #[test]
-    fn deep_frame() {
+    fn deeply_nested_frame() {
         let frame = [
-            write_frame(&head(1, FrameKind::Call), None::<&()>).expect("a head"),
+            write_frame(&header(1, FrameKind::Call), None::<&()>).expect("a header"),
             vec![0x91; 1_000_000],
         ]
         .concat();
-        let decoded = ServerCodec::decode(&frame, MOST).expect("a call");
-        let ClientMessage::Request(request) = decoded else { panic!("no call") };
+        let decoded = ServerCodec::decode(&frame, MAX_CALL).expect("a call");
+        let ClientMessage::Request(request) = decoded else { panic!("not a request") };
         assert!(matches!(request.message, VmPeerRequest::Unsupported { .. }));
-        assert!(ServerCodec::decode(&vec![0x91; 1_000_000], MOST).is_err());
+        assert!(ServerCodec::decode(&vec![0x91; 1_000_000], MAX_CALL).is_err());
     }
 
     proptest! {
         #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-        /// Whatever arrives as a frame, the parsers answer and do not panic.
+        /// Decoding arbitrary bytes does not panic.
         #[test]
-        fn any_frame(frame in prop::collection::vec(any::<u8>(), 0..200)) {
-            let _ = ServerCodec::decode(&frame, MOST);
-            let _ = ClientCodec::decode(&frame, MOST);
+        fn arbitrary_bytes(frame in prop::collection::vec(any::<u8>(), 0..200)) {
+            let _ = ServerCodec::decode(&frame, MAX_CALL);
+            let _ = ClientCodec::decode(&frame, MAX_CALL);
         }
 
-        /// The same for frames that are nearly right.
+        /// Decoding a valid frame with one changed byte and truncated at any point does not panic.
         #[test]
-        fn near_frame(at in 0usize..400, byte in any::<u8>(), cut in 0usize..400) {
+        fn corrupted_frame(at in 0usize..400, byte in any::<u8>(), cut in 0usize..400) {
             let mut frame = call_frame();
             let length = frame.len();
             frame[at % length] = byte;
             frame.truncate(length - cut % length);
-            let _ = ServerCodec::decode(&frame, MOST);
-            let _ = ClientCodec::decode(&frame, MOST);
+            let _ = ServerCodec::decode(&frame, MAX_CALL);
+            let _ = ClientCodec::decode(&frame, MAX_CALL);
         }
     }
 }
--- a/peer/tests/suite/fake.rs
+++ b/peer/tests/suite/fake.rs
@@ -1,4 +1,4 @@
-//! A VM that answers as the test asks and notes what it was asked.
+//! A fake VM, and helpers to start and call it.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -22,20 +22,23 @@
 use coltsfoothook_peer::{PeerHandler, PeerPool, PeerServer, PeerSettings, PeerTarget};
 use tokio::sync::Semaphore;
 
-/// Time enough for any call of these tests.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// Time limit of calls that are expected to complete.
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// A handler that refuses all reservations, and records reservations, withdrawals and releases.
 pub(crate) struct FakeVm {
     name: &'static str,
-    /// Reservations wait for a permit each.
+    /// Each reservation consumes one permit, and waits until there is one.
     pub(crate) gate: Semaphore,
+    /// Reservations received.
     pub(crate) reserving: AtomicUsize,
+    /// Reservations whose handler ended, whether it replied or was dropped.
     pub(crate) dropped: Arc<AtomicUsize>,
     pub(crate) withdrawn: AtomicUsize,
     pub(crate) released: Mutex<Vec<ReleaseCall>>,
 }
 
-/// Counts when a reservation ends, answered or not.
+/// Increments the counter when dropped.
 struct DropCount(Arc<AtomicUsize>);
 
 impl Drop for DropCount {
@@ -64,8 +67,8 @@
         ProbeReply { number: message.number, from: digest(self.name), reached, news: message.news }
     }
 
-    /// Answers with the request's prompt length as the time to come back, so that crossed answers
-    /// are seen.
+    /// Refuses with the request's `prompt_tokens` as `retry_after_ms`, so that a reply to another
+    /// call is detected.
     async fn reserve(&self, call: ReserveCall) -> ReserveReply {
         let _guard = DropCount(self.dropped.clone());
         self.reserving.fetch_add(1, Ordering::SeqCst);
@@ -132,9 +135,9 @@
     }
 }
 
-pub(crate) fn reserve_call(asker: &str, number: u32) -> ReserveCall {
+pub(crate) fn reserve_call(requester: &str, number: u32) -> ReserveCall {
     ReserveCall {
-        asker: identity(asker),
+        asker: identity(requester),
         group: "g".into(),
         spec: RequestSpec {
             id: format!("r{number}").into(),
@@ -162,20 +165,20 @@
     }
 }
 
-/// The retry time of a refusal, by which the fake VM marks whose answer it is.
-pub(crate) fn mark(reply: &ReserveReply) -> u64 {
+/// Returns the refusal's `retry_after_ms`, which identifies the call; see [`FakeVm`]'s `reserve`.
+pub(crate) fn reply_tag(reply: &ReserveReply) -> u64 {
     match reply {
         ReserveReply::Refused(refusal) => refusal.retry_after_ms,
-        ReserveReply::Granted(_) => panic!("the fake VM grants nothing"),
+        ReserveReply::Granted(_) => panic!("the fake VM never grants"),
     }
 }
 
-/// Settings without TLS.
-pub(crate) fn plain() -> PeerSettings {
+/// Returns settings without TLS and with a frame limit of 64 KiB.
+pub(crate) fn plain_settings() -> PeerSettings {
     PeerSettings { plaintext: true, frame_bytes: 64 * 1024, ..Default::default() }
 }
 
-/// Starts a VM without TLS and a pool that calls it.
+/// Starts a server without TLS for `vm`, and a pool to call it.
 pub(crate) fn start(vm: Arc<FakeVm>, settings: PeerSettings) -> (PeerServer, PeerPool, PeerTarget) {
     let name = vm.name;
     let server = PeerServer::start(settings.clone(), vm, None).expect("a server");
@@ -184,12 +187,12 @@
     (server, pool, target)
 }
 
-/// Waits until something holds.
-pub(crate) async fn until(what: impl Fn() -> bool) {
+/// Polls until the condition holds; panics after [`CALL_TIMEOUT`].
+pub(crate) async fn wait_until(condition: impl Fn() -> bool) {
     let reached = async {
-        while !what() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(LONG, reached).await.expect("it comes about");
+    tokio::time::timeout(CALL_TIMEOUT, reached).await.expect("the condition holds in time");
 }
--- a/peer/tests/suite/main.rs
+++ b/peer/tests/suite/main.rs
@@ -1,8 +1,8 @@
-//! Tests of calls between VMs, over loopback.
+//! Tests of calls between VMs, over loopback connections.
 
 mod bad_peers;
-mod broken_lines;
 mod dropped_calls;
+mod failed_calls;
 mod fake;
 mod forged_names;
 mod good_calls;
--- a/peer/tests/suite/other_release.rs
+++ b/peer/tests/suite/other_release.rs
@@ -1,14 +1,14 @@
-//! Messages of another release, written byte for byte as it would write them.
+//! Messages of another release, encoded independently of this release's types.
 
 use serde::Serialize;
 use serde::de::IgnoredAny;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::fake::{FakeVm, plain, start};
+use crate::fake::{FakeVm, plain_settings, start};
 
 #[derive(Serialize)]
-struct Head<'a> {
+struct Header<'a> {
     id: u64,
     kind: &'a str,
     hop_count: u8,
@@ -21,7 +21,7 @@
     Summarise { lines: u32 },
 }
 
-/// A withdrawal with a field that this release does not know.
+/// A `WithdrawCall` with an extra field.
 #[derive(Serialize)]
 struct Withdraw {
     mood: Vec<u8>,
@@ -37,15 +37,16 @@
     boot: Option<u8>,
 }
 
-/// A revocation that lacks what this release needs.
+/// A `RevokeCall` without fields that this release requires.
 #[derive(Serialize)]
 struct Revoke {
     tenant: &'static str,
 }
 
+/// Sends a call and returns the id and the message of the response.
 async fn send(stream: &mut TcpStream, id: u64, call: &Call) -> (u64, String) {
     let mut frame =
-        rmp_serde::to_vec_named(&Head { id, kind: "call", hop_count: 3 }).expect("a head");
+        rmp_serde::to_vec_named(&Header { id, kind: "call", hop_count: 3 }).expect("a header");
     frame.extend(rmp_serde::to_vec_named(call).expect("a message"));
     let length = u32::try_from(frame.len()).expect("a short frame");
     stream.write_all(&length.to_be_bytes()).await.expect("write");
@@ -55,26 +56,27 @@
     stream.read_exact(&mut answer).await.expect("a frame");
     let mut parser = rmp_serde::Deserializer::new(&answer[..]);
     #[derive(serde::Deserialize)]
-    struct AnswerHead {
+    struct AnswerHeader {
         id: u64,
     }
-    let head: AnswerHead = serde::Deserialize::deserialize(&mut parser).expect("a head");
+    let header: AnswerHeader = serde::Deserialize::deserialize(&mut parser).expect("a header");
     let rest = parser.into_inner();
     let _: IgnoredAny = rmp_serde::from_slice(rest).expect("a message");
-    (head.id, String::from_utf8_lossy(rest).into_owned())
+    (header.id, String::from_utf8_lossy(rest).into_owned())
 }
 
-/// VMs are replaced one by one. A newer one sends fields that this one ignores, and calls that it
-/// does not know or cannot read; those are answered as unsupported, each under its own number, and
-/// the connection goes on. Closing it instead would fail all other calls of that VM.
+/// A newer release's unknown fields are ignored. Its unknown methods and undecodable messages are
+/// answered as unsupported under the call's id, and the connection stays open; closing it would
+/// fail all other calls of that VM.
 #[tokio::test]
 async fn newer_release() {
     let vm = FakeVm::new("b", 0);
-    let (server, _, _) = start(vm.clone(), plain());
+    let (server, _, _) = start(vm.clone(), plain_settings());
     let mut stream = TcpStream::connect(server.address()).await.expect("connect");
-    let asker = || Identity { vm: "a", incarnation: 1, boot: Some(1) };
-    let withdraw =
-        || Call::Withdraw { call: Withdraw { mood: vec![1], asker: asker(), group: "g", id: "r" } };
+    let requester = || Identity { vm: "a", incarnation: 1, boot: Some(1) };
+    let withdraw = || Call::Withdraw {
+        call: Withdraw { mood: vec![1], asker: requester(), group: "g", id: "r" },
+    };
     let (id, answer) = send(&mut stream, 1, &withdraw()).await;
     assert!(id == 1 && answer.contains("Ok"), "{answer}");
     let (id, answer) = send(&mut stream, 2, &Call::Summarise { lines: 4 }).await;
