--- a/peer/src/lib.rs
+++ b/peer/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`PeerServer`] passes calls of other VMs to the [`PeerHandler`] that the entry process
 //! implements. [`PeerPool`] keeps one connection to each VM that this one calls. [`PeerSettings`]
-//! describes the compatibility between releases, and docs/KEYS.md, "Between entry VMs", the setup
-//! of TLS.
+//! and docs/KEYS.md, "Between entry VMs", describe the frames and the compatibility between
+//! releases.
 //!
 //! ```no_run
 //! # use std::{sync::Arc, time::Duration};
--- a/peer/src/pool.rs
+++ b/peer/src/pool.rs
@@ -30,7 +30,8 @@
 
 /// Shards of the connection table, to reduce lock contention between calls to different VMs.
 const SHARDS: usize = 8;
-/// Limit of the exponent in the backoff, so that the shift cannot overflow.
+/// Maximum number of backoff doublings; prevents overflow of the shift. The backoff normally reaches
+/// [`PeerSettings::backoff_most_ms`] earlier.
 const MAX_DOUBLINGS: u32 = 16;
 
 value! {
