--- a/exchange/src/answer.rs
+++ b/exchange/src/answer.rs
@@ -1,4 +1,4 @@
-//! An answer whose body is read piece by piece.
+//! A response whose body is streamed.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,76 +17,79 @@
 use crate::error::{ExchangeError, ExchangeStage};
 use crate::pool::{ConnectionPool, OpenConnection};
 
-/// The head of an answer and its body to come.
+/// A response head with its body, which is still to be read.
 #[derive(Debug)]
 pub struct ExchangeAnswer {
-    /// The status.
+    /// The status code, of any class; the client does not turn error statuses into errors.
     pub status: StatusCode,
-    /// The headers.
+    /// The headers as received.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body, to be read to its end for the connection to be reused.
     pub body: AnswerBody,
 }
 
-/// The body of an answer, a stream of its pieces.
+/// A response body as a stream of data chunks.
 ///
-/// Its connection is kept for another exchange once the end was read. Dropping it before closes the
-/// connection, by which the server learns that nobody reads on.
+/// Each chunk must arrive within the timeout of the request. Reading to the end returns the
+/// connection to the pool; dropping the body earlier closes the connection, so that the server sees
+/// the cancellation.
 pub struct AnswerBody {
     body: BodyStream<Incoming>,
-    limit: Duration,
+    chunk_timeout: Duration,
     timer: Pin<Box<Sleep>>,
     address: SocketAddr,
     connection: Option<OpenConnection>,
     pool: ConnectionPool,
-    ended: bool,
+    finished: bool,
 }
 
 impl AnswerBody {
     pub(crate) fn new(
         body: Incoming,
-        limit: Duration,
+        chunk_timeout: Duration,
         address: SocketAddr,
         connection: OpenConnection,
         pool: ConnectionPool,
     ) -> Self {
         Self {
             body: BodyStream::new(body),
-            limit,
-            timer: Box::pin(tokio::time::sleep(limit)),
+            chunk_timeout,
+            timer: Box::pin(tokio::time::sleep(chunk_timeout)),
             address,
             connection: Some(connection),
             pool,
-            ended: false,
+            finished: false,
         }
     }
 
-    /// Reads the whole body.
+    /// Reads the body to its end.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError::TooLarge`] beyond `limit` bytes, else what cut the answer.
+    /// [`ExchangeError::TooLarge`] if it is longer than `limit` bytes, and
+    /// [`ExchangeError::Broken`] or [`ExchangeError::TimedOut`] if it did not arrive in full. The
+    /// connection is closed in each case.
     pub async fn collect(mut self, limit: usize) -> Result<Bytes, ExchangeError> {
-        let mut whole = BytesMut::new();
-        while let Some(piece) = self.next().await {
-            let piece = piece?;
-            if whole.len() + piece.len() > limit {
+        let mut collected = BytesMut::new();
+        while let Some(chunk) = self.next().await {
+            let chunk = chunk?;
+            if collected.len() + chunk.len() > limit {
                 return Err(ExchangeError::TooLarge { limit });
             }
-            whole.extend_from_slice(&piece);
+            collected.extend_from_slice(&chunk);
         }
-        Ok(whole.freeze())
+        Ok(collected.freeze())
     }
 
-    fn end(&mut self) {
-        self.ended = true;
+    fn finish(&mut self) {
+        self.finished = true;
         if let Some(connection) = self.connection.take() {
             self.pool.put(self.address, connection);
         }
     }
 
     fn fail(&mut self, error: ExchangeError) -> Poll<Option<Result<Bytes, ExchangeError>>> {
-        self.ended = true;
+        self.finished = true;
         self.connection = None;
         Poll::Ready(Some(Err(error)))
     }
@@ -97,16 +100,16 @@
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         loop {
-            if self.ended {
+            if self.finished {
                 return Poll::Ready(None);
             }
             match self.body.poll_next_unpin(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    let deadline = Instant::now() + self.limit;
+                    let deadline = Instant::now() + self.chunk_timeout;
                     self.timer.as_mut().reset(deadline);
-                    // Trailers carry nothing that is used here.
-                    if let Ok(piece) = frame.into_data() {
-                        return Poll::Ready(Some(Ok(piece)));
+                    // Trailers are discarded.
+                    if let Ok(chunk) = frame.into_data() {
+                        return Poll::Ready(Some(Ok(chunk)));
                     }
                 }
                 Poll::Ready(Some(Err(error))) => {
@@ -114,7 +117,7 @@
                     return self.fail(ExchangeError::Broken { cause });
                 }
                 Poll::Ready(None) => {
-                    self.end();
+                    self.finish();
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
--- a/exchange/src/client.rs
+++ b/exchange/src/client.rs
@@ -1,4 +1,4 @@
-//! Sends a request and waits for the head of its answer.
+//! The client: sends a request and waits for the response head.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,59 +16,61 @@
 use crate::answer::{AnswerBody, ExchangeAnswer};
 use crate::counted::{CountedStream, WrittenCount};
 use crate::error::{ExchangeError, ExchangeStage};
-use crate::pool::{ConnectionPool, KeepTimes, OpenConnection};
+use crate::pool::{ConnectionPool, IdleTimeouts, OpenConnection};
 
-/// The least time by which an idle connection is given up before its server closes it. It covers the
-/// way there and back and a late timer.
-const KEEP_MARGIN: Duration = Duration::from_millis(200);
+/// The minimum time by which an idle connection is dropped before the server's advertised timeout.
+/// Covers a round trip and a late timer, so that a request does not race with the server's close.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(200);
 
 settings_struct! {
-    /// Times and bounds of exchanges. All times are in milliseconds.
+    /// Timeouts and limits of exchanges. All times are in milliseconds.
     pub struct ExchangeSettings {
-        /// For opening a connection.
+        /// Timeout for opening a connection.
         pub connect_ms: u64 = 1_000, in 1..=600_000;
-        /// For the head of the answer, unless the request states another time.
+        /// Timeout for the response head, unless the request sets its own.
         pub head_ms: u64 = 30_000, in 1..=3_600_000;
-        /// For each further piece of the answer's body.
+        /// Timeout for each chunk of the response body, unless the request sets its own.
         pub body_ms: u64 = 30_000, in 1..=3_600_000;
-        /// How long an idle connection is kept whose server does not say how long it keeps it.
+        /// Idle timeout of a connection whose server advertises none in `Keep-Alive`.
         pub keep_ms: u64 = 20_000, in 0..=3_600_000;
-        /// How long one is kept at most whose server says so.
+        /// Upper bound on the idle timeout that a server advertises.
         pub most_keep_ms: u64 = 20_000, in 0..=3_600_000;
-        /// The same for the newest idle connection of each server.
+        /// The same bound for the most recently used idle connection of each server.
         pub newest_keep_ms: u64 = 20_000, in 0..=3_600_000;
-        /// After how much silence the kernel probes a connection, in milliseconds. A peer that
-        /// vanished without a reset is noticed after four such times.
+        /// Idle time before the first TCP keep-alive probe, and the interval between probes. A
+        /// connection whose peer vanished without a reset fails after four such periods.
         pub probe_ms: u64 = 1_000, in 1_000..=600_000;
-        /// Idle connections kept for each server.
+        /// Maximum number of idle connections for each server.
         pub idle_connections: usize = 64, in 0..=10_000;
-        /// The longest head of an answer, in bytes; at least 8,192.
+        /// Maximum size of a response head, in bytes; at least 8,192.
         pub max_head_bytes: usize = 64 * 1024, in 8_192..=16 * 1024 * 1024;
     }
 }
 
-/// A request.
+/// A request with its connection and timeout options.
 #[derive(Clone, Debug)]
 pub struct ExchangeRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query, beginning with `/`.
     pub path: String,
-    /// Headers besides the body's length. Without `Host` the server's address is named.
+    /// Headers without `Content-Length`, which is set from the body. `Host` defaults to the
+    /// server's address.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body; empty for none.
     pub body: Bytes,
-    /// Whether it needs a connection of its own. A kept connection may be dead without our knowing,
-    /// and then the outcome would be "unknown" where a fresh connection yields a clear "not sent".
+    /// Whether to open a new connection instead of reusing an idle one. An idle connection may have
+    /// failed unnoticed, and the outcome would then be unknown ([`ExchangeError::Sent`]) where a
+    /// new connection yields [`ExchangeError::NotSent`].
     pub fresh: bool,
-    /// How long to wait for the head of the answer; none means the setting.
+    /// Timeout for the response head; `None` means [`ExchangeSettings::head_ms`].
     pub head_within: Option<Duration>,
-    /// How long to wait for each further piece of the body; none means the setting.
+    /// Timeout for each chunk of the body; `None` means [`ExchangeSettings::body_ms`].
     pub piece_within: Option<Duration>,
 }
 
 impl ExchangeRequest {
-    /// A request without a body.
+    /// Creates a request without headers and body that may reuse a connection.
     #[must_use]
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
@@ -82,13 +84,13 @@
         }
     }
 
-    /// A `GET`.
+    /// Creates a `GET` request.
     #[must_use]
     pub fn get(path: impl Into<String>) -> Self {
         Self::new(Method::GET, path)
     }
 
-    /// A `POST` of JSON.
+    /// Creates a `POST` request with a JSON body.
     #[must_use]
     pub fn post_json(path: impl Into<String>, body: impl Into<Bytes>) -> Self {
         let mut request = Self::new(Method::POST, path);
@@ -98,9 +100,11 @@
     }
 
     fn into_http(self, address: SocketAddr) -> Result<Request<Full<Bytes>>, ExchangeError> {
-        // A whole URL would name another host in the request line than the one that is connected.
+        // An absolute URL could name a host other than the connected one in the request line.
         if !self.path.starts_with('/') {
-            return Err(ExchangeError::NotSent { cause: "the path must begin with /".to_owned() });
+            return Err(ExchangeError::NotSent {
+                cause: "request path must begin with /".to_owned(),
+            });
         }
         let mut request = Request::builder()
             .method(self.method)
@@ -117,7 +121,7 @@
     }
 }
 
-/// The client; clones share their connections.
+/// An HTTP/1.1 client; clones share one connection pool.
 #[derive(Clone)]
 pub struct ExchangeClient {
     settings: ExchangeSettings,
@@ -125,23 +129,23 @@
 }
 
 impl ExchangeClient {
-    /// A client without connections yet.
+    /// Creates a client; connections are opened on demand.
     #[must_use]
     pub fn new(settings: ExchangeSettings) -> Self {
-        let keep = KeepTimes {
-            unstated: Duration::from_millis(settings.keep_ms),
-            most_stated: Duration::from_millis(settings.most_keep_ms),
-            newest_stated: Duration::from_millis(settings.newest_keep_ms),
+        let timeouts = IdleTimeouts {
+            unadvertised: Duration::from_millis(settings.keep_ms),
+            max_advertised: Duration::from_millis(settings.most_keep_ms),
+            newest_max_advertised: Duration::from_millis(settings.newest_keep_ms),
         };
-        let pool = ConnectionPool::new(keep, settings.idle_connections);
+        let pool = ConnectionPool::new(timeouts, settings.idle_connections);
         Self { settings, pool }
     }
 
-    /// Sends `request` at most once and waits for the head of the answer.
+    /// Sends `request` at most once and waits for the response head.
     ///
     /// # Errors
     ///
-    /// Each variant of [`ExchangeError`] tells how far the exchange came.
+    /// The variant of [`ExchangeError`] shows how far the exchange got.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -154,30 +158,31 @@
             request.head_within.unwrap_or(Duration::from_millis(self.settings.head_ms));
         let mut message = request.into_http(address)?;
         loop {
-            let kept = if fresh { None } else { self.pool.take(address) };
-            let connection = match kept {
+            let pooled = if fresh { None } else { self.pool.take(address) };
+            let connection = match pooled {
                 Some(connection) => connection,
                 None => self.connect(address).await?,
             };
             let reused = connection.reused;
-            message = match self.exchange(connection, message, head_within).await {
+            message = match self.attempt(connection, message, head_within).await {
                 Ok((connection, response)) => {
-                    return Ok(self.answer(address, connection, response, piece_within));
+                    return Ok(self.build_answer(address, connection, response, piece_within));
                 }
-                // The library gives the message back only if it never began to write it, so
-                // trying another connection cannot run it twice. A kept connection that died
-                // while idle ends here; a new one that dies at once is an error.
-                Err(Failure::Unwritten { message, .. }) if reused => *message,
-                Err(Failure::Unwritten { cause, .. }) => {
+                // Hyper returns the message only if it wrote none of it, so sending it on another
+                // connection cannot run the request twice. This is the case of a pooled connection
+                // that failed while idle; the same failure of a new connection is an error.
+                Err(AttemptFailure::Unwritten { message, .. }) if reused => *message,
+                Err(AttemptFailure::Unwritten { cause, .. }) => {
                     return Err(ExchangeError::NotSent { cause });
                 }
-                Err(Failure::Ended(error)) => return Err(error),
+                Err(AttemptFailure::Final(error)) => return Err(error),
             };
         }
     }
 
-    /// Drops all idle connections to a server. Where one fell silent without a reset, others that are
-    /// as old may have too, and each would cost an exchange its whole time limit.
+    /// Drops all idle connections to a server. If one connection became unresponsive without a
+    /// reset, the other idle ones may have as well, and each would cost an exchange its full
+    /// timeout.
     pub fn forget(&self, address: SocketAddr) {
         self.pool.forget(address);
     }
@@ -190,7 +195,7 @@
             .map_err(|_| ExchangeError::TimedOut { stage: ExchangeStage::Connect })?
             .map_err(|error| not_sent(error.to_string()))?;
         stream.set_nodelay(true).map_err(|error| not_sent(error.to_string()))?;
-        self.probe(&stream).map_err(|error| not_sent(error.to_string()))?;
+        self.enable_keepalive(&stream).map_err(|error| not_sent(error.to_string()))?;
         let written = WrittenCount::default();
         let stream = TokioIo::new(CountedStream::new(stream, written.clone()));
         let (sender, connection) = hyper::client::conn::http1::Builder::new()
@@ -198,33 +203,34 @@
             .handshake(stream)
             .await
             .map_err(|error| not_sent(error.to_string()))?;
-        // The connection's own errors also reach the exchange that uses it.
+        // Errors of the connection task also reach the exchange that uses the connection.
         tokio::spawn(async move { drop(connection.await) });
-        Ok(OpenConnection { sender, written, reused: false, keep: None })
+        Ok(OpenConnection { sender, written, reused: false, idle_timeout: None })
     }
 
-    /// Lets the kernel notice a peer that fell silent without closing; else an exchange with it
-    /// would only end at its own time limit.
-    fn probe(&self, stream: &TcpStream) -> std::io::Result<()> {
-        let silence = Duration::from_millis(self.settings.probe_ms);
-        let probes = TcpKeepalive::new().with_time(silence).with_interval(silence).with_retries(3);
+    /// Enables TCP keep-alive and the user timeout, so that the kernel detects a peer that vanished
+    /// without closing before the timeout of the exchange.
+    fn enable_keepalive(&self, stream: &TcpStream) -> std::io::Result<()> {
+        let interval = Duration::from_millis(self.settings.probe_ms);
+        let keepalive =
+            TcpKeepalive::new().with_time(interval).with_interval(interval).with_retries(3);
         let socket = SockRef::from(stream);
-        socket.set_tcp_keepalive(&probes)?;
-        socket.set_tcp_user_timeout(Some(silence * 4))
+        socket.set_tcp_keepalive(&keepalive)?;
+        socket.set_tcp_user_timeout(Some(interval * 4))
     }
 
-    async fn exchange(
+    async fn attempt(
         &self,
         mut connection: OpenConnection,
         message: Request<Full<Bytes>>,
         head_within: Duration,
-    ) -> Result<(OpenConnection, http::Response<Incoming>), Failure> {
-        let before = connection.written.get();
+    ) -> Result<(OpenConnection, http::Response<Incoming>), AttemptFailure> {
+        let written_before = connection.written.get();
         let result = timeout(head_within, connection.sender.try_send_request(message)).await;
         let Ok(result) = result else {
-            let untouched = connection.written.seal() == before;
-            let stage = if untouched { ExchangeStage::Connect } else { ExchangeStage::Head };
-            return Err(Failure::Ended(ExchangeError::TimedOut { stage }));
+            let unwritten = connection.written.seal() == written_before;
+            let stage = if unwritten { ExchangeStage::Connect } else { ExchangeStage::Head };
+            return Err(AttemptFailure::Final(ExchangeError::TimedOut { stage }));
         };
         let mut error = match result {
             Ok(response) => return Ok((connection, response)),
@@ -232,65 +238,67 @@
         };
         let cause = error_chain(error.error());
         if let Some(message) = error.take_message() {
-            return Err(Failure::Unwritten { message: Box::new(message), cause });
+            return Err(AttemptFailure::Unwritten { message: Box::new(message), cause });
         }
-        let untouched = connection.written.seal() == before;
-        Err(Failure::Ended(if untouched {
+        let unwritten = connection.written.seal() == written_before;
+        Err(AttemptFailure::Final(if unwritten {
             ExchangeError::NotSent { cause }
         } else {
             ExchangeError::Sent { cause }
         }))
     }
 
-    fn answer(
+    fn build_answer(
         &self,
         address: SocketAddr,
         mut connection: OpenConnection,
         response: http::Response<Incoming>,
-        limit: Duration,
+        chunk_timeout: Duration,
     ) -> ExchangeAnswer {
         let (parts, body) = response.into_parts();
-        connection.keep = stated_keep(&parts.headers);
-        let body = AnswerBody::new(body, limit, address, connection, self.pool.clone());
+        connection.idle_timeout = advertised_idle_timeout(&parts.headers);
+        let body = AnswerBody::new(body, chunk_timeout, address, connection, self.pool.clone());
         ExchangeAnswer { status: parts.status, headers: parts.headers, body }
     }
 }
 
-/// Checks that `text` can stand as one segment of a path without escapes.
+/// Checks that `text` is valid as one path segment without escaping, and returns it.
 ///
-/// Ids come from outside; one with a slash or a question mark would reach another endpoint.
+/// Guards against identifiers from outside: one with a slash or a question mark would address
+/// another endpoint.
 ///
 /// # Errors
 ///
-/// [`ExchangeError::NotSent`] if it is empty or has other characters than letters, digits and
-/// `.`, `_`, `-`, `~`, `:`, `@`.
+/// [`ExchangeError::NotSent`] if it is empty, `.` or `..`, or has characters other than ASCII
+/// letters, digits and `.`, `_`, `-`, `~`, `:`, `@`.
 pub fn path_segment(text: &str) -> Result<&str, ExchangeError> {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-~:@".contains(&byte);
-    if !text.is_empty() && text != "." && text != ".." && text.bytes().all(plain) {
+    let unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"._-~:@".contains(&byte);
+    if !text.is_empty() && text != "." && text != ".." && text.bytes().all(unreserved) {
         return Ok(text);
     }
-    Err(ExchangeError::NotSent { cause: format!("{text:?} cannot stand in a path") })
+    Err(ExchangeError::NotSent { cause: format!("{text:?} is not a valid path segment") })
 }
 
-/// How long the server says that it keeps the connection, less a tenth or a second: a request must
-/// not meet the close on its way.
-fn stated_keep(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the idle timeout from `Keep-Alive`, less a tenth or [`KEEP_ALIVE_MARGIN`], whichever is
+/// more, so that a request does not race with the server's close. `None` if the header is absent or
+/// states no whole number of seconds.
+fn advertised_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
-    let stated = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
-    let seconds: u64 = stated.trim().parse().ok()?;
-    let keep = Duration::from_secs(seconds);
-    Some(keep.saturating_sub((keep / 10).max(KEEP_MARGIN)))
+    let parameter = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+    let seconds: u64 = parameter.trim().parse().ok()?;
+    let advertised = Duration::from_secs(seconds);
+    Some(advertised.saturating_sub((advertised / 10).max(KEEP_ALIVE_MARGIN)))
 }
 
-/// How one attempt on one connection ended.
-enum Failure {
-    /// The message was never begun and is given back.
+/// Why an attempt on one connection failed.
+enum AttemptFailure {
+    /// No byte of the message was written; it can be sent on another connection.
     Unwritten { message: Box<Request<Full<Bytes>>>, cause: String },
-    /// The exchange is over.
-    Ended(ExchangeError),
+    /// The exchange failed and must not be repeated here.
+    Final(ExchangeError),
 }
 
-/// An error with its sources in one line, for logs.
+/// Formats an error and its sources on one line, for logs.
 pub(crate) fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/exchange/src/counted.rs
+++ b/exchange/src/counted.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts what the kernel took.
+//! A TCP stream that counts the bytes accepted by the kernel.
 
 use std::io;
 use std::pin::Pin;
@@ -8,12 +8,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes written to a connection so far, shared with its user, who can also stop all writing.
+/// The number of bytes written to a connection, shared between its stream and its user.
 ///
-/// An error after a request was handed to the HTTP library does not say whether any byte went out,
-/// nor whether the library will still write some. [`WrittenCount::seal`] answers both: nothing is
-/// written after it, and if the count stands where it stood before, the request did not run. The
-/// lock is held over each write, so that no write is under way when the seal returns.
+/// An error from hyper after a request was handed to it does not show whether any byte was written,
+/// nor whether more will be. [`WrittenCount::seal`] determines both: nothing is written after it,
+/// and if the count is the one from before the request, the request did not run. The lock is held
+/// during each write, so no write is in progress when `seal` returns.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WrittenCount(Arc<Mutex<WriteState>>);
 
@@ -24,24 +24,27 @@
 }
 
 impl WrittenCount {
-    /// The bytes so far.
+    /// Returns the number of bytes written so far.
     pub(crate) fn get(&self) -> u64 {
         self.lock().count
     }
 
-    /// Forbids further writes and tells the bytes written in all.
+    /// Makes all further writes fail and returns the final number of bytes written.
     pub(crate) fn seal(&self) -> u64 {
         let mut state = self.lock();
         state.sealed = true;
         state.count
     }
 
-    fn write(&self, poll: impl FnOnce() -> Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn record_write(
+        &self,
+        poll_write: impl FnOnce() -> Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
         let mut state = self.lock();
         if state.sealed {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        let result = poll();
+        let result = poll_write();
         if let Poll::Ready(Ok(count)) = result {
             state.count += count as u64;
         }
@@ -53,14 +56,14 @@
     }
 }
 
-/// The stream.
+/// A [`TcpStream`] that records its writes in a [`WrittenCount`].
 pub(crate) struct CountedStream {
     stream: TcpStream,
     written: WrittenCount,
 }
 
 impl CountedStream {
-    /// Counts what is written to `stream` from now on.
+    /// Wraps `stream`; its writes are added to `written`.
     pub(crate) fn new(stream: TcpStream, written: WrittenCount) -> Self {
         Self { stream, written }
     }
@@ -83,7 +86,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let Self { stream, written } = &mut *self;
-        written.write(|| Pin::new(stream).poll_write(cx, bytes))
+        written.record_write(|| Pin::new(stream).poll_write(cx, bytes))
     }
 
     fn poll_write_vectored(
@@ -92,7 +95,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let Self { stream, written } = &mut *self;
-        written.write(|| Pin::new(stream).poll_write_vectored(cx, slices))
+        written.record_write(|| Pin::new(stream).poll_write_vectored(cx, slices))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/exchange/src/error.rs
+++ b/exchange/src/error.rs
@@ -1,56 +1,56 @@
-//! How an exchange ends before its answer is whole.
+//! Errors of an exchange.
 
 use snafu::Snafu;
 
-/// The part of an exchange that took too long.
+/// The stage of an exchange that exceeded its timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeStage {
-    /// Opening the connection, or waiting to write the first byte; nothing was sent.
+    /// Opening the connection or waiting to write the first byte; nothing was sent.
     Connect,
-    /// From the first byte written to the head of the answer.
+    /// Waiting for the response head after at least one byte was written.
     Head,
-    /// Between two pieces of the answer's body.
+    /// Waiting for a chunk of the response body.
     Body,
 }
 
-/// Why there is no whole answer. The variant tells whether the server may have seen the request.
+/// Why no complete response arrived. The variant shows whether the request may have run.
 #[derive(Clone, Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)))]
 pub enum ExchangeError {
     /// No byte of the request was written, so it did not run.
     #[snafu(display("not sent: {cause}"))]
     NotSent {
-        /// What went wrong, for logs.
+        /// The underlying error with its sources, for logs.
         cause: String,
     },
-    /// At least one byte was written and no answer came: whether it ran is unknown.
+    /// At least one byte was written and no response head arrived; whether it ran is unknown.
     #[snafu(display("sent, no answer: {cause}"))]
     Sent {
-        /// What went wrong, for logs.
+        /// The underlying error with its sources, for logs.
         cause: String,
     },
-    /// The answer began and was cut.
+    /// The response head arrived, but its body ended early or was malformed.
     #[snafu(display("answer cut: {cause}"))]
     Broken {
-        /// What went wrong, for logs.
+        /// The underlying error with its sources, for logs.
         cause: String,
     },
-    /// A stage outlasted its time.
+    /// A stage exceeded its timeout.
     #[snafu(display("timed out at {stage:?}"))]
     TimedOut {
-        /// Which stage.
+        /// The stage; only for [`ExchangeStage::Connect`] is it certain that nothing was sent.
         stage: ExchangeStage,
     },
-    /// The answer's body is longer than the bound of its reader.
+    /// The response body is longer than its reader accepts.
     #[snafu(display("answer longer than {limit} bytes"))]
     TooLarge {
-        /// The bound in bytes.
+        /// The reader's limit in bytes.
         limit: usize,
     },
 }
 
 impl ExchangeError {
-    /// Whether the server certainly did not see the request, so that it did not run.
+    /// Returns whether it is certain that no byte of the request was sent, so that it did not run.
     #[must_use]
     pub fn certainly_not_sent(&self) -> bool {
         matches!(self, Self::NotSent { .. } | Self::TimedOut { stage: ExchangeStage::Connect })
--- a/exchange/src/lib.rs
+++ b/exchange/src/lib.rs
@@ -1,11 +1,12 @@
-//! One HTTP/1.1 exchange with a backend server or the platform, with exact knowledge of how far it
-//! came.
+//! An HTTP/1.1 client that reports exactly how far each exchange with a backend server or the
+//! platform got.
 //!
-//! Whether a request "did not run" depends on whether any of its bytes left this process. The
-//! usual pooled clients blur this: they send a request again when a kept connection turns out to be
-//! dead. [`ExchangeClient`] keeps connections too, but counts the bytes that the kernel took, never
-//! sends a request a second time once one byte of it was written, and opens a connection of its own
-//! for a request that asks for one. docs/STANDINS.md tells how each stage is induced in tests.
+//! A request certainly did not run only if none of its bytes left this process. The usual pooled
+//! clients hide this, because they resend a request when a pooled connection turns out to be dead.
+//! [`ExchangeClient`] pools connections too, but counts the bytes that the kernel accepted, never
+//! resends a request once a byte of it was written, and opens a new connection for a request that
+//! demands one ([`ExchangeRequest::fresh`]). docs/STANDINS.md describes how tests induce a failure
+//! at each stage.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), coltsfoothook_exchange::ExchangeError> {
--- a/exchange/tests/suite/main.rs
+++ b/exchange/tests/suite/main.rs
@@ -1,3 +1,3 @@
-//! Tests of the exchange, one file a feature.
+//! Integration tests of the HTTP client.
 
 mod odd_servers;
--- a/exchange/tests/suite/odd_servers.rs
+++ b/exchange/tests/suite/odd_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that break the exchange at each stage, and what the client says of it.
+//! Servers that fail the exchange at each stage, and the error that the client returns.
 
 use std::net::SocketAddr;
 
@@ -10,38 +10,45 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// More rounds than it takes until a kept connection is used again.
-const ROUNDS: usize = 1_000;
-const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+/// The maximum number of exchanges until the pool must have reused a connection.
+const MAX_ROUNDS: usize = 1_000;
+const COMPLETE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// A server that answers each request of a connection with the next of `answers`, and closes the
-/// connection after the last of them. For each request that it reads it tells the connection's
-/// number.
-async fn odd_server(answers: Vec<&'static [u8]>) -> (SocketAddr, mpsc::UnboundedReceiver<usize>) {
+/// Starts a server that answers the requests of each connection with `answers`, in order, and
+/// closes the connection after the last. Returns its address and a channel that yields the connection's
+/// number, from 0, for each request that it reads.
+async fn faulty_server(
+    answers: Vec<&'static [u8]>,
+) -> (SocketAddr, mpsc::UnboundedReceiver<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, told) = mpsc::unbounded_channel();
+    let (read_requests, requests) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         for connection in 0.. {
             let Ok((stream, _)) = listener.accept().await else { return };
-            tokio::spawn(answer_all(stream, answers.clone(), connection, tell.clone()));
+            tokio::spawn(serve_connection(
+                stream,
+                answers.clone(),
+                connection,
+                read_requests.clone(),
+            ));
         }
     });
-    (address, told)
+    (address, requests)
 }
 
-async fn answer_all(
+async fn serve_connection(
     mut stream: TcpStream,
     answers: Vec<&'static [u8]>,
     connection: usize,
-    tell: mpsc::UnboundedSender<usize>,
+    read_requests: mpsc::UnboundedSender<usize>,
 ) {
     let mut buffer = [0; 4_096];
     for answer in answers {
         if stream.read(&mut buffer).await.unwrap_or(0) == 0 {
             return;
         }
-        let _ = tell.send(connection);
+        let _ = read_requests.send(connection);
         let _ = stream.write_all(answer).await;
     }
 }
@@ -54,36 +61,36 @@
     client(ExchangeSettings::default()).send(address, ExchangeRequest::post_json("/x", "{}")).await
 }
 
-/// The server closes, or answers what is no HTTP, after the request was written. Nobody knows what
-/// it did with the request.
+/// A connection that is closed, or a response that is not valid HTTP, after the request was written
+/// leaves unknown whether the request ran.
 #[tokio::test]
 async fn no_answer() {
     for answer in [&b""[..], b"HTTP/1.1 2", b"SSH-2.0-x\r\n\r\n"] {
-        let (address, mut told) = odd_server(vec![answer]).await;
+        let (address, mut requests) = faulty_server(vec![answer]).await;
         let error = send(address).await.unwrap_err();
         assert!(matches!(error, ExchangeError::Sent { .. }), "{answer:?}: {error:?}");
-        assert_eq!(told.recv().await, Some(0));
+        assert_eq!(requests.recv().await, Some(0));
     }
 }
 
-/// The answer's body ends before its stated length, or inside a chunk: it is cut, not short.
+/// A body that ends before its `Content-Length` or inside a chunk is an error, not a short body.
 #[tokio::test]
-async fn short_answer() {
-    let counted = &b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok"[..];
+async fn truncated_body() {
+    let with_length = &b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok"[..];
     let chunked = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nok";
-    for answer in [counted, chunked] {
-        let (address, _told) = odd_server(vec![answer]).await;
+    for answer in [with_length, chunked] {
+        let (address, _requests) = faulty_server(vec![answer]).await;
         let error = send(address).await.unwrap().body.collect(100).await.unwrap_err();
         assert!(matches!(error, ExchangeError::Broken { .. }), "{error:?}");
     }
 }
 
-/// A head without end must not fill the memory.
+/// Guards against unbounded memory use by an endless response head.
 #[tokio::test]
 async fn endless_head() {
     let mut head = b"HTTP/1.1 200 OK\r\nx: ".to_vec();
     head.resize(200_000, b'y');
-    let (address, _told) = odd_server(vec![head.leak()]).await;
+    let (address, _requests) = faulty_server(vec![head.leak()]).await;
     let error = send(address).await.unwrap_err();
     assert!(matches!(error, ExchangeError::Sent { .. }), "{error:?}");
 }
@@ -97,32 +104,32 @@
     client.send(address, request).await?.body.collect(10).await
 }
 
-/// A kept connection is used again; a request that asks for a connection of its own gets one.
+/// Idle connections are reused, except by a request that demands a new connection.
 #[tokio::test]
-async fn kept_connection() {
-    let (address, mut told) = odd_server(vec![WHOLE; 3]).await;
+async fn reused_connection() {
+    let (address, mut requests) = faulty_server(vec![COMPLETE; 3]).await;
     let client = client(ExchangeSettings::default());
     get(&client, address, false).await.unwrap();
-    let mut last = told.recv().await.unwrap();
+    let mut last = requests.recv().await.unwrap();
     for round in 0.. {
-        assert!(round < ROUNDS, "no connection was used again");
-        // The connection is free as soon as its own task has seen the end of the answer.
+        assert!(round < MAX_ROUNDS, "no connection was reused");
+        // The connection is ready again only after its task has processed the end of the response.
         get(&client, address, false).await.unwrap();
-        let connection = told.recv().await.unwrap();
+        let connection = requests.recv().await.unwrap();
         if connection <= last {
             break;
         }
         last = connection;
     }
     get(&client, address, true).await.unwrap();
-    assert_eq!(told.recv().await, Some(last + 1));
+    assert_eq!(requests.recv().await, Some(last + 1));
 }
 
-/// The server reads the second request of a kept connection and closes. It may have run it, so the
-/// client must not send it again on another connection by itself.
+/// Guards against running a request twice: a server that closes a reused connection after reading
+/// the request may have run it, so the client must not resend it.
 #[tokio::test]
-async fn no_second_send() {
-    let (address, mut told) = odd_server(vec![WHOLE, b""]).await;
+async fn no_resend() {
+    let (address, mut requests) = faulty_server(vec![COMPLETE, b""]).await;
     let client = client(ExchangeSettings::default());
     let mut sent = 1;
     let error = loop {
@@ -130,45 +137,45 @@
             break error;
         }
         sent += 1;
-        assert!(sent < ROUNDS, "the lost answer was hidden");
+        assert!(sent < MAX_ROUNDS, "the lost response was not reported");
     };
     assert!(matches!(error, ExchangeError::Sent { .. }), "{error:?}");
     for _ in 0..sent {
-        told.recv().await.unwrap();
+        requests.recv().await.unwrap();
     }
-    assert!(told.try_recv().is_err(), "one request was sent twice");
+    assert!(requests.try_recv().is_err(), "a request was sent twice");
 }
 
-/// Requests that cannot be written down are refused before anything is sent.
+/// Requests with an invalid path are rejected before anything is sent.
 #[tokio::test]
 async fn bad_request() {
-    let (address, mut told) = odd_server(vec![WHOLE]).await;
+    let (address, mut requests) = faulty_server(vec![COMPLETE]).await;
     for path in ["/with blank", "http://10.0.0.1/x", "*", ""] {
         let request = ExchangeRequest::get(path);
         let error = client(ExchangeSettings::default()).send(address, request).await.unwrap_err();
         assert!(error.certainly_not_sent(), "{path:?}");
     }
-    assert!(told.try_recv().is_err());
+    assert!(requests.try_recv().is_err());
     for text in ["", "..", "a/b", "a?b", "a b", "ä"] {
         assert!(path_segment(text).is_err(), "{text:?}");
     }
     assert_eq!(path_segment("cf1.vm-1.7@x:2~_"), Ok("cf1.vm-1.7@x:2~_"));
 }
 
-/// Servers that state how long they keep an idle connection are believed beyond the client's own time,
-/// up to a bound: else most exchanges with a server that is used once a second would open a new one.
+/// A server's advertised idle timeout replaces the client's own, up to a bound. Otherwise most
+/// exchanges with a server that is used once a second would open a new connection.
 #[tokio::test]
-async fn stated_keep() {
-    const STATED: &[u8] =
+async fn advertised_idle_timeout() {
+    const ADVERTISED: &[u8] =
         b"HTTP/1.1 200 OK\r\nkeep-alive: timeout=9\r\ncontent-length: 2\r\n\r\nok";
     let cases = [
-        (STATED, 9_000, 9_000, 0),
-        (STATED, 0, 0, 1),
-        (STATED, 0, 9_000, 0),
-        (WHOLE, 9_000, 9_000, 1),
+        (ADVERTISED, 9_000, 9_000, 0),
+        (ADVERTISED, 0, 0, 1),
+        (ADVERTISED, 0, 9_000, 0),
+        (COMPLETE, 9_000, 9_000, 1),
     ];
     for (answer, most_keep_ms, newest_keep_ms, connection) in cases {
-        let (address, mut told) = odd_server(vec![answer; 2]).await;
+        let (address, mut requests) = faulty_server(vec![answer; 2]).await;
         let settings = ExchangeSettings {
             keep_ms: 0,
             most_keep_ms,
@@ -181,7 +188,7 @@
             answer.body.collect(10).await.unwrap();
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
-        assert_eq!(told.recv().await, Some(0));
-        assert_eq!(told.recv().await, Some(connection), "{most_keep_ms} {newest_keep_ms}");
+        assert_eq!(requests.recv().await, Some(0));
+        assert_eq!(requests.recv().await, Some(connection), "{most_keep_ms} {newest_keep_ms}");
     }
 }
