--- a/exchange/tests/suite/odd_servers.rs
+++ b/exchange/tests/suite/odd_servers.rs
@@ -15,8 +15,8 @@
 const COMPLETE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 /// Starts a server that answers the requests of each connection with `answers`, in order, and
-/// closes the connection after the last. Returns its address and a channel that yields the connection's
-/// number, from 0, for each request that it reads.
+/// closes the connection after the last. Returns its address and a channel that yields the
+/// connection's number, from 0, for each request that it reads.
 async fn faulty_server(
     answers: Vec<&'static [u8]>,
 ) -> (SocketAddr, mpsc::UnboundedReceiver<usize>) {
