--- a/entry/src/admit.rs
+++ b/entry/src/admit.rs
@@ -1,4 +1,4 @@
-//! What every request passes before anything of it is done.
+//! Admission: the checks that a request passes before any part of it runs.
 
 use std::sync::Arc;
 
@@ -10,27 +10,29 @@
 use crate::core::EntryCore;
 use crate::gate::GatePass;
 
-/// When to come back to a VM that shuts down or is full: another one takes the request at once.
+/// Retry delay returned by a VM that shuts down or is full; short, since another VM can take the
+/// request.
 const ELSEWHERE_RETRY_MS: u64 = 100;
-/// When to come back to a VM that knows no configuration.
+/// Retry delay returned by a VM that is not ready.
 const NOT_READY_RETRY_MS: u64 = 1_000;
-/// When to come back after a key could not be run.
+/// Retry delay returned when the right to run a keyed request was not obtained.
 const CLAIM_RETRY_MS: u64 = 1_000;
 
-/// Lets a request in, or tells why not; nothing of a refused request has run.
+/// Admits a request or refuses it with a reason, and counts refusals. No part of a refused request
+/// has run.
 pub(crate) fn admit(
     core: &Arc<EntryCore>,
     tenant: &CustomerName,
     class: RequestClass,
 ) -> Result<GatePass, CallProblem> {
-    let admitted = check_room(core, tenant);
+    let admitted = check_admission(core, tenant);
     admitted.map_err(|(reason, retry_ms, detail)| {
         core.metrics.set.count_refusal(class, reason);
         CallProblem::refused(reason, retry_ms, detail)
     })
 }
 
-fn check_room(
+fn check_admission(
     core: &Arc<EntryCore>,
     tenant: &CustomerName,
 ) -> Result<GatePass, (RefusalReason, u64, &'static str)> {
@@ -49,7 +51,7 @@
     Ok(pass)
 }
 
-/// Obtains the right to run a request that must not run twice, by its key.
+/// Claims the idempotency key of a request that must run at most once.
 pub(crate) async fn claim(
     core: &Arc<EntryCore>,
     request: &KeyedRequest<'_>,
--- a/entry/src/answer.rs
+++ b/entry/src/answer.rs
@@ -1,41 +1,41 @@
-//! Reads an engine's answer, proves which adapter gave it and shows the caller the name it used.
+//! Parses an engine's answer, verifies its slot and replaces the slot name by the model name that
+//! the caller used.
 //!
-//! An engine names the slot that ran in each part of its answer. A part that names another slot is
-//! the answer of another adapter or of another request; passing it on would give a caller a wrong
-//! answer that looks right. Every part is therefore checked before it is passed on.
+//! An engine names the slot in each part of its answer. A part that names another slot comes from
+//! another adapter or another request, so every part is checked before it is forwarded.
 
 use bytes::{Bytes, BytesMut};
 use serde_json::Value;
 use snafu::Snafu;
 
-/// The most bytes of one server-sent event; an engine that sends more is faulty.
+/// Maximum size of one server-sent event; a longer one is an error of the engine.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 const DATA_PREFIX: &[u8] = b"data:";
 const DONE_MARK: &[u8] = b"[DONE]";
 
-/// Why an engine's answer cannot be passed on.
+/// Why an engine's answer cannot be forwarded.
 #[derive(Debug, Snafu, PartialEq)]
 pub(crate) enum AnswerError {
-    /// The part names another slot than the grant did.
-    #[snafu(display("answer names {found:?} where {wanted:?} was asked"))]
+    /// The part names another slot than the grant.
+    #[snafu(display("answer names slot {found:?}, expected {wanted:?}"))]
     WrongSlot {
         /// The granted slot.
         wanted: String,
-        /// What the answer names.
+        /// The slot that the answer names; empty if it names none.
         found: String,
     },
-    /// The part cannot be read.
+    /// The part cannot be parsed.
     #[snafu(display("answer is not valid: {detail}"))]
     Malformed {
-        /// What is wrong.
+        /// The parser's error or the violated bound.
         detail: String,
     },
 }
 
-/// Checks and renames the parts of one answer.
+/// Verifies the parts of one answer and rewrites their model and id.
 pub(crate) struct AnswerFilter {
     slot: String,
-    shown: String,
+    model_name: String,
     id: String,
     pending: BytesMut,
     finished: bool,
@@ -44,12 +44,12 @@
 }
 
 impl AnswerFilter {
-    /// A filter for an answer of `slot` that shows the caller `shown` as the model and `id` as the
-    /// answer's id, which stays the same when the answer is continued by another engine.
-    pub(crate) fn new(slot: &str, shown: &str, id: &str) -> Self {
+    /// Creates a filter for an answer of `slot`. The caller sees `shown` as the model and `id` as the
+    /// answer's id, which stays the same when another engine continues the answer.
+    pub(crate) fn new(slot: &str, model_name: &str, id: &str) -> Self {
         Self {
             slot: slot.to_owned(),
-            shown: shown.to_owned(),
+            model_name: model_name.to_owned(),
             id: id.to_owned(),
             text: String::new(),
             pending: BytesMut::new(),
@@ -58,27 +58,27 @@
         }
     }
 
-    /// Whether the end mark was read. A stream without it was cut.
+    /// Returns whether the end mark was read. A stream that ends without it is truncated.
     pub(crate) fn finished(&self) -> bool {
         self.finished
     }
 
-    /// Events with content so far, which is also the place from which a stream is resumed.
+    /// Returns the number of events with content so far, from which a stream is resumed.
     pub(crate) fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// The text of the events so far.
+    /// Returns the concatenated content of the events so far.
     pub(crate) fn text(&self) -> &str {
         &self.text
     }
 
-    /// Forgets a half-read event, before the stream is resumed on a new connection.
+    /// Discards an incomplete event before the stream is resumed on a new connection.
     pub(crate) fn restart_event(&mut self) {
         self.pending.clear();
     }
 
-    /// Takes bytes of a stream and gives back the events that are complete.
+    /// Adds bytes of a stream and returns the rewritten events that are complete.
     pub(crate) fn push(&mut self, chunk: &[u8]) -> Result<Bytes, AnswerError> {
         self.pending.extend_from_slice(chunk);
         let mut out = Vec::with_capacity(chunk.len());
@@ -92,7 +92,7 @@
         Ok(out.into())
     }
 
-    /// Checks and renames a whole, unstreamed answer.
+    /// Verifies and rewrites a complete answer that is not streamed.
     pub(crate) fn whole(&mut self, body: &[u8]) -> Result<Bytes, AnswerError> {
         let mut value = parse(body)?;
         self.rename(&mut value)?;
@@ -128,7 +128,7 @@
         if found != self.slot {
             return WrongSlotSnafu { wanted: &self.slot, found }.fail();
         }
-        value["model"] = Value::from(self.shown.as_str());
+        value["model"] = Value::from(self.model_name.as_str());
         value["id"] = Value::from(self.id.as_str());
         Ok(())
     }
@@ -139,7 +139,7 @@
         .map_err(|error| MalformedSnafu { detail: error.to_string() }.build())
 }
 
-/// The token of an event; the last events carry the reason of the end or figures alone.
+/// Returns the content of an event; the last events carry only the finish reason or usage.
 fn token_text(value: &Value) -> Option<&str> {
     let paths = ["/choices/0/text", "/choices/0/delta/content"];
     let mut texts = paths.iter().filter_map(|path| value.pointer(path).and_then(Value::as_str));
--- a/entry/src/claims.rs
+++ b/entry/src/claims.rs
@@ -1,4 +1,5 @@
-//! Claims of requests that may run at most once: the driver of the claim table.
+//! Claims of requests that may run at most once: connects the claim table to the log and to the
+//! requests that wait for a claim.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,16 +19,17 @@
 use crate::core::{ClaimWaiter, EntryCore};
 use crate::held::lock;
 
-/// How long a claim waits to be read back when the request states no shorter time.
-const CLAIM_WITHIN: Duration = Duration::from_secs(5);
-/// How long one append of claims is offered to the log; the table offers unread claims again.
-const APPEND_WITHIN: Duration = Duration::from_millis(400);
-/// How long another VM has to answer whether it gives a key up.
-const REVOKE_WITHIN: Duration = Duration::from_secs(2);
-/// While no claim waits; a new one ends the pause.
-const IDLE_PAUSE: Duration = Duration::from_secs(1);
-
-/// A key that runs here; dropping it without [`RunningKey::end`] leaves the outcome unknown.
+/// Maximum time until a claim is read back, unless the request has a shorter deadline.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of one append of claims; the table appends claims again that were not read back.
+const APPEND_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a request that another VM revoke its hold on a key.
+const REVOKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest sleep of the append loop; a new claim wakes it.
+const MAX_IDLE_SLEEP: Duration = Duration::from_secs(1);
+
+/// A key whose request runs on this VM; dropping it without [`RunningKey::end`] leaves the outcome
+/// unknown.
 pub(crate) struct RunningKey {
     core: Arc<EntryCore>,
     tenant: CustomerName,
@@ -36,7 +38,7 @@
 }
 
 impl RunningKey {
-    /// Notes what became of the request; it is what a resend will be told.
+    /// Records the request's outcome, which is returned for a resend with the same key.
     pub(crate) fn end(&mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
@@ -49,16 +51,17 @@
     }
 }
 
-/// What is asked under a key.
+/// A request with an idempotency key.
 pub(crate) struct KeyedRequest<'a> {
     pub(crate) tenant: &'a CustomerName,
     pub(crate) key: &'a IdempotencyKey,
     pub(crate) fingerprint: RequestFingerprint,
     pub(crate) first_try: bool,
+    /// Time left until the request's deadline; `None` without one.
     pub(crate) within: Option<Duration>,
 }
 
-/// Obtains the right to run a key, or tells what became of it.
+/// Claims a key, or returns why it may not run here and its outcome so far.
 pub(crate) async fn begin_key(
     core: &Arc<EntryCore>,
     request: &KeyedRequest<'_>,
@@ -72,8 +75,8 @@
         wall_ms: wall_ms(),
         log_up: core.health.writable(now),
     };
-    // The waiter is registered under the claim table's lock, so that a claim that is read back at
-    // once still finds it.
+    // The waiter is registered under the claim table's lock, so that it exists before the claim can
+    // be read back.
     let (start, answered) = {
         let mut claims = lock(&core.claims);
         let start = claims.begin(now, &ask);
@@ -92,7 +95,7 @@
     settle(core, request, start?).await
 }
 
-/// What metrics call the end of a claim; `issued` keys need none.
+/// Returns the metrics label of a claim's end. `issued` keys run without a claim in the log.
 fn claim_label(start: &Result<ClaimStart, ClaimAnswer>, issued: bool) -> ClaimResult {
     match start {
         Ok(ClaimStart::Run) if issued => ClaimResult::Issued,
@@ -113,7 +116,8 @@
     answered
 }
 
-/// Gives the claim up when the future is dropped: the caller went away, so nothing may run.
+/// Abandons the claim when the future is dropped because the caller disconnected, so that the
+/// request does not run.
 struct ClaimGuard<'a> {
     core: &'a EntryCore,
     request: &'a KeyedRequest<'a>,
@@ -144,7 +148,7 @@
     answered: oneshot::Receiver<ClaimOutcome>,
 ) -> Result<ClaimStart, ClaimAnswer> {
     let mut guard = ClaimGuard { core, request, open: true };
-    let within = request.within.map_or(CLAIM_WITHIN, |within| within.min(CLAIM_WITHIN));
+    let within = request.within.map_or(CLAIM_TIMEOUT, |within| within.min(CLAIM_TIMEOUT));
     match timeout(within, answered).await {
         Ok(Ok(outcome)) => {
             guard.open = false;
@@ -166,7 +170,7 @@
             key: request.key.clone(),
             outcome: RequestOutcome::Unknown,
         }),
-        ClaimStart::AskRevoke(holder) => Err(ask_revoke(core, request, &holder).await),
+        ClaimStart::AskRevoke(holder) => Err(request_revoke(core, request, &holder).await),
         ClaimStart::Answer(answer) => Err(answer),
         ClaimStart::Claiming => Err(ClaimAnswer {
             outcome: RequestOutcome::Unknown,
@@ -175,7 +179,7 @@
     }
 }
 
-async fn ask_revoke(
+async fn request_revoke(
     core: &EntryCore,
     request: &KeyedRequest<'_>,
     holder: &VmIdentity,
@@ -189,11 +193,11 @@
         key: request.key.clone(),
         fingerprint: request.fingerprint,
     };
-    let reply = core.clients.peers.revoke(&target, call, REVOKE_WITHIN).await;
+    let reply = core.clients.peers.revoke(&target, call, REVOKE_TIMEOUT).await;
     ClaimTable::revoked(reply.ok())
 }
 
-/// Folds a claim record and wakes the requests that waited for it.
+/// Folds a claim record and wakes the requests that wait for its claims.
 pub(crate) fn fold_claims(core: &EntryCore, offset: u64, record: ClaimRecord) {
     let outcomes = lock(&core.claims).read_back(offset, record);
     for outcome in outcomes {
@@ -212,13 +216,13 @@
     let runs = outcome.start == ClaimStart::Run;
     let (tenant, key) = (outcome.tenant.clone(), outcome.key.clone());
     let taken = waiter.is_some_and(|waiter| waiter.answer.send(outcome).is_ok());
-    // The request went away between its claim and its run: nothing ran.
+    // The request was dropped after its claim was won and before it ran.
     if runs && !taken {
         lock(&core.claims).end(tenant.as_str(), key.as_str(), RequestOutcome::NotRun);
     }
 }
 
-/// Appends claims as they come due, many in one record.
+/// Appends claims to the log as they fall due, in batches, until the process ends.
 pub(crate) async fn append_claims(core: Arc<EntryCore>) {
     while !core.closing.is_cancelled() {
         let now = core.clock.now();
@@ -226,9 +230,9 @@
         if let Some(record) = due {
             let data = serde_json::to_string(&record).expect("records have text keys");
             let core = Arc::clone(&core);
-            // An append that waits for a slow log must not hold up the next claims.
+            // Spawned so that an append that waits for a slow log does not delay the next batch.
             tokio::spawn(async move {
-                let _ = core.writers.claims.append(data, APPEND_WITHIN).await;
+                let _ = core.writers.claims.append(data, APPEND_TIMEOUT).await;
             });
             continue;
         }
@@ -242,7 +246,7 @@
 }
 
 fn pause_until(now: TimePoint, next: Option<TimePoint>) -> Duration {
-    let Some(next) = next else { return IDLE_PAUSE };
+    let Some(next) = next else { return MAX_IDLE_SLEEP };
     let micros = next.since(now).max(MICROS_PER_MILLI / 2);
-    Duration::from_micros(micros).min(IDLE_PAUSE)
+    Duration::from_micros(micros).min(MAX_IDLE_SLEEP)
 }
--- a/entry/src/clock.rs
+++ b/entry/src/clock.rs
@@ -1,13 +1,13 @@
-//! The process's clocks.
+//! The monotonic clock of the process and the wall clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use coltsfoothook_decision::id::TimePoint;
 
-/// The monotonic clock that decisions are taken by.
+/// The monotonic clock used for decisions.
 ///
-/// Wall clocks of VMs differ and jump, so no decision compares them; a wall time stands only in
-/// records whose window is counted in hours.
+/// Wall clocks of VMs differ and jump, so decisions do not compare them. Wall times are used only in
+/// records whose windows are hours long.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessClock {
     start: Instant,
@@ -23,13 +23,13 @@
     }
 }
 
-/// Wall-clock milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since the Unix epoch; 0 if the clock is before it.
 pub(crate) fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     since.as_millis().try_into().unwrap_or(u64::MAX)
 }
 
-/// Milliseconds of a duration of some microseconds, rounded down.
+/// Converts microseconds to milliseconds, rounding down.
 pub(crate) fn millis(micros: u64) -> u64 {
     micros / coltsfoothook_decision::id::MICROS_PER_MILLI
 }
--- a/entry/src/core.rs
+++ b/entry/src/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of the process share: folds, membership, owners and clients.
+//! State that the parts of the process share: folds, membership, owned groups and clients.
 
 use std::sync::{Arc, Mutex, PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
@@ -22,30 +22,30 @@
 use crate::gate::RequestGate;
 use crate::health::LogHealth;
 use crate::held::{HeldGrants, lock};
-use crate::jobs::JobDesk;
-use crate::limits::LimitDesk;
+use crate::jobs::JobScheduler;
+use crate::limits::RequestLimits;
 use crate::measure::EntryMetrics;
 use crate::own::OwnerShard;
-use crate::release::ReleaseDesk;
+use crate::release::ReleaseQueue;
 use crate::settings::EntrySettings;
 use crate::trace::RequestTraces;
 use crate::view::ConfigView;
 use crate::write::StreamWriter;
 
-/// A request that waits for its claim to be read back.
+/// A request that waits until its claim is read back from the log.
 pub(crate) struct ClaimWaiter {
     pub(crate) tenant: CustomerName,
     pub(crate) key: IdempotencyKey,
     pub(crate) answer: oneshot::Sender<ClaimOutcome>,
 }
 
-/// A publication that waits for its verdict.
+/// A publication that waits for the configuration fold's verdict.
 pub(crate) struct PublishWaiter {
     pub(crate) publish_id: String,
     pub(crate) answer: oneshot::Sender<ConfigVerdict>,
 }
 
-/// The writers of the log's streams.
+/// The writers of the log's streams, one per stream.
 pub(crate) struct LogWriters {
     pub(crate) config: StreamWriter,
     pub(crate) control: StreamWriter,
@@ -53,7 +53,7 @@
     pub(crate) jobs: StreamWriter,
 }
 
-/// The clients of the peers that this process talks to.
+/// Clients of engines, services, the log, the VM directory and other VMs.
 pub(crate) struct EntryClients {
     pub(crate) engines: Arc<dyn EngineClient>,
     pub(crate) services: Arc<dyn ServiceClient>,
@@ -62,8 +62,10 @@
     pub(crate) peers: PeerPool,
 }
 
-/// The shared state. Each part has its own lock, none is held across an await, and no two are held
-/// at once except `members` before `control`.
+/// The shared state of the process.
+///
+/// Each field has its own lock. No lock is held across an await, and no two are held at once except
+/// `members` and then `control`.
 pub(crate) struct EntryCore {
     pub(crate) settings: EntrySettings,
     pub(crate) me: VmIdentity,
@@ -78,14 +80,14 @@
     pub(crate) claim_waiters: Mutex<Vec<ClaimWaiter>>,
     pub(crate) claim_added: Notify,
     pub(crate) publish_waiters: Mutex<Vec<PublishWaiter>>,
-    pub(crate) jobs: JobDesk,
-    pub(crate) limits: LimitDesk,
+    pub(crate) jobs: JobScheduler,
+    pub(crate) limits: RequestLimits,
     /// Sorted by group.
     pub(crate) owners: RwLock<Vec<Arc<OwnerShard>>>,
-    /// Epochs below which this VM uses no grant any more, sorted by group.
+    /// Epochs below which this VM uses no grants, sorted by group.
     pub(crate) floors: Mutex<Vec<(GroupName, OwnerEpoch)>>,
     pub(crate) held: HeldGrants,
-    pub(crate) releases: ReleaseDesk,
+    pub(crate) releases: ReleaseQueue,
     pub(crate) traces: RequestTraces,
     pub(crate) gate: Arc<RequestGate>,
     pub(crate) health: Arc<LogHealth>,
@@ -96,27 +98,27 @@
 }
 
 impl EntryCore {
-    /// The configuration in force here.
+    /// Returns the configuration in force on this VM.
     pub(crate) fn view(&self) -> Arc<ConfigView> {
         Arc::clone(&read(&self.view))
     }
 
-    /// The shard of a group that this VM owns.
+    /// Returns the shard of `group`; `None` if this VM does not own it.
     pub(crate) fn shard(&self, group: &str) -> Option<Arc<OwnerShard>> {
         let owners = read(&self.owners);
         let found = owners.binary_search_by(|shard| shard.group.as_str().cmp(group));
         found.ok().map(|at| Arc::clone(&owners[at]))
     }
 
-    /// Where another VM listens for this one, if it is known.
+    /// Returns the peer address of another VM; `None` if the VM is not a known member.
     pub(crate) fn target(&self, vm: &str) -> Option<PeerTarget> {
         let members = lock(&self.members);
         let row = members.row(vm)?;
         Some(PeerTarget { address: row.place().peer, vm: row.identity().vm.clone() })
     }
 
-    /// Whether this VM may take work: it knows a configuration, and it has heard of the log or of
-    /// another VM of late, so that what it knows cannot be long out of date.
+    /// Checks whether this VM may take work: it has a configuration and the whole ownership state,
+    /// and the log or another VM answered within `stale_ms`, so that both are recent.
     pub(crate) fn ready(&self) -> Result<(), &'static str> {
         if self.view().version.0 == 0 {
             return Err("no configuration in force");
@@ -124,13 +126,13 @@
         if !read(&self.control).whole() {
             return Err("state of ownership not known yet");
         }
-        if self.health.out_of_touch(self.clock.now(), self.settings.stale_ms) {
+        if self.health.is_isolated(self.clock.now(), self.settings.stale_ms) {
             return Err("neither the log nor another VM can be reached");
         }
         Ok(())
     }
 
-    /// Checks an invariant, counts it and logs a violation.
+    /// Counts a check of an invariant, logs a violation and returns `holds`.
     pub(crate) fn check(
         &self,
         name: InvariantName,
@@ -149,7 +151,7 @@
         holds
     }
 
-    /// The counts of all state machines of this process together.
+    /// Returns the merged invariant counts of all state machines of this process.
     pub(crate) fn invariant_counts(&self) -> InvariantLog {
         let mut all = lock(&self.invariants).clone();
         all.merge(lock(&self.config).invariants());
@@ -162,24 +164,24 @@
         all
     }
 
-    /// A new request's id, unique among all VMs and lives.
+    /// Returns a new request id, unique over all VMs and their incarnations.
     pub(crate) fn next_request_id(&self) -> RequestId {
         let number = self.request_numbers.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         format!("{}-{:x}-{number}", self.me.vm, self.me.incarnation.0).into()
     }
 
-    /// The state that this VM tells of itself.
+    /// Returns the state that this VM reports to others.
     pub(crate) fn own_state(&self) -> MemberState {
         if self.gate.is_closed() { MemberState::Leaving } else { MemberState::Alive }
     }
 }
 
-/// Locks for reading; a thread that panicked while it held the lock must not stop all others.
+/// Locks for reading and ignores poisoning, so that one panicked thread does not stop all others.
 pub(crate) fn read<T>(lock: &RwLock<T>) -> RwLockReadGuard<'_, T> {
     lock.read().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Locks for writing.
+/// Locks for writing and ignores poisoning, as [`read`] does.
 pub(crate) fn write<T>(lock: &RwLock<T>) -> RwLockWriteGuard<'_, T> {
     lock.write().unwrap_or_else(PoisonError::into_inner)
 }
--- a/entry/src/faces.rs
+++ b/entry/src/faces.rs
@@ -1,4 +1,4 @@
-//! What stands behind the callers' face.
+//! Handler of the caller interface.
 
 use std::sync::Arc;
 
@@ -14,16 +14,16 @@
 use crate::core::{EntryCore, read};
 use crate::held::lock;
 
-/// Issued keys that go with a list of addresses.
+/// Number of issued idempotency keys returned with a list of entry addresses.
 const KEYS_PER_LIST: usize = 8;
 
-/// Answers callers out of the shared state.
-pub(crate) struct CallFace {
+/// Serves caller requests from the shared state.
+pub(crate) struct CallerInterface {
     pub(crate) core: Arc<EntryCore>,
 }
 
 #[async_trait]
-impl CallHandler for CallFace {
+impl CallHandler for CallerInterface {
     fn authenticate(&self, bearer: &str) -> Option<CustomerName> {
         self.core.view().tenant_of(bearer).cloned()
     }
@@ -99,7 +99,8 @@
     }
 }
 
-/// The VMs of this region that take callers: alive, not draining, with a weight above 0.
+/// Returns the VMs of this region that accept callers: live, not draining, with a weight above 0
+/// and a caller port.
 fn live_entries(core: &EntryCore) -> Vec<EntryAddress> {
     let members = lock(&core.members);
     let control = read(&core.control);
@@ -119,7 +120,7 @@
         .collect()
 }
 
-/// The adapter versions that `tenant` may use, in pages.
+/// Returns one page of the adapter versions that `tenant` may use, in order of adapter and version.
 fn model_page(core: &EntryCore, tenant: &str, query: &ModelQuery) -> ModelPage {
     let view = core.view();
     let adapters = &view.manifest.adapters;
--- a/entry/src/follow.rs
+++ b/entry/src/follow.rs
@@ -1,4 +1,4 @@
-//! Reads the streams of the log and folds them.
+//! Reads the streams of the log and folds their records into the shared state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 use crate::own::{configuration_changed, drive_all, ownership_changed};
 use crate::view::ConfigView;
 
-/// How long a read waits for a record.
+/// How long the log holds a read open until a record arrives.
 pub(crate) const READ_WAIT: Duration = Duration::from_millis(1_000);
-/// The most records of one read.
+/// Maximum number of records per read.
 const READ_RECORDS: usize = 1_024;
-/// The pause after a failed read.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Wait after a failed read.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A stream of the log, and how this process folds it.
+/// A stream of the log that this process reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FollowedStream {
     Config,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The offset from which the stream is read on.
+    /// Returns the offset of the next record to fold.
     pub(crate) fn next(self, core: &EntryCore) -> u64 {
         match self {
             Self::Config => lock(&core.config).next(),
@@ -64,7 +64,7 @@
         match self {
             Self::Config => lock(&core.config).retained_from(first.0),
             Self::Control => write(&core.control).retained_from(first.0),
-            // Each claim stands for itself; those that retention took protect no more.
+            // Claims do not depend on each other; those removed by retention have expired.
             Self::Claims => {
                 if first.0 > 0 {
                     lock(&core.claims).skip(first.0 - 1);
@@ -75,7 +75,7 @@
     }
 }
 
-/// Follows a stream until the process ends.
+/// Reads and folds a stream until the process ends.
 pub(crate) async fn follow_stream(core: Arc<EntryCore>, stream: FollowedStream) {
     while !core.closing.is_cancelled() {
         let from = LogOffset(stream.next(&core));
@@ -99,20 +99,20 @@
             }
             Err(error) => {
                 log_failed(&core, stream, &error);
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Notes that the log answered, and says so after an outage.
+/// Records that the log answered, and logs the end of an outage.
 fn log_answered(core: &EntryCore) {
     if core.health.read_answered(core.clock.now()) {
         event!(LogUp, vm = core.me.vm);
     }
 }
 
-/// Says once that the log is down, and once that this VM is out of touch with other VMs as well.
+/// Logs once per outage that the log is down, and once that no other VM is reachable either.
 fn log_failed(core: &EntryCore, stream: FollowedStream, error: &LogError) {
     let now = core.clock.now();
     let silent_ms = core.health.silent_ms(now);
@@ -148,7 +148,8 @@
     }
 }
 
-/// Reads a record. One that cannot be read is passed over by every reader of this release alike.
+/// Parses a record. A record that cannot be parsed is skipped, by every reader of this release
+/// alike, so their folds stay equal.
 fn parse<T: DeserializeOwned>(stream: FollowedStream, offset: u64, data: &str) -> Option<T> {
     match serde_json::from_str(data) {
         Ok(record) => Some(record),
@@ -184,7 +185,7 @@
     }
 }
 
-/// Puts the fold's configuration in force in this process.
+/// Makes the fold's configuration the one in force in this process.
 pub(crate) fn install_config(core: &Arc<EntryCore>) {
     let (version, manifest) = {
         let config = lock(&core.config);
@@ -227,10 +228,10 @@
     match ruling.verdict {
         ControlVerdict::Owned(ownership) => ownership_changed(core, &ownership),
         ControlVerdict::IntentValid(intent) => {
-            tell_intent(core, intent.group.as_str(), intent.epoch, intent.number, true);
+            notify_intent(core, intent.group.as_str(), intent.epoch, intent.number, true);
         }
         ControlVerdict::IntentVoid(intent, _) => {
-            tell_intent(core, intent.group.as_str(), intent.epoch, intent.number, false);
+            notify_intent(core, intent.group.as_str(), intent.epoch, intent.number, false);
         }
         ControlVerdict::ServerDrain(server, draining) => {
             event!(ServerDraining, server = server, draining = draining);
@@ -246,35 +247,35 @@
                     event!(RequestCondemned, fingerprint = fingerprint, crashes = suspect.crashes);
                 }
             }
-            tell_suspects(core);
+            notify_suspects(core);
         }
         ControlVerdict::Cleared(fingerprint) => {
             event!(SuspicionCleared, fingerprint = format!("{:016x}", fingerprint.0));
-            tell_suspects(core);
+            notify_suspects(core);
         }
         ControlVerdict::Adopted => install_control(core),
         ControlVerdict::Superseded(_) | ControlVerdict::Nothing => {}
     }
 }
 
-fn tell_suspects(core: &Arc<EntryCore>) {
+fn notify_suspects(core: &Arc<EntryCore>) {
     let suspects = read(&core.control).suspects().to_vec();
     drive_all(core, &OwnerEvent::Suspects(suspects));
 }
 
-/// Brings this process in line with a control state that came as a whole.
+/// Applies a control state that was adopted as a whole, from a snapshot or from a peer.
 pub(crate) fn install_control(core: &Arc<EntryCore>) {
     let owners = read(&core.control).owners().to_vec();
     for ownership in &owners {
         ownership_changed(core, ownership);
     }
-    tell_suspects(core);
-    tell_drains(core);
+    notify_suspects(core);
+    notify_drains(core);
 }
 
-/// A state that came as a whole brings no single drains; without this an owner that learnt it from
-/// a peer goes on giving work to a leaving server.
-fn tell_drains(core: &Arc<EntryCore>) {
+/// Notifies owned groups of the draining state of every server. A state that is adopted as a whole
+/// has no drain records; without this an owner would go on using a draining server.
+fn notify_drains(core: &Arc<EntryCore>) {
     let view = core.view();
     for server in &view.manifest.servers {
         let server = server.name.clone();
@@ -283,7 +284,7 @@
     }
 }
 
-fn tell_intent(
+fn notify_intent(
     core: &Arc<EntryCore>,
     group: &str,
     epoch: coltsfoothook_decision::id::OwnerEpoch,
--- a/entry/src/gate.rs
+++ b/entry/src/gate.rs
@@ -1,4 +1,4 @@
-//! Counts the requests in flight, so that a shutdown cuts none.
+//! Bounds and counts the requests in flight, so that a shutdown interrupts none.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -6,68 +6,68 @@
 use coltsfoothook_decision::outcome::RefusalReason;
 use tokio::sync::Notify;
 
-/// Lets requests in, up to a bound, until the shutdown begins; tells when the last one has ended.
+/// Admits requests up to a bound until the shutdown begins, and signals when the last one has ended.
 #[derive(Debug)]
 pub(crate) struct RequestGate {
-    most: usize,
+    max_requests: usize,
     closed: AtomicBool,
-    inside: AtomicUsize,
+    active: AtomicUsize,
     empty: Notify,
 }
 
-/// Stands for one request in flight; dropping it lets the request out.
+/// One request in flight; dropping it ends the request's count.
 #[derive(Debug)]
 pub(crate) struct GatePass {
     gate: Arc<RequestGate>,
 }
 
 impl RequestGate {
-    /// A gate for at most `most` requests at once.
-    pub(crate) fn new(most: usize) -> Self {
+    /// Creates a gate for at most `most` concurrent requests.
+    pub(crate) fn new(max_requests: usize) -> Self {
         Self {
-            most,
+            max_requests,
             closed: AtomicBool::new(false),
-            inside: AtomicUsize::new(0),
+            active: AtomicUsize::new(0),
             empty: Notify::new(),
         }
     }
 
-    /// Lets a request in, or refuses it when the VM is full or after the shutdown has begun.
+    /// Admits a request, or refuses it when the VM is full or the shutdown has begun.
     ///
-    /// The count grows before the flag is read: a shutdown that sets the flag and then sees no
-    /// request inside cannot miss one that was let in.
+    /// The count is incremented before the flag is read, so a shutdown that sets the flag and then
+    /// sees a count of 0 cannot miss an admitted request.
     pub(crate) fn enter(self: &Arc<Self>) -> Result<GatePass, RefusalReason> {
-        let before = self.inside.fetch_add(1, Ordering::SeqCst);
+        let before = self.active.fetch_add(1, Ordering::SeqCst);
         let pass = GatePass { gate: Arc::clone(self) };
         if self.closed.load(Ordering::SeqCst) {
             return Err(RefusalReason::Leaving);
         }
-        if before >= self.most {
+        if before >= self.max_requests {
             return Err(RefusalReason::Overloaded);
         }
         Ok(pass)
     }
 
-    /// Refuses requests from now on.
+    /// Begins the shutdown: all further requests are refused.
     pub(crate) fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has begun.
     pub(crate) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Requests in flight.
-    pub(crate) fn inside(&self) -> usize {
-        self.inside.load(Ordering::SeqCst)
+    /// Returns the number of requests in flight.
+    pub(crate) fn active(&self) -> usize {
+        self.active.load(Ordering::SeqCst)
     }
 
     /// Waits until no request is in flight.
     pub(crate) async fn emptied(&self) {
         loop {
             let notified = self.empty.notified();
-            if self.inside() == 0 {
+            if self.active() == 0 {
                 return;
             }
             notified.await;
@@ -77,7 +77,7 @@
 
 impl Drop for GatePass {
     fn drop(&mut self) {
-        if self.gate.inside.fetch_sub(1, Ordering::SeqCst) == 1 {
+        if self.gate.active.fetch_sub(1, Ordering::SeqCst) == 1 {
             self.gate.empty.notify_waiters();
         }
     }
--- a/entry/src/health.rs
+++ b/entry/src/health.rs
@@ -1,18 +1,19 @@
-//! How long ago the log and other VMs were last heard of.
+//! Reachability of the log and of other VMs, from the times of their last answers.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use coltsfoothook_decision::id::{MICROS_PER_MILLI, TimePoint};
 use coltsfoothook_decision::record::CONFIG_STREAM;
 
-/// The log counts as readable for so long after a read that it answered. Reads wait at most
+/// The log counts as readable for this long after an answered read. Reads wait at most
 /// [`crate::follow::READ_WAIT`] for a record, so an idle log answers well within this time.
 const READABLE_MS: u64 = 2_500;
 
-/// The streams that are followed.
+/// Number of streams that are read.
 const STREAMS: usize = crate::follow::FollowedStream::ALL.len();
 
-/// Times of the last good answers, in microseconds of the process's clock; 0 stands for never.
+/// Times of the last answers and failures, in microseconds of the process's clock (0: never), and
+/// the streams' offsets.
 #[derive(Debug, Default)]
 pub(crate) struct LogHealth {
     read: AtomicU64,
@@ -27,40 +28,41 @@
 }
 
 impl LogHealth {
-    /// Notes an answered read, and tells whether it ends an outage that was found.
+    /// Records an answered read and returns whether it ends an outage that was reported as found.
     pub(crate) fn read_answered(&self, now: TimePoint) -> bool {
         self.read.store(now.0.max(1), Ordering::Relaxed);
         self.stale.store(false, Ordering::Relaxed);
         self.down.swap(false, Ordering::Relaxed)
     }
 
-    /// Whether the log is down and this is the first to find it.
+    /// Returns true once per outage, when the log is not readable.
     pub(crate) fn found_down(&self, now: TimePoint) -> bool {
         !self.readable(now) && !self.down.swap(true, Ordering::Relaxed)
     }
 
-    /// Whether this VM is out of touch and this is the first to find it.
+    /// Returns true once per outage, when neither the log nor another VM answered for `limit_ms`.
     pub(crate) fn found_stale(&self, now: TimePoint, limit_ms: u64) -> bool {
-        let stale = self.out_of_touch(now, limit_ms);
+        let stale = self.is_isolated(now, limit_ms);
         stale && !self.stale.swap(stale, Ordering::Relaxed)
     }
 
-    /// Notes the offset after a stream's last record, as the log said.
+    /// Records the end offset of a stream as returned by the log; it never decreases.
     pub(crate) fn set_end(&self, stream: usize, end: u64) {
         self.ends[stream].fetch_max(end, Ordering::Relaxed);
     }
 
-    /// The offset after a stream's last record, as the log last said.
+    /// Returns the highest end offset of a stream that the log returned; 0 before the first read.
     pub(crate) fn end(&self, stream: usize) -> u64 {
         self.ends[stream].load(Ordering::Relaxed)
     }
 
-    /// Notes a snapshot of `stream` that was read, holding the state before `through`.
+    /// Records that a snapshot of `stream` was read that holds the state before offset `through`.
     pub(crate) fn snapshot_read(&self, stream: &str, through: u64) {
         self.snapshot_of(stream).fetch_max(through, Ordering::Relaxed);
     }
 
-    /// The offset before which the newest snapshot that was read holds the state.
+    /// Returns the offset before which the newest snapshot read covers the state; `None` if none was
+    /// read.
     pub(crate) fn snapshot(&self, stream: &str) -> Option<u64> {
         let through = self.snapshot_of(stream).load(Ordering::Relaxed);
         (through > 0).then_some(through)
@@ -82,12 +84,12 @@
         self.peer.store(now.0.max(1), Ordering::Relaxed);
     }
 
-    /// Whether the log answers reads now.
+    /// Returns whether the log answered a read recently.
     pub(crate) fn readable(&self, now: TimePoint) -> bool {
         recent(&self.read, now, READABLE_MS)
     }
 
-    /// Whether the log is thought to take appends now.
+    /// Returns whether the log is readable and its last append did not fail recently.
     pub(crate) fn writable(&self, now: TimePoint) -> bool {
         let failed = self.append_failed.load(Ordering::Relaxed);
         let appended = self.appended.load(Ordering::Relaxed);
@@ -95,13 +97,13 @@
         self.readable(now) && !failing
     }
 
-    /// Milliseconds since the log answered a read.
+    /// Returns the milliseconds since the log last answered a read.
     pub(crate) fn silent_ms(&self, now: TimePoint) -> u64 {
         now.since(TimePoint(self.read.load(Ordering::Relaxed))) / MICROS_PER_MILLI
     }
 
-    /// Whether neither the log nor another VM was heard of for `limit_ms`.
-    pub(crate) fn out_of_touch(&self, now: TimePoint, limit_ms: u64) -> bool {
+    /// Returns whether neither the log nor another VM answered within `limit_ms`.
+    pub(crate) fn is_isolated(&self, now: TimePoint, limit_ms: u64) -> bool {
         !recent(&self.read, now, limit_ms) && !recent(&self.peer, now, limit_ms)
     }
 }
--- a/entry/src/held.rs
+++ b/entry/src/held.rs
@@ -1,31 +1,31 @@
-//! The grants that this VM holds now.
+//! Register of the grants that this VM holds.
 //!
-//! A new owner of a group knows nothing of the grants that its predecessor gave. It asks every VM
-//! and evicts no inherited slot before all have answered; this register is what they answer from.
+//! A new owner of a group does not know the grants of its predecessor. It queries every VM and evicts
+//! no inherited slot before all have answered from this register.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use coltsfoothook_decision::grant::{GrantId, HeldGrant};
 use coltsfoothook_decision::id::OwnerEpoch;
 
-/// Few enough to be cheap to visit, many enough that requests seldom meet on a lock.
+/// Number of shards: low enough to visit all, high enough that lock contention is rare.
 const SHARDS: usize = 16;
 
-/// Grants held, in shards by grant number, each under its own lock and sorted by grant.
+/// Held grants in shards by grant number, each with its own lock and sorted by grant id.
 #[derive(Debug, Default)]
 pub(crate) struct HeldGrants {
     shards: [Mutex<Vec<HeldGrant>>; SHARDS],
 }
 
 impl HeldGrants {
-    /// Notes a grant before the request is sent.
+    /// Registers a grant; must happen before the request is sent.
     pub(crate) fn insert(&self, grant: HeldGrant) {
         let mut shard = self.shard(&grant.grant);
         let at = shard.partition_point(|held| held.grant < grant.grant);
         shard.insert(at, grant);
     }
 
-    /// Forgets a grant whose use has ended.
+    /// Removes a grant whose use has ended.
     pub(crate) fn remove(&self, id: &GrantId) {
         let mut shard = self.shard(id);
         if let Ok(at) = shard.binary_search_by(|held| held.grant.cmp(id)) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The grants of `group` that a new owner must respect: all of epochs before its own.
+    /// Returns the held grants of `group` from epochs before `epoch`, which a new owner must respect.
     pub(crate) fn before(&self, group: &str, epoch: OwnerEpoch) -> Vec<HeldGrant> {
         let mut found = Vec::new();
         for shard in &self.shards {
@@ -46,7 +46,7 @@
         found
     }
 
-    /// How many grants are held.
+    /// Returns the number of held grants.
     pub(crate) fn len(&self) -> usize {
         self.shards.iter().map(|shard| lock(shard).len()).sum()
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// Locks `mutex`; a thread that panicked while it held the lock must not stop all others.
+/// Locks `mutex` and ignores poisoning, so that one panicked thread does not stop all others.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/entry/src/hold.rs
+++ b/entry/src/hold.rs
@@ -1,4 +1,4 @@
-//! A grant in use: registered while it is held, given back however the request ends.
+//! A grant in use: registered while it is held, released however the request ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 
 use crate::core::EntryCore;
 
-/// Tries to cancel at the engine before the run counts as broken.
-const CANCEL_TRIES: u32 = 5;
-const CANCEL_PAUSE: Duration = Duration::from_millis(200);
+/// Attempts to cancel a run at its engine before the run counts as broken.
+const CANCEL_ATTEMPTS: u32 = 5;
+const CANCEL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Holds a grant from its arrival to its release.
 ///
-/// It may be dropped at any moment, because the caller went away. If the request was sent and is
-/// not known to have ended, the engine is told to cancel first: the slot stays pinned until the
-/// engine has let go of it, or an eviction would meet a running request.
+/// It may be dropped at any time, when the caller disconnects. If the request was sent and is not
+/// known to have ended, the run is cancelled at the engine before the release; otherwise the slot
+/// would be unpinned and could be evicted under a running request.
 pub(crate) struct GrantHold {
     core: Arc<EntryCore>,
     pub(crate) grant: SlotGrant,
@@ -59,11 +59,11 @@
         }
     }
 
-    /// Gives the grant back now. The receiver resolves once the owner knows how the use ended.
+    /// Releases the grant now. The receiver resolves once the owner has the release or it was dropped.
     ///
-    /// A request whose engine broke waits for it before its next try: until the owner knows which
-    /// runs broke it cannot keep suspects apart, and a poison request would meet the same neighbours
-    /// on its second server.
+    /// A request whose engine failed waits for this before its next attempt. Until the owner knows
+    /// which runs failed it cannot place suspects apart, and a poison request could run next to the
+    /// same requests on its second server.
     pub(crate) fn give_back(&mut self) -> oneshot::Receiver<()> {
         let (delivered, receiver) = oneshot::channel();
         if !std::mem::replace(&mut self.given_back, true) {
@@ -79,22 +79,22 @@
         if self.may_run() {
             tokio::spawn(cancel_run(core, self.address, self.id.clone(), call, delivered));
         } else {
-            hand_back(&core, call, delivered);
+            release_grant(&core, call, delivered);
         }
     }
 
-    /// Notes that the request is about to be sent.
+    /// Records that the request is about to be sent.
     pub(crate) fn sending(&mut self) {
         self.sent = true;
     }
 
-    /// Notes how the use ended.
+    /// Records how the use ended and how many tokens it produced.
     pub(crate) fn end(&mut self, end: GrantEnd, tokens: u32) {
         self.end = Some(end);
         self.tokens = tokens;
     }
 
-    /// Whether the engine may still be running the request.
+    /// Returns whether the engine may still be running the request.
     fn may_run(&self) -> bool {
         match self.end {
             None => self.sent,
@@ -125,8 +125,8 @@
     }
 }
 
-/// Cancels a run before its grant is given back. An engine that refuses the connection is down, and
-/// the run with it; waiting for it would keep from the owner which runs broke.
+/// Cancels a run and then releases its grant. An engine that refuses the connection is down and its
+/// runs have ended, so the release is not delayed by further attempts.
 async fn cancel_run(
     core: Arc<EntryCore>,
     address: SocketAddr,
@@ -134,21 +134,21 @@
     mut call: ReleaseCall,
     delivered: oneshot::Sender<()>,
 ) {
-    for _ in 0..CANCEL_TRIES {
+    for _ in 0..CANCEL_ATTEMPTS {
         match core.clients.engines.cancel(address, &id).await {
             Ok(()) => {
-                hand_back(&core, call, delivered);
+                release_grant(&core, call, delivered);
                 return;
             }
             Err(OrderError::OrderNotSent { .. }) => break,
-            Err(_) => sleep(CANCEL_PAUSE).await,
+            Err(_) => sleep(CANCEL_INTERVAL).await,
         }
     }
     call.end = GrantEnd::Broken;
-    hand_back(&core, call, delivered);
+    release_grant(&core, call, delivered);
 }
 
-fn hand_back(core: &EntryCore, call: ReleaseCall, delivered: oneshot::Sender<()>) {
+fn release_grant(core: &EntryCore, call: ReleaseCall, delivered: oneshot::Sender<()>) {
     core.held.remove(&call.grant);
     core.releases.release(call, delivered);
 }
--- a/entry/src/jobs.rs
+++ b/entry/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Audit jobs: accepted once the log has them, run by one VM, their first result kept.
+//! Jobs: accepted once they are in the log, run by one VM; the first result in the log is kept.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -27,18 +27,19 @@
 use crate::held::lock;
 use crate::serve::complete;
 
-/// How long an append of a job's record is offered to the log, and how long it is then looked for.
-const ACCEPT_WITHIN: Duration = Duration::from_secs(5);
-const RECORD_WITHIN: Duration = Duration::from_secs(5);
-/// How often jobs are looked through; a record of the stream ends the pause.
-const PLAN_PERIOD: Duration = Duration::from_millis(500);
-const LEAST_PLAN_PAUSE: Duration = Duration::from_millis(20);
+/// Timeout of the append of a caller's record, and again of reading it back.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of appends that no caller waits for.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest time between two plans of the job runner; a record of the stream triggers one earlier.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(20);
 const LOG_RETRY_MS: u64 = 2_000;
-const ROOM_RETRY_MS: u64 = 30_000;
+const FULL_RETRY_MS: u64 = 30_000;
 const UNFINISHED_RETRY_MS: u64 = 1_000;
 const RESULT_TYPE: &str = "application/json";
 
-/// What of a completion call a job's record keeps besides its body.
+/// The parts of a completion call that a job's record stores as its body.
 #[derive(Serialize, Deserialize)]
 struct JobBody {
     chat: bool,
@@ -52,15 +53,15 @@
     abort: CancellationToken,
 }
 
-/// The jobs as far as the log was read, and those that run here.
-pub(crate) struct JobDesk {
+/// The fold of the job stream and the jobs that run on this VM.
+pub(crate) struct JobScheduler {
     fold: Mutex<JobFold>,
     runner: Mutex<JobRunner>,
     tasks: Mutex<Vec<JobTask>>,
     changed: Notify,
 }
 
-impl JobDesk {
+impl JobScheduler {
     pub(crate) fn new() -> Self {
         Self {
             fold: Mutex::default(),
@@ -74,7 +75,8 @@
         lock(&self.fold).next()
     }
 
-    /// Jobs stand for themselves, so those that retention took are simply gone from here on.
+    /// Continues at `first`, the first retained offset. Jobs do not depend on each other, so those
+    /// removed by retention need no replacement.
     pub(crate) fn retained_from(&self, first: u64) {
         if first > 0 {
             lock(&self.fold).skip(first - 1);
@@ -102,7 +104,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Notes that the end of the stream was read.
+    /// Records that the stream was read to its end.
     pub(crate) fn caught_up(&self) {
         let mut fold = lock(&self.fold);
         if !fold.is_caught_up() {
@@ -114,7 +116,7 @@
         all.merge(lock(&self.fold).invariants());
     }
 
-    /// Jobs that wait, run and have ended.
+    /// Returns the numbers of waiting, running and ended jobs.
     pub(crate) fn counts(&self) -> (u64, u64, u64) {
         let fold = lock(&self.fold);
         let ended = fold.rows().iter().filter(|row| row.end().is_some()).count();
@@ -125,7 +127,7 @@
     }
 }
 
-/// Accepts a job; answers once the log has it.
+/// Accepts a job; returns once its record was read back from the log.
 pub(crate) async fn submit(core: &Arc<EntryCore>, call: JobCall) -> Result<JobStatus, CallProblem> {
     let job = call.job.clone().unwrap_or_else(|| JobId(call.call.request_id.0.clone()));
     let tenant = call.call.tenant.clone();
@@ -135,17 +137,18 @@
     }
     let has_room = lock(&core.jobs.runner).has_room(&lock(&core.jobs.fold));
     if !has_room {
-        let detail = "too many jobs are kept";
-        return Err(CallProblem::refused(RefusalReason::Overloaded, ROOM_RETRY_MS, detail));
+        let detail = "the limit of stored jobs is reached";
+        return Err(CallProblem::refused(RefusalReason::Overloaded, FULL_RETRY_MS, detail));
     }
     let record = JobRecord::Submitted(entry.clone());
     append(core, &record).await?;
     await_row(core, &tenant, &job, |row| row.entry().is_some()).await?;
     let status = known_job(core, &tenant, &job, &entry)?;
-    status.ok_or_else(|| unsure("the job was not read back yet"))
+    status.ok_or_else(|| outcome_unknown("the job was not read back from the log yet"))
 }
 
-/// The adapter is fixed when the job is accepted, so a later default version changes nothing.
+/// Builds a job's record. The adapter version is fixed here, so a later change of the default
+/// version does not affect the job.
 fn job_entry(core: &EntryCore, job: JobId, call: JobCall) -> Result<JobEntry, CallProblem> {
     let CompletionCall { tenant, model, class, kind, body, deadline_ms, fingerprint, .. } =
         call.call;
@@ -169,16 +172,17 @@
     Ok(JobEntry { job, tenant, adapter, class, due_ms, body, rewritten: 0 })
 }
 
-/// The state of a job that is known; an error if the id stands for another job.
+/// Returns the state of a job that is already known, or an error if its id belongs to another job.
 fn known_job(
     core: &EntryCore,
     tenant: &CustomerName,
     job: &JobId,
-    asked: &JobEntry,
+    submitted: &JobEntry,
 ) -> Result<Option<JobStatus>, CallProblem> {
     let fold = lock(&core.jobs.fold);
     let Some(row) = fold.row(tenant.as_str(), job.as_str()) else { return Ok(None) };
-    let other = |entry: &JobEntry| entry.body != asked.body || entry.adapter != asked.adapter;
+    let other =
+        |entry: &JobEntry| entry.body != submitted.body || entry.adapter != submitted.adapter;
     if row.entry().is_some_and(other) {
         let detail = format!("job {job} was submitted with another body");
         return Err(CallProblem::refused(RefusalReason::KeyReused, 0, detail));
@@ -199,44 +203,45 @@
 
 async fn append(core: &EntryCore, record: &JobRecord) -> Result<(), CallProblem> {
     let data = serde_json::to_string(record).expect("records have text keys");
-    match core.writers.jobs.append(data, ACCEPT_WITHIN).await {
+    match core.writers.jobs.append(data, ACCEPT_TIMEOUT).await {
         Ok(()) => Ok(()),
         Err(crate::write::WriteError::NotAppended { cause }) => {
             let reason = RefusalReason::LogUnavailable;
             Err(CallProblem::refused(reason, LOG_RETRY_MS, cause))
         }
-        Err(crate::write::WriteError::Unsure { cause }) => Err(unsure(&cause)),
+        Err(crate::write::WriteError::Unconfirmed { cause }) => Err(outcome_unknown(&cause)),
     }
 }
 
-fn unsure(detail: &str) -> CallProblem {
+fn outcome_unknown(detail: &str) -> CallProblem {
     let detail = format!("{detail}; submit it again under the same id");
     CallProblem::ended(FaceReason::AnswerLost, RequestOutcome::Unknown, detail)
         .with_retry(LOG_RETRY_MS)
 }
 
-/// Waits until a job's row fulfils `wanted`.
+/// Waits until a job's row satisfies `wanted`; fails after [`ACCEPT_TIMEOUT`].
 async fn await_row(
     core: &EntryCore,
     tenant: &CustomerName,
     job: &JobId,
     wanted: impl Fn(&JobRow) -> bool,
 ) -> Result<(), CallProblem> {
-    let until = Instant::now() + ACCEPT_WITHIN;
+    let until = Instant::now() + ACCEPT_TIMEOUT;
     loop {
         let changed = core.jobs.changed.notified();
-        let there = lock(&core.jobs.fold).row(tenant.as_str(), job.as_str()).is_some_and(&wanted);
-        if there {
+        let satisfied =
+            lock(&core.jobs.fold).row(tenant.as_str(), job.as_str()).is_some_and(&wanted);
+        if satisfied {
             return Ok(());
         }
         let left = until.saturating_duration_since(Instant::now());
         if timeout(left, changed).await.is_err() {
-            return Err(unsure("the record was not read back in time"));
+            return Err(outcome_unknown("the record was not read back in time"));
         }
     }
 }
 
-/// A job's state.
+/// Returns a job's state.
 pub(crate) fn status(
     core: &EntryCore,
     tenant: &CustomerName,
@@ -247,8 +252,8 @@
     fold.row(tenant.as_str(), job.as_str()).map(status_of).ok_or_else(|| unknown_job(core, job))
 }
 
-/// A VM that has not read the stream's end yet does not know which jobs there are, nor which result
-/// was the first: it must not show one that a record it has yet to read came before.
+/// Refuses until the job stream was read to its end. Before that this VM does not know all jobs, nor
+/// which result of a job is the first.
 fn check_caught_up(core: &EntryCore) -> Result<(), CallProblem> {
     if lock(&core.jobs.fold).is_caught_up() {
         return Ok(());
@@ -265,7 +270,7 @@
     CallProblem::not_run(FaceReason::UnknownJob, format!("there is no job {job}"))
 }
 
-/// A job's result.
+/// Returns a job's result, or an error while there is none or if the job failed.
 pub(crate) fn result(
     core: &EntryCore,
     tenant: &CustomerName,
@@ -291,7 +296,7 @@
     }
 }
 
-/// Withdraws a job; a result that is first in the log stays.
+/// Cancels a job; a result that precedes the cancellation in the log is kept.
 pub(crate) async fn cancel(
     core: &EntryCore,
     tenant: &CustomerName,
@@ -306,11 +311,11 @@
     status(core, tenant, job)
 }
 
-/// Runs and keeps jobs until the process ends.
+/// Plans jobs and performs the resulting actions until the process ends.
 pub(crate) async fn run_jobs(core: Arc<EntryCore>) {
     while !core.closing.is_cancelled() {
-        sleep(LEAST_PLAN_PAUSE).await;
-        let _ = timeout(PLAN_PERIOD, core.jobs.changed.notified()).await;
+        sleep(MIN_PLAN_INTERVAL).await;
+        let _ = timeout(MAX_PLAN_INTERVAL, core.jobs.changed.notified()).await;
         if !core.health.readable(core.clock.now()) || core.ready().is_err() {
             continue;
         }
@@ -332,7 +337,7 @@
             let core = Arc::clone(core);
             tokio::spawn(async move {
                 let data = serde_json::to_string(&record).expect("records have text keys");
-                let _ = core.writers.jobs.append(data, RECORD_WITHIN).await;
+                let _ = core.writers.jobs.append(data, RECORD_TIMEOUT).await;
             });
         }
         JobAction::Run(entry) => {
@@ -370,8 +375,8 @@
     JobEnd { outcome: RequestOutcome::NotRun, result: detail.to_owned() }
 }
 
-/// Runs a job's completion. Whatever may be mended by another run gives the job back; a job is not
-/// lost to an outage.
+/// Runs a job's completion. Errors that another run may not have end as `NotRun`, so that the job
+/// runs again and is not lost to an outage.
 async fn answer_job(core: &Arc<EntryCore>, entry: &JobEntry) -> JobEnd {
     let Some(call) = job_call(core, entry) else {
         let result = "the job's record cannot be read".to_owned();
@@ -395,7 +400,7 @@
     }
 }
 
-/// Refusals that no further run will change.
+/// Returns whether `problem` is a refusal that another run would get again.
 fn is_final(problem: &CallProblem) -> bool {
     use coltsfoothook_caller::ProblemReason::Refused;
     matches!(
--- a/entry/src/lib.rs
+++ b/entry/src/lib.rs
@@ -1,7 +1,7 @@
 //! The process on an entry VM.
 //!
-//! It only wires: decisions are taken by the state machines of `coltsfoothook_decision`, and each
-//! peer has a package of its own. docs/DESIGN.md shows how the parts fit.
+//! This package connects the state machines of `coltsfoothook_decision`, which take the decisions,
+//! to the interfaces and clients, which are packages of their own. See docs/DESIGN.md.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), coltsfoothook_entry::EntryError> {
--- a/entry/src/limits.rs
+++ b/entry/src/limits.rs
@@ -1,4 +1,4 @@
-//! Tenants' limits and the retry budget of this VM.
+//! Customers' request limits and the retry budget of this VM.
 
 use std::sync::Mutex;
 
@@ -10,16 +10,16 @@
 use crate::core::EntryCore;
 use crate::held::lock;
 
-/// This interface counts requests, each as one.
+/// Cost of one request; limits count requests, whatever their size.
 const REQUEST_COST: f64 = 1.0;
 
-/// The limiter and the budget, each under its own lock.
-pub(crate) struct LimitDesk {
+/// The customer limiter and the retry budget, each with its own lock.
+pub(crate) struct RequestLimits {
     limiter: Mutex<CustomerLimiter>,
     budget: Mutex<RetryBudget>,
 }
 
-impl LimitDesk {
+impl RequestLimits {
     pub(crate) fn new() -> Self {
         Self {
             limiter: Mutex::new(CustomerLimiter::default()),
@@ -27,34 +27,34 @@
         }
     }
 
-    /// Takes the limits of the configuration in force.
+    /// Applies the limits of the configuration in force.
     pub(crate) fn configure(&self, core: &EntryCore) {
         let view = core.view();
         lock(&self.limiter).configure_manifest(core.clock.now(), &view.manifest);
     }
 
-    /// Admits a request of `tenant`.
+    /// Charges one request to `tenant`, or refuses it with the time to wait.
     pub(crate) fn admit(&self, now: TimePoint, tenant: &str) -> Result<(), LimitRefusal> {
         lock(&self.limiter).admit(now, tenant, REQUEST_COST)
     }
 
-    /// Takes what the other VMs say of their use.
+    /// Updates the limiter with the usage that other VMs reported.
     pub(crate) fn hear_members(&self, core: &EntryCore) {
         let members = lock(&core.members);
         lock(&self.limiter).hear_members(core.clock.now(), &members);
     }
 
-    /// This VM's own use, which it tells the others.
+    /// Returns the usage on this VM, which is reported to other VMs.
     pub(crate) fn usage(&self, now: TimePoint) -> Vec<CustomerUsage> {
         lock(&self.limiter).usage(now)
     }
 
-    /// Notes a first try.
+    /// Records a request's first attempt, which adds to the retry budget.
     pub(crate) fn first_try(&self) {
         lock(&self.budget).first_try();
     }
 
-    /// Lets a failed try consult the budget.
+    /// Runs `decide`, the decision after a failed attempt, with the retry budget.
     pub(crate) fn after_failure<T>(&self, decide: impl FnOnce(&mut RetryBudget) -> T) -> T {
         decide(&mut lock(&self.budget))
     }
--- a/entry/src/main.rs
+++ b/entry/src/main.rs
@@ -9,7 +9,7 @@
 use coltsfoothook_telemetry::{event, name_process, start_logs};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The exit code for settings or keys that cannot be used.
+/// Exit code for unusable settings or keys and for a failed start.
 const EXIT_SETTINGS: u8 = 2;
 
 /// Runs an entry VM's part of coltsfoothook.
--- a/entry/src/measure.rs
+++ b/entry/src/measure.rs
@@ -1,4 +1,4 @@
-//! The process's metrics, in terms of what its parts observe.
+//! Maps events and state of the process to its metrics.
 
 use coltsfoothook_decision::attempt::CallStage;
 use coltsfoothook_decision::member::MemberState;
@@ -17,17 +17,16 @@
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// Seconds of a time in milliseconds.
+/// Converts milliseconds to seconds.
 pub(crate) fn seconds(millis: u64) -> f64 {
     millis as f64 / MILLIS_PER_SECOND
 }
 
-/// Seconds of a time in microseconds.
+/// Converts microseconds to seconds.
 pub(crate) fn micro_seconds(micros: u64) -> f64 {
     micros as f64 / MICROS_PER_SECOND
 }
 
-/// The label of a stream.
 fn stream_label(stream: FollowedStream) -> StreamName {
     match stream {
         FollowedStream::Config => StreamName::Config,
@@ -37,7 +36,7 @@
     }
 }
 
-/// The process's metrics.
+/// The metric set of the process.
 pub(crate) struct EntryMetrics {
     pub(crate) set: MetricSet,
 }
@@ -47,7 +46,7 @@
         Self { set: MetricSet::new(settings) }
     }
 
-    /// Counts what an owner noticed.
+    /// Counts the loads and evictions that a group owner notes.
     pub(crate) fn owner_note(&self, note: &OwnerNote) {
         match note {
             OwnerNote::Loaded { took_ms, .. } => {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// Counts an order that ended.
+    /// Counts a completed order to an engine.
     pub(crate) fn order(&self, order: &EngineOrder, result: OrderResult) {
         let kind = match order {
             EngineOrder::Load { .. } => OrderKind::Load,
@@ -78,7 +77,7 @@
         self.set.count_order(kind, result);
     }
 
-    /// Counts an append to a stream of the log.
+    /// Counts an append to the log; names of unknown streams are ignored.
     pub(crate) fn appended(&self, stream: &str, result: AppendResult) {
         let streams = FollowedStream::ALL.into_iter();
         if let Some(stream) = streams.into_iter().find(|known| known.name() == stream) {
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Counts a further try after one that failed at `stage`.
+    /// Counts a retry after an attempt that failed at `stage`.
     pub(crate) fn retried(&self, stage: CallStage) {
         let reason = match stage {
             CallStage::SlotMissing => RetryReason::SlotMissing,
@@ -98,7 +97,7 @@
         self.set.count_retry(reason);
     }
 
-    /// Brings the gauges up to date; done whenever the metrics are read.
+    /// Updates the gauges; called whenever the metrics are read.
     pub(crate) fn refresh(&self, core: &EntryCore) {
         let now = core.clock.now();
         self.set.set_invariants(&core.invariant_counts());
--- a/entry/src/operate.rs
+++ b/entry/src/operate.rs
@@ -1,4 +1,4 @@
-//! What stands behind the operators' face.
+//! Handler of the operator interface.
 
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
@@ -27,36 +27,36 @@
 use crate::peers::own_status;
 use crate::write::WriteError;
 
-/// How long an operator's record is offered to the log, and how long its verdict is waited for.
-const APPEND_WITHIN: Duration = Duration::from_secs(5);
-const VERDICT_WITHIN: Duration = Duration::from_secs(5);
-const PEER_WITHIN: Duration = Duration::from_secs(2);
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Timeout of the append of an operator's record, and again of its verdict.
+const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
+const VERDICT_TIMEOUT: Duration = Duration::from_secs(5);
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often the files with operators' tokens are read again.
-const TOKEN_PERIOD: Duration = Duration::from_secs(2);
+/// Interval at which the files with operators' tokens are read again.
+const TOKEN_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The operators' tokens, as hashes. Tenants' credentials are in a table of their own, so that they
-/// open no call here.
+/// Hashes of the operators' tokens. Customers' credentials are in a separate table, so they grant no
+/// access to the operator interface.
 pub(crate) struct OperatorTokens {
     files: Vec<SecretFile>,
     table: RwLock<CredentialTable<()>>,
 }
 
 impl OperatorTokens {
-    /// Reads the tokens and keeps their hashes alone.
+    /// Reads the token files and keeps only the hashes.
     pub(crate) fn load(files: &[SecretFile]) -> Result<Self, SecretError> {
         let table = RwLock::new(read_tokens(files)?);
         Ok(Self { files: files.to_vec(), table })
     }
 
-    /// Reads the files again now and then, so that a token is replaced without a restart. A file
-    /// that cannot be read leaves the old tokens in force: half a table would lock operators out.
+    /// Reloads the files periodically, so that tokens are replaced without a restart. If a file
+    /// cannot be read the old tokens stay valid; a partial table would lock operators out.
     pub(crate) async fn watch(self: Arc<Self>, closing: CancellationToken) {
         loop {
             tokio::select! {
                 () = closing.cancelled() => return,
-                () = sleep(TOKEN_PERIOD) => {}
+                () = sleep(TOKEN_RELOAD_INTERVAL) => {}
             }
             match read_tokens(&self.files) {
                 Ok(table) => *write(&self.table) = table,
@@ -80,13 +80,13 @@
     }
 }
 
-/// Answers operators out of the shared state.
-pub(crate) struct OperatorFace {
+/// Serves operator requests from the shared state.
+pub(crate) struct OperatorInterface {
     pub(crate) core: Arc<EntryCore>,
 }
 
 #[async_trait]
-impl OperatorHandler for OperatorFace {
+impl OperatorHandler for OperatorInterface {
     async fn manifest(&self) -> Option<ManifestAnswer> {
         let view = self.core.view();
         let known = view.version.0 > 0 && self.core.ready().is_ok();
@@ -102,7 +102,7 @@
     async fn status(&self) -> FleetStatus {
         let core = &self.core;
         let others = other_vms(core).into_iter().map(|target| async move {
-            let reply = core.clients.peers.status(&target, PEER_WITHIN).await.ok();
+            let reply = core.clients.peers.status(&target, PEER_TIMEOUT).await.ok();
             VmStatus { vm: target.vm, reply }
         });
         let mut vms = join_all(others).await;
@@ -139,7 +139,7 @@
         let core = &self.core;
         let asked = other_vms(core).into_iter().map(|target| async move {
             let call = ExplainCall { id: id.clone() };
-            core.clients.peers.explain(&target, call, PEER_WITHIN).await.ok()
+            core.clients.peers.explain(&target, call, PEER_TIMEOUT).await.ok()
         });
         let others = join_all(asked).await.into_iter().flatten();
         let own = ExplainReply { vm: core.me.clone(), steps: core.traces.steps(id.as_str()) };
@@ -185,16 +185,15 @@
 
 /// Appends a publication and waits for the fold's verdict on it.
 ///
-/// The verdict is found by the publication's id and not by the append's answer, so an answer that
-/// was lost changes nothing: the record is found, or the append is repeated and the fold tells the
-/// repeat from the first.
+/// The verdict is matched by the publication's id, not by the append's answer. If that answer is
+/// lost, the record is still found, or the append is repeated and the fold detects the duplicate.
 async fn publish(core: &Arc<EntryCore>, call: PublishCall) -> PublishAnswer {
     if !lock(&core.config).whole() {
         return PublishAnswer::NotReady;
     }
     let in_force = lock(&core.config).in_force();
     if in_force.version == call.base {
-        // A change that the fold would reject is refused before it takes room in the log.
+        // A change that the fold would reject is refused without appending it.
         let faults = publish_faults(&call.change, &in_force);
         if !faults.is_empty() {
             return PublishAnswer::Rejected(faults);
@@ -228,11 +227,11 @@
     data: String,
     answered: oneshot::Receiver<ConfigVerdict>,
 ) -> PublishAnswer {
-    match core.writers.config.append(data, APPEND_WITHIN).await {
-        Ok(()) | Err(WriteError::Unsure { .. }) => {}
+    match core.writers.config.append(data, APPEND_TIMEOUT).await {
+        Ok(()) | Err(WriteError::Unconfirmed { .. }) => {}
         Err(WriteError::NotAppended { .. }) => return PublishAnswer::LogUnavailable,
     }
-    match timeout(VERDICT_WITHIN, answered).await {
+    match timeout(VERDICT_TIMEOUT, answered).await {
         Ok(Ok(ConfigVerdict::Accepted(version))) => PublishAnswer::Accepted(version),
         Ok(Ok(ConfigVerdict::Repeated(version))) => PublishAnswer::Repeated(version),
         Ok(Ok(ConfigVerdict::Stale { in_force, .. })) => PublishAnswer::Stale { in_force },
@@ -243,22 +242,23 @@
     }
 }
 
+/// Appends a control record and waits until `there` holds in the fold.
 async fn write_control(
     core: &Arc<EntryCore>,
     record: &ControlRecord,
-    there: impl Fn(&EntryCore) -> bool,
+    applied: impl Fn(&EntryCore) -> bool,
 ) -> WriteAnswer {
     let data = serde_json::to_string(record).expect("records have text keys");
-    match core.writers.control.append(data, APPEND_WITHIN).await {
-        Ok(()) | Err(WriteError::Unsure { .. }) => {}
+    match core.writers.control.append(data, APPEND_TIMEOUT).await {
+        Ok(()) | Err(WriteError::Unconfirmed { .. }) => {}
         Err(WriteError::NotAppended { .. }) => return WriteAnswer::LogUnavailable,
     }
-    let until = Instant::now() + VERDICT_WITHIN;
+    let until = Instant::now() + VERDICT_TIMEOUT;
     while Instant::now() < until {
-        if there(core) {
+        if applied(core) {
             return WriteAnswer::Written;
         }
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     WriteAnswer::Unknown
 }
--- a/entry/src/own.rs
+++ b/entry/src/own.rs
@@ -1,5 +1,5 @@
-//! The groups that this VM owns: turns messages into events of the owner and carries out its
-//! actions.
+//! The groups that this VM owns: passes messages to the owner state machine as events and performs
+//! its actions.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -31,18 +31,18 @@
 use crate::core::{EntryCore, read, write};
 use crate::held::lock;
 
-/// How long an intent or a crash is offered to the log.
-const RECORD_WITHIN: Duration = Duration::from_secs(30);
-/// How long another VM has to tell what it holds.
-const HELD_WITHIN: Duration = Duration::from_secs(2);
-/// When a request that met no owner may try again, in milliseconds.
+/// Timeout of the append of a control record.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of the query for the grants that another VM holds.
+const HELD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Retry delay in milliseconds returned by a VM that does not own the group.
 pub(crate) const NOT_OWNER_RETRY_MS: u64 = 500;
 
-/// One group that this VM owns, under its own lock.
+/// One group that this VM owns.
 pub(crate) struct OwnerShard {
     pub(crate) group: GroupName,
     pub(crate) epoch: OwnerEpoch,
-    /// Cancelled when another VM takes the group over, which ends the shard's tasks.
+    /// Cancelled on takeover by another VM and at shutdown; ends the shard's tasks.
     pub(crate) ended: CancellationToken,
     state: Mutex<ShardState>,
 }
@@ -51,20 +51,20 @@
     owner: GroupOwner,
     rng: Pcg64,
     next_ticket: u64,
-    /// Sorted by ticket, since tickets grow.
-    waiting: Vec<WaitingAsker>,
-    /// Grants that are out, sorted by number, to find one by its request.
-    out: Vec<OutGrant>,
+    /// Requests without an answer, sorted by ticket, since tickets increase.
+    waiting: Vec<WaitingRequest>,
+    /// Grants not released yet, sorted by number.
+    outstanding: Vec<OutstandingGrant>,
 }
 
-struct WaitingAsker {
+struct WaitingRequest {
     ticket: u64,
     asker: VmIdentity,
     id: RequestId,
     answer: oneshot::Sender<ReserveReply>,
 }
 
-struct OutGrant {
+struct OutstandingGrant {
     number: u64,
     asker: VmIdentity,
     id: RequestId,
@@ -72,11 +72,10 @@
 }
 
 impl OwnerShard {
-    /// Hands an event to the owner and carries out what it wants.
+    /// Passes an event to the owner and performs its actions.
     ///
-    /// A shard that has ended does nothing more. Events still come in, such as the end of an order
-    /// or a request that is withdrawn; a deposed owner that answered them with further orders would
-    /// evict slots that its successor has granted.
+    /// Events that arrive after the shard has ended, such as the end of an order or a withdrawal, are
+    /// ignored: a deposed owner that acted on them could evict slots that its successor has granted.
     pub(crate) fn drive(self: &Arc<Self>, core: &Arc<EntryCore>, event: OwnerEvent) {
         if self.ended.is_cancelled() {
             return;
@@ -98,8 +97,8 @@
         lock(&self.state).owner.invariants().clone()
     }
 
-    /// Waits for a grant. Dropping the future withdraws the request, and gives back a grant that
-    /// was given but not taken.
+    /// Waits for a grant. Dropping the future withdraws the request, or releases a grant that was
+    /// sent but not received.
     pub(crate) async fn reserve(
         self: &Arc<Self>,
         core: &Arc<EntryCore>,
@@ -112,7 +111,7 @@
             let ticket = state.next_ticket;
             state.next_ticket += 1;
             let id = spec.id.clone();
-            state.waiting.push(WaitingAsker { ticket, asker: asker.clone(), id, answer });
+            state.waiting.push(WaitingRequest { ticket, asker: asker.clone(), id, answer });
             ticket
         };
         let mut guard = ReserveGuard {
@@ -126,7 +125,7 @@
         guard.wait().await
     }
 
-    /// Forgets a request of another VM, whether it still waits or has a grant by now.
+    /// Withdraws a request of another VM, or releases its grant if it already has one.
     pub(crate) fn withdraw(self: &Arc<Self>, core: &Arc<EntryCore>, call: &WithdrawCall) {
         let event = {
             let state = lock(&self.state);
@@ -134,11 +133,14 @@
                 .waiting
                 .iter()
                 .find(|waiting| waiting.id == call.id && waiting.asker == call.asker);
-            let out = state.out.iter().find(|out| out.id == call.id && out.asker == call.asker);
-            match (waits, out) {
+            let outstanding = state
+                .outstanding
+                .iter()
+                .find(|outstanding| outstanding.id == call.id && outstanding.asker == call.asker);
+            match (waits, outstanding) {
                 (Some(waiting), _) => OwnerEvent::Withdraw { ticket: waiting.ticket },
-                (None, Some(out)) => {
-                    OwnerEvent::Release(self.unused(out.number, call.asker.clone()))
+                (None, Some(outstanding)) => {
+                    OwnerEvent::Release(self.unused(outstanding.number, call.asker.clone()))
                 }
                 (None, None) => return,
             }
@@ -155,7 +157,7 @@
         ReleaseCall { holder, grant, end: GrantEnd::NotRun, tokens: 0 }
     }
 
-    /// What operators see of the group.
+    /// Returns the group's status for operators.
     pub(crate) fn status(&self, core: &EntryCore) -> GroupStatus {
         let state = lock(&self.state);
         let figures = state.owner.figures();
@@ -181,13 +183,13 @@
         GroupStatus { group: self.group.clone(), epoch: self.epoch, queues, servers }
     }
 
-    /// Whether requests wait or adapters load.
+    /// Returns whether requests wait or adapters are being loaded.
     pub(crate) fn is_busy(&self) -> bool {
         let figures = lock(&self.state).owner.figures();
         figures.loading > 0 || figures.waiting.iter().any(|waiting| *waiting > 0)
     }
 
-    /// The engines that the owner watches.
+    /// Returns the engines in the owner's topology.
     pub(crate) fn engines(&self) -> Vec<ServerName> {
         let state = lock(&self.state);
         state.owner.topology().engines.iter().map(|engine| engine.server.clone()).collect()
@@ -195,7 +197,7 @@
 
     fn perform(self: &Arc<Self>, core: &Arc<EntryCore>, action: OwnerAction) {
         match action {
-            // Answered under the lock, see `ShardState::handle`.
+            // Handled under the lock by `ShardState::handle`.
             OwnerAction::Grant { .. } | OwnerAction::Refuse { .. } => {}
             OwnerAction::AppendIntent { number, server, incarnation, evict, load } => {
                 let (group, epoch) = (self.group.clone(), self.epoch);
@@ -222,7 +224,7 @@
             OwnerAction::AskHeld { vms } => {
                 for vm in vms {
                     let (core, shard) = (Arc::clone(core), Arc::clone(self));
-                    tokio::spawn(async move { shard.ask_held(&core, &vm).await });
+                    tokio::spawn(async move { shard.query_held(&core, &vm).await });
                 }
             }
             OwnerAction::RecordCrash { server, incarnation, suspects } => {
@@ -238,7 +240,7 @@
         }
     }
 
-    async fn ask_held(self: &Arc<Self>, core: &Arc<EntryCore>, vm: &VmName) {
+    async fn query_held(self: &Arc<Self>, core: &Arc<EntryCore>, vm: &VmName) {
         let call =
             HeldCall { group: self.group.clone(), epoch: self.epoch, asker: core.me.clone() };
         if *vm == core.me.vm {
@@ -247,21 +249,21 @@
             return;
         }
         let Some(target) = core.target(vm.as_str()) else { return };
-        match core.clients.peers.held(&target, call, HELD_WITHIN).await {
+        match core.clients.peers.held(&target, call, HELD_TIMEOUT).await {
             Ok(reply) => {
                 self.drive(core, OwnerEvent::Held { vm: reply.vm, grants: reply.grants });
             }
             Err(error) => {
                 event!(HeldUnknown, vm = vm, error = error);
-                self.note_ended(core, &target).await;
+                self.report_if_ended(core, &target).await;
             }
         }
     }
 
-    /// A VM whose process has ended holds nothing any more. Without this the slots that the owner
-    /// before it loaded could not be evicted until the zombie window is over, and every adapter that
-    /// was not loaded would wait for two minutes after a crash.
-    async fn note_ended(self: &Arc<Self>, core: &Arc<EntryCore>, target: &PeerTarget) {
+    /// Answers for a dead VM whose process has ended: it holds no grants. Without this the slots of
+    /// the previous owner could not be evicted until the zombie window has passed, which would delay
+    /// loads by two minutes after a crash.
+    async fn report_if_ended(self: &Arc<Self>, core: &Arc<EntryCore>, target: &PeerTarget) {
         let dead = {
             let members = lock(&core.members);
             let row = members.row(target.vm.as_str());
@@ -289,7 +291,7 @@
         if let OwnerEvent::Release(call) = &event
             && call.grant.epoch == self.owner.epoch()
         {
-            self.forget_out(call.grant.number);
+            self.remove_outstanding(call.grant.number);
         }
         let mut actions = Vec::new();
         self.owner.handle(core.clock.now(), event, &mut self.rng, &mut actions);
@@ -305,9 +307,10 @@
         }
     }
 
-    /// How many requests run on `server` once one more does.
+    /// Returns the number of requests on `server`, including one about to be granted.
     fn running_with(&self, server: &ServerName) -> u32 {
-        let others = self.out.iter().filter(|out| out.server == *server).count();
+        let others =
+            self.outstanding.iter().filter(|outstanding| outstanding.server == *server).count();
         u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
     }
 
@@ -316,9 +319,10 @@
         let id = grant.id.clone();
         let Some(waiting) = self.take_waiting(ticket) else { return };
         let holder = waiting.asker.clone();
-        let at = self.out.partition_point(|out| out.number < number);
+        let at = self.outstanding.partition_point(|outstanding| outstanding.number < number);
         let server = grant.server.clone();
-        self.out.insert(at, OutGrant { number, asker: waiting.asker, id: waiting.id, server });
+        self.outstanding
+            .insert(at, OutstandingGrant { number, asker: waiting.asker, id: waiting.id, server });
         if waiting.answer.send(ReserveReply::Granted(grant)).is_err() {
             let call = ReleaseCall { holder, grant: id, end: GrantEnd::NotRun, tokens: 0 };
             events.push(OwnerEvent::Release(call));
@@ -331,21 +335,23 @@
         }
     }
 
-    fn take_waiting(&mut self, ticket: u64) -> Option<WaitingAsker> {
+    fn take_waiting(&mut self, ticket: u64) -> Option<WaitingRequest> {
         let found = self.waiting.binary_search_by_key(&ticket, |waiting| waiting.ticket);
         found.ok().map(|at| self.waiting.remove(at))
     }
 
-    fn forget_out(&mut self, number: u64) {
-        if let Ok(at) = self.out.binary_search_by_key(&number, |out| out.number) {
-            self.out.remove(at);
+    fn remove_outstanding(&mut self, number: u64) {
+        if let Ok(at) =
+            self.outstanding.binary_search_by_key(&number, |outstanding| outstanding.number)
+        {
+            self.outstanding.remove(at);
         }
     }
 }
 
-/// Withdraws a reservation whose future was dropped: the caller went away, or the connection to the
-/// VM that asked. Without it the request would keep its place in the queue, and a grant that nobody
-/// takes would pin its slot for ever.
+/// Withdraws a reservation whose future is dropped, because the caller or the requesting VM
+/// disconnected. Without it the request would stay queued, and a grant that nobody receives would
+/// pin its slot forever.
 struct ReserveGuard {
     core: Arc<EntryCore>,
     shard: Arc<OwnerShard>,
@@ -378,16 +384,16 @@
     }
 }
 
-/// The answer of a VM that does not own the group.
+/// Returns the refusal of a VM that does not own the group.
 pub(crate) fn not_owner() -> ReserveReply {
     let reason = RefusalReason::NotOwner;
     ReserveReply::Refused(GrantRefusal { reason, retry_after_ms: NOT_OWNER_RETRY_MS })
 }
 
-/// Tells a new owner which grants of earlier epochs this VM holds, and uses no further ones.
+/// Returns the grants of earlier epochs that this VM holds, and refuses to use further ones.
 ///
 /// The floor is raised before the register is read, and a grant is registered before its epoch is
-/// compared with the floor: a grant is therefore either told here or not used.
+/// compared with the floor, so every grant is either reported here or not used.
 pub(crate) fn answer_held(core: &EntryCore, call: &HeldCall) -> Vec<HeldGrant> {
     {
         let mut floors = lock(&core.floors);
@@ -399,14 +405,14 @@
     core.held.before(call.group.as_str(), call.epoch)
 }
 
-/// The lowest epoch of `group` whose grants this VM may still use.
+/// Returns the lowest epoch of `group` whose grants this VM may still use.
 pub(crate) fn floor(core: &EntryCore, group: &str) -> OwnerEpoch {
     let floors = lock(&core.floors);
     let found = floors.binary_search_by(|floor| floor.0.as_str().cmp(group));
     found.map(|at| floors[at].1).unwrap_or_default()
 }
 
-/// Begins or ends owning a group, as the control stream says.
+/// Starts or ends the shard of a group according to the control stream; ignores older epochs.
 pub(crate) fn ownership_changed(core: &Arc<EntryCore>, ownership: &GroupOwnership) {
     let ended = {
         let mut owners = write(&core.owners);
@@ -425,7 +431,7 @@
     }
 }
 
-/// Ends a shard; its waiting requests are told that they ask the wrong VM.
+/// Ends a shard. Its waiting requests are refused with `NotOwner`, since their senders are dropped.
 fn end_shard(shard: &OwnerShard) {
     shard.ended.cancel();
     lock(&shard.state).waiting.clear();
@@ -447,7 +453,7 @@
         rng: Pcg64::seed_from_u64(seed),
         next_ticket: 1,
         waiting: Vec::new(),
-        out: Vec::new(),
+        outstanding: Vec::new(),
     };
     let shard = Arc::new(OwnerShard {
         group: ownership.group.clone(),
@@ -461,14 +467,14 @@
         let at = owners.partition_point(|other| other.group < shard.group);
         owners.insert(at, Arc::clone(&shard));
     }
-    for event in first_events(core, &shard.group) {
+    for event in initial_events(core, &shard.group) {
         shard.drive(core, event);
     }
     tokio::spawn(crate::watch::watch_shard(Arc::clone(core), shard));
 }
 
-/// What a new owner must know before its first decision.
-fn first_events(core: &EntryCore, group: &GroupName) -> Vec<OwnerEvent> {
+/// Returns the events that initialise a new owner: suspects, open intents and draining servers.
+fn initial_events(core: &EntryCore, group: &GroupName) -> Vec<OwnerEvent> {
     let control = read(&core.control);
     let mut events = vec![OwnerEvent::Suspects(control.suspects().to_vec())];
     events.extend(control.intents(group.as_str()).map(|intent| OwnerEvent::OldIntent {
@@ -488,7 +494,7 @@
     events
 }
 
-/// Gives every owned group the topology of the configuration in force.
+/// Updates every owned group to the topology of the configuration in force.
 pub(crate) fn configuration_changed(core: &Arc<EntryCore>) {
     let view = core.view();
     let shards = read(&core.owners).clone();
@@ -501,7 +507,7 @@
     }
 }
 
-/// Hands an event to every owned group.
+/// Passes an event to every owned group.
 pub(crate) fn drive_all(core: &Arc<EntryCore>, event: &OwnerEvent) {
     let shards = read(&core.owners).clone();
     for shard in shards {
@@ -509,12 +515,12 @@
     }
 }
 
-/// Offers a record to the control stream without waiting for it.
+/// Appends a record to the control stream in the background; a failure is only logged.
 pub(crate) fn append_control(core: &Arc<EntryCore>, record: ControlRecord) {
     let data = serde_json::to_string(&record).expect("records have text keys");
     let core = Arc::clone(core);
     tokio::spawn(async move {
-        if let Err(error) = core.writers.control.append(data, RECORD_WITHIN).await {
+        if let Err(error) = core.writers.control.append(data, RECORD_TIMEOUT).await {
             event!(RecordGivenUp, stream = CONTROL_STREAM, error = error);
         }
     });
@@ -542,8 +548,8 @@
     };
     let result = order_result(&sent);
     if matches!(sent, Err(OrderError::OrderNotSent { .. })) {
-        // An engine that refuses connections is down; waiting for its next reports to fail would
-        // send it one load after another.
+        // An engine that refuses connections is down. Until its next reports failed, the owner would
+        // keep sending it loads.
         shard.drive(core, OwnerEvent::ReportFailed { server: server.into() });
     }
     if let Err(error) = sent {
@@ -573,7 +579,7 @@
     }
 }
 
-/// The adapter version in a slot's name; see docs/DESIGN.md, "Slot names carry the epoch".
+/// Parses the adapter version in a slot name; see docs/DESIGN.md, "Slot names carry the epoch".
 pub(crate) fn slot_adapter(slot: &str) -> Option<AdapterVersion> {
     let (version, _) = slot.rsplit_once('#')?;
     let (adapter, version) = version.split_once('@')?;
--- a/entry/src/peers.rs
+++ b/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! What stands behind the face towards other VMs.
+//! Handler of the interface to other VMs.
 
 use std::sync::Arc;
 
@@ -19,14 +19,14 @@
 use crate::release::take_release;
 use crate::roster::{RosterDriver, answer_catch_up};
 
-/// Answers other VMs out of the shared state.
-pub(crate) struct PeerFace {
+/// Serves requests of other VMs from the shared state.
+pub(crate) struct PeerInterface {
     pub(crate) core: Arc<EntryCore>,
     pub(crate) roster: Arc<RosterDriver>,
 }
 
 #[async_trait]
-impl PeerHandler for PeerFace {
+impl PeerHandler for PeerInterface {
     fn counters(&self) -> Arc<PeerCounters> {
         Arc::clone(self.core.clients.peers.counters())
     }
@@ -78,8 +78,8 @@
     }
 }
 
-impl PeerFace {
-    /// The answer to a probe that the membership left without one: only this VM's own word.
+impl PeerInterface {
+    /// Returns a reply to a probe that membership did not answer: this VM's own digest alone.
     fn unanswered(&self, number: u64) -> ProbeReply {
         let members = lock(&self.core.members);
         ProbeReply {
@@ -91,7 +91,7 @@
     }
 }
 
-/// What this VM knows and does.
+/// Returns the status that operators see of this VM.
 pub(crate) fn own_status(core: &EntryCore) -> StatusReply {
     let now = core.clock.now();
     let streams = FollowedStream::ALL.iter().map(|stream| {
--- a/entry/src/process.rs
+++ b/entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The entry process: puts the parts together, and takes them apart without cutting a request.
+//! Start and graceful shutdown of the entry process.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, RwLock};
@@ -22,30 +22,30 @@
 
 use crate::clock::{ProcessClock, wall_ms};
 use crate::core::{EntryClients, EntryCore, LogWriters, read};
-use crate::faces::CallFace;
+use crate::faces::CallerInterface;
 use crate::follow::{FollowedStream, follow_stream};
 use crate::gate::RequestGate;
 use crate::health::LogHealth;
 use crate::held::lock;
-use crate::jobs::{JobDesk, run_jobs};
-use crate::limits::LimitDesk;
+use crate::jobs::{JobScheduler, run_jobs};
+use crate::limits::RequestLimits;
 use crate::measure::EntryMetrics;
-use crate::operate::{OperatorFace, OperatorTokens};
-use crate::peers::PeerFace;
-use crate::release::{ReleaseDesk, run_releases};
+use crate::operate::{OperatorInterface, OperatorTokens};
+use crate::peers::PeerInterface;
+use crate::release::{ReleaseQueue, run_releases};
 use crate::roster::{RosterDriver, run_catch_up, run_listing, run_roster, run_takeovers};
 use crate::settings::EntrySettings;
 use crate::snapshots::run_snapshots;
-use crate::write::{StreamWriter, WriterParts, report_health};
+use crate::write::{StreamWriter, WriterParts, health_callback};
 
-/// Bits of an incarnation that are random; the others are the start's time in milliseconds.
+/// Random low bits of an incarnation; the others are the start time in milliseconds.
 const RANDOM_BITS: u32 = 20;
-/// How long the last releases and results have to reach their owners and the log.
-const LAST_WORDS: Duration = Duration::from_secs(3);
-const CLOSE_PAUSE: Duration = Duration::from_millis(20);
-const LIMIT_PERIOD: Duration = Duration::from_millis(500);
-/// How long the callers' face may take to close after the last request has ended.
-const FACE_CLOSE: Duration = Duration::from_secs(5);
+/// Maximum time at shutdown for the takeover of owned groups and the delivery of releases.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
+const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const LIMIT_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum time for a listener to close after the last request has ended.
+const LISTENER_CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why an entry process could not start.
 #[derive(Debug, Snafu)]
@@ -53,31 +53,31 @@
     /// A secret cannot be read.
     #[snafu(display("{source}"))]
     Secret {
-        /// The cause, which names the file and not what is in it.
+        /// The cause, which names the file but not its contents.
         source: coltsfoothook_settings::SecretError,
     },
-    /// Keys or certificates cannot be used.
+    /// Keys or certificates are unusable.
     #[snafu(display("{reason}"))]
     Keys {
-        /// The cause.
+        /// The cause, with the file's path.
         reason: String,
     },
-    /// The face towards other VMs.
+    /// The interface to other VMs did not start.
     #[snafu(display("{source}"))]
     Peer {
-        /// The cause.
+        /// Failed listener or TLS setup.
         source: coltsfoothook_peer::SetupError,
     },
-    /// The face towards callers.
+    /// The caller interface did not start.
     #[snafu(display("{source}"))]
     Caller {
-        /// The cause.
+        /// Failed listener setup.
         source: coltsfoothook_caller::StartError,
     },
-    /// The face towards operators.
+    /// The operator interface did not start.
     #[snafu(display("{source}"))]
     Operator {
-        /// The cause.
+        /// Failed listener setup.
         source: coltsfoothook_operator::StartError,
     },
 }
@@ -92,31 +92,31 @@
     addresses: EntryAddresses,
 }
 
-/// Where a process listens.
+/// The addresses at which a process listens, with the actual ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryAddresses {
-    /// For callers.
+    /// Caller interface.
     pub caller: SocketAddr,
-    /// For operators.
+    /// Operator interface.
     pub operator: SocketAddr,
-    /// For other VMs.
+    /// Interface to other VMs.
     pub peer: SocketAddr,
 }
 
 impl EntryProcess {
-    /// Starts a process; returns when its faces listen. Work is taken as soon as a configuration is
-    /// known, see [`EntryProcess::ready`].
+    /// Starts a process and returns when its listeners are bound. It takes work once a configuration
+    /// and the ownership state are known, see [`EntryProcess::ready`].
     ///
     /// # Errors
     ///
-    /// A file that the settings name cannot be used, or an address cannot be listened at.
+    /// Fails if a file named in the settings is unusable or an address cannot be bound.
     pub async fn start(settings: EntrySettings) -> Result<Self, EntryError> {
         let tokens = OperatorTokens::load(&settings.keys.operator_tokens).context(SecretSnafu)?;
         let tokens = Arc::new(tokens);
         let keys = crate::tls::EntryKeys::load(&settings)?;
         let (core, receiver) = build_core(settings, keys.peer_client.clone())?;
         let roster = Arc::new(RosterDriver::new(Arc::clone(&core)));
-        let face = PeerFace { core: Arc::clone(&core), roster: Arc::clone(&roster) };
+        let face = PeerInterface { core: Arc::clone(&core), roster: Arc::clone(&roster) };
         let peer = PeerServer::start(
             core.settings.peer_settings(),
             Arc::new(face),
@@ -125,13 +125,13 @@
         .context(PeerSnafu)?;
         let caller = CallerServer::start(
             core.settings.caller_settings(),
-            Arc::new(CallFace { core: Arc::clone(&core) }),
+            Arc::new(CallerInterface { core: Arc::clone(&core) }),
             keys.face()?,
         )
         .context(CallerSnafu)?;
         let operator = OperatorServer::start(
             &core.settings.operator,
-            Arc::new(OperatorFace { core: Arc::clone(&core) }),
+            Arc::new(OperatorInterface { core: Arc::clone(&core) }),
             Arc::clone(&tokens) as Arc<dyn OperatorAuth>,
             keys.face()?,
         )
@@ -156,71 +156,72 @@
         Ok(Self { core, roster, caller, operator, peer, addresses })
     }
 
-    /// Where the process listens.
+    /// Returns the addresses at which the process listens.
     #[must_use]
     pub fn addresses(&self) -> EntryAddresses {
         self.addresses
     }
 
-    /// Whether the process takes work.
+    /// Returns whether the process takes work: it is ready and not shutting down.
     #[must_use]
     pub fn ready(&self) -> bool {
         self.core.ready().is_ok() && !self.core.gate.is_closed()
     }
 
-    /// The configuration version in force here; 0 stands for none.
+    /// Returns the configuration version in force in this process; 0 if there is none.
     #[must_use]
     pub fn config_version(&self) -> ConfigVersion {
         self.core.view().version
     }
 
-    /// Groups that this process owns.
+    /// Returns the number of groups that this process owns.
     #[must_use]
     pub fn owned_groups(&self) -> usize {
         read(&self.core.owners).len()
     }
 
-    /// The checks made by all parts of the process.
+    /// Returns the merged invariant counts of all parts of the process.
     #[must_use]
     pub fn invariants(&self) -> InvariantLog {
         self.core.invariant_counts()
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.core.gate.inside()
+        self.core.gate.active()
     }
 
-    /// Shuts down: tells the other VMs, refuses new requests as not run, lets every running one
-    /// end, hands its groups over and closes its faces.
+    /// Shuts down gracefully and returns the invariant counts: notifies the other VMs, refuses new
+    /// requests as not run, waits for running ones up to `shutdown_ms`, waits until its groups are
+    /// taken over and closes the listeners.
     ///
-    /// Callers keep a list of addresses for a while and still come here; they are told "not run"
-    /// and go elsewhere. The owned groups stay usable until another VM has taken them over.
+    /// Callers with a cached address list still connect; "not run" makes them use another VM. The
+    /// owned groups stay usable until another VM has taken them over.
     pub async fn shut_down(self) -> InvariantLog {
         let core = Arc::clone(&self.core);
-        event!(ShutdownStarted, vm = core.me.vm, in_flight = core.gate.inside());
+        event!(ShutdownStarted, vm = core.me.vm, in_flight = core.gate.active());
         core.gate.close();
         self.roster.drive(MemberEvent::Leave);
         let limit = Duration::from_millis(core.settings.shutdown_ms);
         let emptied = timeout(limit, core.gate.emptied()).await.is_ok();
         core.check(InvariantName::ShutdownCutsNothing, emptied, || {
-            format!("{} requests were running at the end", core.gate.inside())
+            format!("{} requests were running at the end", core.gate.active())
         });
         if !emptied {
-            event!(ShutdownOverdue, vm = core.me.vm, in_flight = core.gate.inside());
+            event!(ShutdownOverdue, vm = core.me.vm, in_flight = core.gate.active());
         }
         wait_for_hand_over(&core).await;
-        let _ = timeout(FACE_CLOSE, self.caller.close()).await;
+        let _ = timeout(LISTENER_CLOSE_TIMEOUT, self.caller.close()).await;
         let counts = core.invariant_counts();
         core.closing.cancel();
-        let _ = timeout(FACE_CLOSE, self.operator.close()).await;
+        let _ = timeout(LISTENER_CLOSE_TIMEOUT, self.operator.close()).await;
         self.peer.close().await;
         event!(ProcessStopped, vm = core.me.vm);
         counts
     }
 
-    /// Ends at once, as a VM does that fails: nothing is said and nothing handed over.
+    /// Ends at once like a failing VM: notifies nobody and hands nothing over.
     pub async fn abort(self) {
         self.core.closing.cancel();
         drop(self.caller);
@@ -229,23 +230,23 @@
     }
 }
 
-/// Waits until other VMs own this VM's groups and its releases are delivered, for a bounded time:
-/// with the log down there is no take-over, and the next one asks what is held.
+/// Waits until other VMs own this VM's groups and its releases are delivered. The wait is bounded,
+/// since no takeover happens while the log is down; a later owner queries the held grants.
 async fn wait_for_hand_over(core: &EntryCore) {
-    let until = Instant::now() + LAST_WORDS;
+    let until = Instant::now() + HAND_OVER_TIMEOUT;
     while Instant::now() < until {
         let alone = lock(&core.members).live().next().is_none();
         let handed = read(&core.owners).is_empty() || alone;
         if handed && core.held.len() == 0 {
             return;
         }
-        sleep(CLOSE_PAUSE).await;
+        sleep(HAND_OVER_POLL_INTERVAL).await;
     }
 }
 
-/// A new life of this VM. Later lives have larger numbers where the clock does not jump back; what
-/// matters is that no two are alike.
-fn draw_incarnation() -> VmIncarnation {
+/// Returns a new incarnation of this VM. It must be unique; it also increases from start to start
+/// unless the wall clock jumps back.
+fn new_incarnation() -> VmIncarnation {
     use std::hash::{BuildHasher, Hasher};
     let random = std::collections::hash_map::RandomState::new().build_hasher().finish();
     VmIncarnation((wall_ms() << RANDOM_BITS) | (random >> (u64::BITS - RANDOM_BITS)))
@@ -258,13 +259,13 @@
     (Arc<EntryCore>, tokio::sync::mpsc::UnboundedReceiver<crate::release::PendingRelease>),
     EntryError,
 > {
-    let me = VmIdentity { vm: settings.vm.clone(), incarnation: draw_incarnation() };
+    let me = VmIdentity { vm: settings.vm.clone(), incarnation: new_incarnation() };
     let clock = ProcessClock::start();
     let health = Arc::new(LogHealth::default());
     let log: Arc<dyn LogClient> = Arc::new(HttpLog::new(settings.log, PlatformSettings::default()));
     let metrics = Arc::new(EntryMetrics::new(&settings.metrics));
     let writer = |stream| {
-        let health = report_health(Arc::clone(&health), clock);
+        let health = health_callback(Arc::clone(&health), clock);
         let metrics = Arc::clone(&metrics);
         StreamWriter::start(WriterParts { stream, log: Arc::clone(&log), health, metrics })
     };
@@ -289,7 +290,7 @@
         region: settings.region.clone(),
     };
     let members = MemberTable::new(MemberSettings::default(), me.clone(), place);
-    let (releases, receiver) = ReleaseDesk::new();
+    let (releases, receiver) = ReleaseQueue::new();
     let core = EntryCore {
         clock,
         clients,
@@ -302,8 +303,8 @@
         claim_waiters: Mutex::default(),
         claim_added: tokio::sync::Notify::new(),
         publish_waiters: Mutex::default(),
-        jobs: JobDesk::new(),
-        limits: LimitDesk::new(),
+        jobs: JobScheduler::new(),
+        limits: RequestLimits::new(),
         owners: RwLock::default(),
         floors: Mutex::default(),
         held: crate::held::HeldGrants::default(),
@@ -337,12 +338,13 @@
     tokio::spawn(crate::claims::append_claims(Arc::clone(core)));
     tokio::spawn(run_jobs(Arc::clone(core)));
     tokio::spawn(run_snapshots(Arc::clone(core)));
-    tokio::spawn(follow_limits(Arc::clone(core)));
+    tokio::spawn(update_limits(Arc::clone(core)));
 }
 
-async fn follow_limits(core: Arc<EntryCore>) {
+/// Updates the limiter periodically with the usage that other VMs reported.
+async fn update_limits(core: Arc<EntryCore>) {
     while !core.closing.is_cancelled() {
         core.limits.hear_members(&core);
-        sleep(LIMIT_PERIOD).await;
+        sleep(LIMIT_INTERVAL).await;
     }
 }
--- a/entry/src/release.rs
+++ b/entry/src/release.rs
@@ -1,8 +1,7 @@
-//! Gives grants back to the owners of their groups, many in one message, until they are taken.
+//! Delivers releases of grants to the owners of their groups, in batches and with retries.
 //!
-//! A release that is lost would pin its slot until this VM is gone, so one that could not be
-//! delivered is tried again. It goes to whoever owns the group by then: a new owner knows the grant
-//! from this VM's answer to its question.
+//! A lost release would pin its slot until this VM is removed. Each retry goes to the group's current
+//! owner: a new owner knows the grant from this VM's answer to its query for held grants.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,44 +14,44 @@
 
 use crate::core::{EntryCore, read};
 
-/// How long the first release of a message waits for others.
-const LINGER: Duration = Duration::from_millis(2);
+/// How long the first release of a batch waits for others.
+const BATCH_DELAY: Duration = Duration::from_millis(2);
 const BATCH_RELEASES: usize = 256;
-const RELEASE_WITHIN: Duration = Duration::from_secs(2);
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// A release that no owner took for so long is dropped. An owner that lived through it drops the
-/// pin when it finds this VM gone, and a later one asks what is held.
-const KEPT: Duration = Duration::from_secs(180);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time after which an undelivered release is dropped. The same owner drops the pin when it finds
+/// this VM dead, and a new owner queries the held grants.
+const RELEASE_TTL: Duration = Duration::from_secs(180);
 
-/// A release on its way.
+/// A release that is not delivered yet.
 pub(crate) struct PendingRelease {
     call: ReleaseCall,
     until: Instant,
-    /// Dropped once an owner has taken the release, or nobody ever will.
+    /// Dropped once an owner has the release, or it has expired.
     _delivered: oneshot::Sender<()>,
 }
 
-/// Takes releases from requests that ended.
+/// Accepts releases of ended requests for delivery.
 #[derive(Clone)]
-pub(crate) struct ReleaseDesk {
+pub(crate) struct ReleaseQueue {
     sender: mpsc::UnboundedSender<PendingRelease>,
 }
 
-impl ReleaseDesk {
-    /// The desk and the queue that [`run_releases`] works off. The queue has no bound of its own: it
-    /// holds one small entry for each request that ended, and requests are bounded before they run.
+impl ReleaseQueue {
+    /// Creates the sending side and the receiver for [`run_releases`]. The channel is unbounded: it
+    /// holds one small entry per ended request, and admission bounds the requests.
     pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<PendingRelease>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Self { sender }, receiver)
     }
 
-    /// Gives a grant back; `delivered` is dropped once its owner knows.
+    /// Queues a release; `delivered` is dropped once the owner has it or it has expired.
     pub(crate) fn release(&self, call: ReleaseCall, delivered: oneshot::Sender<()>) {
-        let until = Instant::now() + KEPT;
+        let until = Instant::now() + RELEASE_TTL;
         let _ = self.sender.send(PendingRelease { call, until, _delivered: delivered });
     }
 
-    fn again(&self, pending: Vec<PendingRelease>) {
+    fn requeue(&self, pending: Vec<PendingRelease>) {
         let now = Instant::now();
         for pending in pending.into_iter().filter(|pending| pending.until > now) {
             let _ = self.sender.send(pending);
@@ -66,7 +65,7 @@
     mut receiver: mpsc::UnboundedReceiver<PendingRelease>,
 ) {
     while let Some(first) = receiver.recv().await {
-        let until = Instant::now() + LINGER;
+        let until = Instant::now() + BATCH_DELAY;
         let mut batch = vec![first];
         while batch.len() < BATCH_RELEASES {
             let Ok(Some(pending)) = timeout_at(until, receiver.recv()).await else { break };
@@ -76,8 +75,8 @@
     }
 }
 
-/// Sends each owner its part of the batch. The owner of each release is looked up once: a takeover
-/// that is read meanwhile would change the order under the sort.
+/// Sends each owner its part of the batch. Each release's owner is read once, since a takeover that
+/// is folded during the sort would make the order inconsistent.
 fn deliver(core: &Arc<EntryCore>, batch: Vec<PendingRelease>) {
     let with_owner = |pending| (owner_of(core, &pending), pending);
     let mut owned: Vec<_> = batch.into_iter().map(with_owner).collect();
@@ -86,12 +85,12 @@
         let owner = owner.clone();
         let start = owned.partition_point(|(other, _)| *other < owner);
         let part = owned.split_off(start).into_iter().map(|(_, pending)| pending).collect();
-        let (core, desk) = (Arc::clone(core), core.releases.clone());
+        let (core, queue) = (Arc::clone(core), core.releases.clone());
         tokio::spawn(async move {
             let refused = hand_over(&core, owner, part).await;
             if !refused.is_empty() {
-                sleep(RETRY_PAUSE).await;
-                desk.again(refused);
+                sleep(RETRY_INTERVAL).await;
+                queue.requeue(refused);
             }
         });
     }
@@ -103,7 +102,7 @@
     Some(ownership.owner.vm.clone())
 }
 
-/// Gives back the releases that were not taken.
+/// Delivers releases to `owner` and returns those that were not delivered.
 async fn hand_over(
     core: &Arc<EntryCore>,
     owner: Option<VmName>,
@@ -118,14 +117,14 @@
     }
     let Some(target) = core.target(owner.as_str()) else { return part };
     let calls = part.iter().map(|pending| pending.call.clone()).collect();
-    match core.clients.peers.release(&target, calls, RELEASE_WITHIN).await {
+    match core.clients.peers.release(&target, calls, RELEASE_TIMEOUT).await {
         Ok(()) => Vec::new(),
         Err(_) => part,
     }
 }
 
-/// Takes a grant back at its owner. A VM that does not own the group forgets it: the asker learns of
-/// the new owner from the log and tells that one.
+/// Passes a release to the group's owner on this VM. If this VM does not own the group the release is
+/// dropped.
 pub(crate) fn take_release(core: &Arc<EntryCore>, call: ReleaseCall) {
     if let Some(shard) = core.shard(call.grant.group.as_str()) {
         shard.drive(core, OwnerEvent::Release(call));
--- a/entry/src/reserve.rs
+++ b/entry/src/reserve.rs
@@ -1,4 +1,4 @@
-//! Obtains a grant for a request, from the owner of its adapter's group or without one.
+//! Obtains a grant for a request from the owner of its adapter's group, or without an owner.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -21,60 +21,62 @@
 use crate::held::lock;
 use crate::own::{floor, slot_adapter};
 
-/// How long a request looks for an owner. A takeover is read within 5 s while the log is up.
-const OWNER_WITHIN_MS: u64 = 8_000;
-/// The pause before the owner is looked up again.
-const OWNER_PAUSE: Duration = Duration::from_millis(50);
-/// The longest wait at an owner for a request without a deadline.
-const LONGEST_WAIT: Duration = Duration::from_secs(3_600);
-/// How much longer than its deadline a question to an owner may take: the owner refuses a request
-/// whose deadline passes, and its word tells that the request did not run.
-const WAY_BACK: Duration = Duration::from_millis(250);
-const WITHDRAW_WITHIN: Duration = Duration::from_secs(2);
-/// Numbers of grants without an owner begin here, where no owner counts to.
-const OWNERLESS_NUMBERS: u64 = 1 << 62;
-/// The time in which a grant that this VM gave itself must be used.
-const OWNERLESS_USE_MS: u64 = 2_000;
+/// How long a request waits for a reachable owner. A takeover is read within 5 s while the log is up.
+const OWNER_TIMEOUT_MS: u64 = 8_000;
+/// Interval at which the group's owner is checked again.
+const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum wait at an owner for a request without a deadline.
+const MAX_WAIT: Duration = Duration::from_secs(3_600);
+/// Time added to the deadline for the owner's reply: the owner refuses a request at its deadline, and
+/// that refusal confirms that the request did not run.
+const REPLY_MARGIN: Duration = Duration::from_millis(250);
+const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(2);
+/// First number of grants without an owner; an owner's numbers do not reach it.
+const FIRST_OWNERLESS_NUMBER: u64 = 1 << 62;
+/// Validity of a grant that this VM made without an owner.
+const OWNERLESS_TTL_MS: u64 = 2_000;
 const UNREACHABLE_RETRY_MS: u64 = 2_000;
 
-/// A grant and when it was asked for, by this VM's clock.
+/// A grant and the start of its validity by this VM's clock.
 pub(crate) struct TimedGrant {
     pub(crate) grant: SlotGrant,
-    pub(crate) asked: TimePoint,
+    /// When the grant was requested; its validity counts from here.
+    pub(crate) start: TimePoint,
 }
 
-enum OwnerAnswer {
+enum OwnerReply {
     Granted(Box<SlotGrant>),
     Refused(GrantRefusal),
     NoOwner,
 }
 
-/// Asks for a grant until there is one, the owner refuses, or no owner can be found.
+/// Requests a grant until it is given, the owner refuses it, the deadline passes, or no owner was
+/// reachable for [`OWNER_TIMEOUT_MS`].
 pub(crate) async fn reserve(
     core: &Arc<EntryCore>,
     group: &GroupName,
     spec: &RequestSpec,
     deadline: CallDeadline,
 ) -> Result<TimedGrant, GrantRefusal> {
-    let give_up = core.clock.now().plus(OWNER_WITHIN_MS * MICROS_PER_MILLI);
+    let give_up = core.clock.now().plus(OWNER_TIMEOUT_MS * MICROS_PER_MILLI);
     loop {
         let now = core.clock.now();
         if deadline.passed(now) {
             return Err(refusal(RefusalReason::DeadlinePassed, 0));
         }
         let spec = RequestSpec { deadline_left_ms: deadline.left_ms(now), ..spec.clone() };
-        match ask_owner(core, group, &spec).await {
-            OwnerAnswer::Granted(grant) => return Ok(TimedGrant { grant: *grant, asked: now }),
-            OwnerAnswer::Refused(refusal) => return Err(refusal),
-            OwnerAnswer::NoOwner => {}
+        match request_from_owner(core, group, &spec).await {
+            OwnerReply::Granted(grant) => return Ok(TimedGrant { grant: *grant, start: now }),
+            OwnerReply::Refused(refusal) => return Err(refusal),
+            OwnerReply::NoOwner => {}
         }
-        if let Some(grant) = without_owner(core, group, &spec).await {
-            return Ok(TimedGrant { grant, asked: core.clock.now() });
+        if let Some(grant) = grant_without_owner(core, group, &spec).await {
+            return Ok(TimedGrant { grant, start: core.clock.now() });
         }
         if core.clock.now() >= give_up {
             return Err(refusal(RefusalReason::OwnerUnreachable, UNREACHABLE_RETRY_MS));
         }
-        sleep(OWNER_PAUSE).await;
+        sleep(OWNER_POLL_INTERVAL).await;
     }
 }
 
@@ -82,42 +84,46 @@
     GrantRefusal { reason, retry_after_ms }
 }
 
-async fn ask_owner(core: &Arc<EntryCore>, group: &GroupName, spec: &RequestSpec) -> OwnerAnswer {
+async fn request_from_owner(
+    core: &Arc<EntryCore>,
+    group: &GroupName,
+    spec: &RequestSpec,
+) -> OwnerReply {
     let owner = read(&core.control).owner(group.as_str()).map(|owned| owned.owner.clone());
-    let Some(owner) = owner else { return OwnerAnswer::NoOwner };
+    let Some(owner) = owner else { return OwnerReply::NoOwner };
     let reply = if owner == core.me {
-        let Some(shard) = core.shard(group.as_str()) else { return OwnerAnswer::NoOwner };
+        let Some(shard) = core.shard(group.as_str()) else { return OwnerReply::NoOwner };
         shard.reserve(core, core.me.clone(), spec.clone()).await
     } else {
         let runs = lock(&core.members).runs(&owner);
         let Some(target) = core.target(owner.vm.as_str()).filter(|_| runs) else {
-            return OwnerAnswer::NoOwner;
+            return OwnerReply::NoOwner;
         };
-        match ask_peer(core, target, &owner, group, spec).await {
+        match request_from_peer(core, target, &owner, group, spec).await {
             Ok(reply) => reply,
             Err(error) => {
-                log::debug!("asking {} for a grant failed: {error}", owner.vm);
-                return OwnerAnswer::NoOwner;
+                log::debug!("grant request to owner {} failed: {error}", owner.vm);
+                return OwnerReply::NoOwner;
             }
         }
     };
     match reply {
-        ReserveReply::Granted(grant) => OwnerAnswer::Granted(Box::new(grant)),
+        ReserveReply::Granted(grant) => OwnerReply::Granted(Box::new(grant)),
         ReserveReply::Refused(refusal) if refusal.reason == RefusalReason::NotOwner => {
-            OwnerAnswer::NoOwner
+            OwnerReply::NoOwner
         }
-        ReserveReply::Refused(refusal) => OwnerAnswer::Refused(refusal),
+        ReserveReply::Refused(refusal) => OwnerReply::Refused(refusal),
     }
 }
 
-async fn ask_peer(
+async fn request_from_peer(
     core: &Arc<EntryCore>,
     target: PeerTarget,
     owner: &VmIdentity,
     group: &GroupName,
     spec: &RequestSpec,
 ) -> Result<ReserveReply, PeerError> {
-    let limit = spec.deadline_left_ms.map_or(LONGEST_WAIT, Duration::from_millis) + WAY_BACK;
+    let limit = spec.deadline_left_ms.map_or(MAX_WAIT, Duration::from_millis) + REPLY_MARGIN;
     let call = ReserveCall { asker: core.me.clone(), group: group.clone(), spec: spec.clone() };
     let mut guard = WithdrawGuard {
         core: Arc::clone(core),
@@ -128,8 +134,8 @@
     };
     let reply = tokio::select! {
         reply = core.clients.peers.reserve(&target, call, limit) => reply,
-        () = owner_gone(core, group, owner) => {
-            let reason = "it does not own the group any more".to_owned();
+        () = owner_changed(core, group, owner) => {
+            let reason = "it no longer owns the group or is dead".to_owned();
             return Err(PeerError::Unknown { vm: target.vm.clone(), reason });
         }
     };
@@ -137,13 +143,13 @@
     reply
 }
 
-/// Returns when `owner` no longer owns the group or is taken to be dead.
+/// Returns when `owner` no longer owns the group or is considered dead.
 ///
-/// A VM that stands still keeps its connections open: without this a request that waits there would
-/// wait until its deadline, although another VM has long taken the group over.
-async fn owner_gone(core: &EntryCore, group: &GroupName, owner: &VmIdentity) {
+/// A paused VM keeps its connections open. Without this a request would wait there until its deadline
+/// although another VM has taken the group over.
+async fn owner_changed(core: &EntryCore, group: &GroupName, owner: &VmIdentity) {
     loop {
-        sleep(OWNER_PAUSE).await;
+        sleep(OWNER_POLL_INTERVAL).await;
         let owned = read(&core.control).owner(group.as_str()).map(|owned| owned.owner.clone());
         if owned.as_ref() != Some(owner) || !lock(&core.members).runs(owner) {
             return;
@@ -151,8 +157,8 @@
     }
 }
 
-/// Tells the owner to forget a request whose answer will not be taken: the caller went away or the
-/// answer was lost. Without it a grant that nobody knows of would pin its slot.
+/// Withdraws a request at the owner when its answer is not received, because the caller disconnected
+/// or the answer was lost. Without it an unknown grant would pin its slot.
 struct WithdrawGuard {
     core: Arc<EntryCore>,
     target: PeerTarget,
@@ -173,29 +179,29 @@
         };
         let (core, target) = (Arc::clone(&self.core), self.target.clone());
         tokio::spawn(async move {
-            let _ = core.clients.peers.withdraw(&target, call, WITHDRAW_WITHIN).await;
+            let _ = core.clients.peers.withdraw(&target, call, WITHDRAW_TIMEOUT).await;
         });
     }
 }
 
-/// Whether a grant may be used now: in time by this VM's own clock, and not of an epoch that a new
-/// owner has asked about.
+/// Returns whether a grant may be used now: it has not expired by this VM's clock, and no new owner
+/// has queried the grants of its epoch.
 ///
-/// A VM that was paused finds its grant void here. The check stands immediately before the request
-/// is sent; what remains is a pause in between that outlasts the owner's zombie window.
-pub(crate) fn usable(core: &EntryCore, asked: TimePoint, grant: &SlotGrant) -> bool {
-    let age_ms = core.clock.now().since(asked) / MICROS_PER_MILLI;
+/// A VM that was paused finds its grant expired. Call this immediately before the request is sent;
+/// only a pause after it that exceeds the owner's zombie window remains undetected.
+pub(crate) fn usable(core: &EntryCore, start: TimePoint, grant: &SlotGrant) -> bool {
+    let age_ms = core.clock.now().since(start) / MICROS_PER_MILLI;
     age_ms <= grant.use_within_ms && grant.id.epoch >= floor(core, grant.id.group.as_str())
 }
 
-/// Gives this VM a grant itself, where nobody can order loads or evictions; see docs/DESIGN.md,
-/// "No owner".
-async fn without_owner(
+/// Makes a grant without an owner, for the least loaded server that has the adapter loaded; see
+/// docs/DESIGN.md, "No owner".
+async fn grant_without_owner(
     core: &Arc<EntryCore>,
     group: &GroupName,
     spec: &RequestSpec,
 ) -> Option<SlotGrant> {
-    if !may_go_without(core, group) {
+    if !may_grant_without_owner(core, group) {
         return None;
     }
     let epoch = read(&core.control).epoch(group.as_str());
@@ -212,28 +218,28 @@
             .find(|slot| slot_adapter(slot.slot.as_str()).as_ref() == Some(&spec.adapter));
         let Some(slot) = slot else { continue };
         let load = report.running + report.waiting;
-        if best.as_ref().is_some_and(|(least, _)| *least <= load) {
+        if best.as_ref().is_some_and(|(least_load, _)| *least_load <= load) {
             continue;
         }
-        let number = OWNERLESS_NUMBERS + core.request_numbers.fetch_add(1, Ordering::Relaxed);
+        let number = FIRST_OWNERLESS_NUMBER + core.request_numbers.fetch_add(1, Ordering::Relaxed);
         let grant = SlotGrant {
             id: GrantId { group: group.clone(), epoch, number },
             server,
             incarnation: report.incarnation,
             slot: slot.slot.clone(),
             priority: spec.class as i32,
-            use_within_ms: OWNERLESS_USE_MS,
+            use_within_ms: OWNERLESS_TTL_MS,
             stall_ms: 0,
             queue_ms: 0,
             why: PlacementReason::WithoutOwner,
         };
         best = Some((load, grant));
     }
-    // The log may have come back, and with it an owner, while the engines were asked.
-    best.map(|(_, grant)| grant).filter(|_| may_go_without(core, group))
+    // While the engines were queried the log may have recovered and a new owner may exist.
+    best.map(|(_, grant)| grant).filter(|_| may_grant_without_owner(core, group))
 }
 
-fn may_go_without(core: &EntryCore, group: &GroupName) -> bool {
+fn may_grant_without_owner(core: &EntryCore, group: &GroupName) -> bool {
     let now = core.clock.now();
     let region = core.settings.region.as_str().to_owned();
     let group = TakeoverGroup { name: group.clone(), region };
--- a/entry/src/roster.rs
+++ b/entry/src/roster.rs
@@ -1,4 +1,4 @@
-//! Drives the membership: probes, the platform's list, takeovers and catching up from peers.
+//! Drives the membership: probes, the platform's VM list, takeovers and catch-up from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,30 +26,31 @@
 use crate::held::lock;
 use crate::own::{append_control, drive_all};
 
-/// The membership says when it is due next; its own facts are looked at this often besides.
-const LEAST_PAUSE: Duration = Duration::from_millis(10);
-const MOST_PAUSE: Duration = Duration::from_millis(100);
-const TAKEOVER_PERIOD: Duration = Duration::from_millis(200);
-/// The list grows with the number of VMs, and probes tell of changes sooner; its period grows with
-/// them, so that reading it costs each VM the same.
-const LIST_PERIOD: Duration = Duration::from_millis(1_000);
-const LIST_PERIOD_PER_VM: Duration = Duration::from_millis(30);
-/// The period right after a start, while no other VM is known, and how often it is used.
-const FIRST_LIST_PERIOD: Duration = Duration::from_millis(100);
-const FIRST_LISTINGS: u32 = 50;
-const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
-const CATCH_UP_WITHIN: Duration = Duration::from_secs(5);
-/// An indirect probe takes two hops.
+/// Bounds of the time between two ticks of the membership. The upper one also bounds how late a
+/// change of this VM's own facts is noticed.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
+const TAKEOVER_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between reads of the VM list. It grows with the number of VMs, so that the cost per VM
+/// stays constant; probes detect most changes earlier.
+const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
+const LIST_INTERVAL_PER_VM: Duration = Duration::from_millis(30);
+/// Interval after a start while no other VM is known, and the number of reads that use it.
+const INITIAL_LIST_INTERVAL: Duration = Duration::from_millis(100);
+const INITIAL_LISTINGS: u32 = 50;
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(500);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(5);
+/// Factor of the probe timeout for an indirect probe, which takes two hops.
 const INDIRECT_FACTOR: u32 = 2;
 
-/// The seeded generator and the open calls of the membership.
+/// Connects the membership table to the network: sends its probes and answers those of other VMs.
 pub(crate) struct RosterDriver {
     core: Arc<EntryCore>,
     rng: std::sync::Mutex<Pcg64>,
-    calls: std::sync::Mutex<Vec<(u64, oneshot::Sender<ProbeReply>)>>,
+    pending_replies: std::sync::Mutex<Vec<(u64, oneshot::Sender<ProbeReply>)>>,
     next_call: std::sync::atomic::AtomicU64,
-    /// Cancelled when the addresses of this VM are known.
-    begun: CancellationToken,
+    /// Cancelled when [`RosterDriver::begin`] has set this VM's addresses.
+    started: CancellationToken,
 }
 
 impl RosterDriver {
@@ -58,14 +59,14 @@
         Self {
             core,
             rng: std::sync::Mutex::new(rng),
-            calls: std::sync::Mutex::default(),
+            pending_replies: std::sync::Mutex::default(),
             next_call: std::sync::atomic::AtomicU64::new(1),
-            begun: CancellationToken::new(),
+            started: CancellationToken::new(),
         }
     }
 
-    /// Takes this VM's addresses, which are known when its faces listen. Before it no probe is
-    /// answered: the others would learn a place where nobody listens.
+    /// Sets this VM's addresses once its listeners are bound. No probe is answered before, since the
+    /// reply would publish addresses at which nothing listens.
     pub(crate) fn begin(&self, caller: SocketAddr, peer: SocketAddr) {
         let core = &self.core;
         let place = MemberPlace {
@@ -76,10 +77,10 @@
         };
         let settings = MemberSettings::default();
         *lock(&core.members) = MemberTable::new(settings, core.me.clone(), place);
-        self.begun.cancel();
+        self.started.cancel();
     }
 
-    /// Hands an event to the membership and carries out what it wants.
+    /// Passes an event to the membership and performs its actions.
     pub(crate) fn drive(self: &Arc<Self>, event: MemberEvent) {
         let mut actions = Vec::new();
         {
@@ -93,12 +94,12 @@
         }
     }
 
-    /// Answers a probe of another VM.
+    /// Answers a probe of another VM; `None` if the membership gives no reply.
     pub(crate) async fn answer(self: &Arc<Self>, message: ProbeMessage) -> Option<ProbeReply> {
-        self.begun.cancelled().await;
+        self.started.cancelled().await;
         let (answer, answered) = oneshot::channel();
         let call = self.next_call.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        lock(&self.calls).push((call, answer));
+        lock(&self.pending_replies).push((call, answer));
         self.drive(MemberEvent::Probe { call, message });
         answered.await.ok()
     }
@@ -114,14 +115,14 @@
                 self.send(target, message, INDIRECT_FACTOR);
             }
             MemberAction::Reply { call, reply } => {
-                let mut calls = lock(&self.calls);
-                if let Some(at) = calls.iter().position(|(number, _)| *number == call) {
-                    let _ = calls.swap_remove(at).1.send(reply);
+                let mut pending_replies = lock(&self.pending_replies);
+                if let Some(at) = pending_replies.iter().position(|(number, _)| *number == call) {
+                    let _ = pending_replies.swap_remove(at).1.send(reply);
                 }
             }
             MemberAction::Changed(change) => {
-                // A VM that restarts faster than its death is found never shows as dead in the
-                // table; only this change tells that its earlier life is over.
+                // A VM that restarts before its death is detected is never dead in the table; only
+                // this change reports that its previous incarnation has ended.
                 if change.state == MemberState::Dead {
                     let vm = change.vm.clone();
                     drive_all(&self.core, &OwnerEvent::VmGone { vm });
@@ -161,9 +162,10 @@
     }
 }
 
-/// Probes other VMs and tells them this VM's facts.
+/// Drives the membership's timers and updates its view of this VM's own facts until the process
+/// ends.
 pub(crate) async fn run_roster(driver: Arc<RosterDriver>) {
-    let mut told = None;
+    let mut reported = None;
     let stop = driver.core.closing.clone();
     loop {
         tokio::select! {
@@ -171,9 +173,9 @@
             () = sleep(pause(&driver.core)) => {}
         }
         let facts = own_facts(&driver.core);
-        if told.as_ref() != Some(&facts) {
+        if reported.as_ref() != Some(&facts) {
             driver.drive(MemberEvent::Facts(facts.clone()));
-            told = Some(facts);
+            reported = Some(facts);
         }
         driver.drive(MemberEvent::Tick);
     }
@@ -182,7 +184,7 @@
 fn pause(core: &EntryCore) -> Duration {
     let due = lock(&core.members).next_due();
     let micros = due.since(core.clock.now());
-    Duration::from_micros(micros).clamp(LEAST_PAUSE, MOST_PAUSE)
+    Duration::from_micros(micros).clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL)
 }
 
 fn own_facts(core: &EntryCore) -> MemberFacts {
@@ -200,7 +202,7 @@
     }
 }
 
-/// Reads the platform's list of VMs.
+/// Polls the platform's list of VMs until the process ends.
 pub(crate) async fn run_listing(driver: Arc<RosterDriver>) {
     let core = Arc::clone(&driver.core);
     let mut down = false;
@@ -213,19 +215,20 @@
                 }
                 driver.drive(MemberEvent::Listed(list));
             }
-            // Once for each outage: at ten tries a second the log would hold little else.
+            // Logged once per outage, to avoid up to ten lines a second.
             Err(error) if !std::mem::replace(&mut down, true) => event!(ListDown, error = error),
             Err(_) => {}
         }
         let others = lock(&core.members).others().len() as u32;
-        let period = LIST_PERIOD.max(LIST_PERIOD_PER_VM * others);
-        let first = others == 0 && listings < FIRST_LISTINGS;
+        let period = LIST_INTERVAL.max(LIST_INTERVAL_PER_VM * others);
+        let first = others == 0 && listings < INITIAL_LISTINGS;
         listings = listings.saturating_add(1);
-        sleep(if first { FIRST_LIST_PERIOD } else { period }).await;
+        sleep(if first { INITIAL_LIST_INTERVAL } else { period }).await;
     }
 }
 
-/// Takes groups over whose owner is gone.
+/// Appends the takeovers that are due for this VM, until the process ends. Takes over nothing while
+/// the log is not readable or this VM shuts down.
 pub(crate) async fn run_takeovers(core: Arc<EntryCore>) {
     let mut plan = TakeoverPlan::new(TakeoverSettings::default(), core.clock.now());
     while !core.closing.is_cancelled() {
@@ -241,22 +244,22 @@
                 append_control(&core, record);
             }
         }
-        sleep(TAKEOVER_PERIOD).await;
+        sleep(TAKEOVER_INTERVAL).await;
     }
 }
 
-/// Asks other VMs for what this one cannot read from the log.
+/// Requests from other VMs the state that this one cannot read from the log, until the process ends.
 pub(crate) async fn run_catch_up(core: Arc<EntryCore>) {
     let mut rng = Pcg64::seed_from_u64(core.me.incarnation.0.rotate_left(17));
     while !core.closing.is_cancelled() {
-        sleep(CATCH_UP_PERIOD).await;
+        sleep(CATCH_UP_INTERVAL).await;
         let Some(target) = better_informed(&core, &mut rng) else { continue };
         let call = CatchUpCall {
             config: core.view().version,
             control_through: read(&core.control).next(),
         };
-        match core.clients.peers.catch_up(&target, call, CATCH_UP_WITHIN).await {
-            Ok(reply) => take_catch_up(&core, reply),
+        match core.clients.peers.catch_up(&target, call, CATCH_UP_TIMEOUT).await {
+            Ok(reply) => apply_catch_up(&core, reply),
             Err(error) => {
                 event!(CatchUpFailed, vm = target.vm, error = error);
             }
@@ -264,8 +267,8 @@
     }
 }
 
-/// A random VM that says it knows more than this one, while the log does not answer here or cannot
-/// make this VM whole.
+/// Returns a random VM that reports newer state than this one, or any live VM while this VM's state
+/// is incomplete. `None` if the state is complete and the log readable, or there is no such VM.
 fn better_informed(core: &EntryCore, rng: &mut Pcg64) -> Option<PeerTarget> {
     let now = core.clock.now();
     let config = core.view().version;
@@ -288,7 +291,7 @@
     (!better.is_empty()).then(|| better[rng.random_range(0..better.len())].clone())
 }
 
-fn take_catch_up(core: &Arc<EntryCore>, reply: CatchUpReply) {
+fn apply_catch_up(core: &Arc<EntryCore>, reply: CatchUpReply) {
     core.health.peer_answered(core.clock.now());
     if let Some(record) = reply.config {
         let adopted = lock(&core.config).adopt(record);
@@ -304,7 +307,7 @@
     }
 }
 
-/// What another VM missed.
+/// Returns the snapshots that are newer than the state of the requesting VM.
 pub(crate) fn answer_catch_up(core: &EntryCore, call: &CatchUpCall) -> CatchUpReply {
     let config = {
         let config = lock(&core.config);
--- a/entry/src/serve.rs
+++ b/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves completions: claim, grant, run, answer, and again where that is allowed.
+//! Serves completions: claim, grant, run and answer, with retries where they are allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,16 +34,16 @@
 use crate::reserve::{TimedGrant, reserve, usable};
 use crate::stream::AnswerRun;
 
-/// The pause before a second try; each further one waits four times as long, so that an engine
-/// that just went down is known to be before the tries are spent.
-const AGAIN_PAUSE: Duration = Duration::from_millis(10);
-const PAUSE_FACTOR: u32 = 4;
-/// How long a further try waits until the owner knows how the one before ended.
+/// Wait before the first retry. Each further one waits [`RETRY_DELAY_FACTOR`] times as long, so that a
+/// failed engine is detected before the attempts are used up.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
+const RETRY_DELAY_FACTOR: u32 = 4;
+/// How long a retry waits until the owner knows how the previous attempt ended.
 pub(crate) const RELEASE_WAIT: Duration = Duration::from_millis(1_000);
 const NOT_READY_RETRY_MS: u64 = 1_000;
 const STREAM_TYPE: &str = "text/event-stream";
 
-/// A request from its arrival to its end. Dropping it writes the request's line in the log.
+/// A request from its arrival to its end. Dropping it counts and logs the request.
 pub(crate) struct RequestRun {
     pub(crate) core: Arc<EntryCore>,
     pub(crate) call: CompletionCall,
@@ -53,7 +53,7 @@
     pub(crate) server: Option<ServerName>,
     pub(crate) tokens: u32,
     pub(crate) metrics: RequestMetrics,
-    /// Whether an engine may have begun to run it, by what the client of engines says.
+    /// Whether an engine may have begun to run it, according to the engine client's results.
     may_have_run: bool,
     outcome: Option<RequestOutcome>,
     reason: Option<&'static str>,
@@ -61,17 +61,17 @@
     _pass: GatePass,
 }
 
-/// A try that failed.
-pub(crate) struct FailedTry {
+/// A failed attempt.
+pub(crate) struct FailedAttempt {
     stage: CallStage,
     server: Option<ServerName>,
     pub(crate) problem: CallProblem,
-    /// Resolves once the owner knows how the try ended.
+    /// Resolves once the owner knows how the attempt ended.
     released: Option<oneshot::Receiver<()>>,
 }
 
-impl FailedTry {
-    /// Waits until the owner knows of it, for a bounded time.
+impl FailedAttempt {
+    /// Waits until the owner knows how the attempt ended, at most [`RELEASE_WAIT`].
     pub(crate) async fn settle(&mut self) {
         if let Some(released) = self.released.take() {
             let _ = timeout(RELEASE_WAIT, released).await;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Runs a completion for a caller.
+/// Serves one completion of a caller or a job.
 pub(crate) async fn complete(
     core: &Arc<EntryCore>,
     call: CompletionCall,
@@ -100,7 +100,7 @@
     try_until_done(run, spec).await
 }
 
-/// Lets a request in and begins its account.
+/// Admits a request and starts its trace and metrics.
 fn begin(core: &Arc<EntryCore>, call: CompletionCall) -> Result<RequestRun, CallProblem> {
     let pass = admit::admit(core, &call.tenant, call.class)?;
     let begun = core.clock.now();
@@ -134,7 +134,7 @@
     })
 }
 
-/// Finds the adapter's base model, if the tenant may use the adapter.
+/// Resolves the adapter version and its base model, if the customer may use the adapter.
 fn check_adapter(run: &RequestRun) -> Result<(AdapterVersion, ModelName), CallProblem> {
     let view = run.core.view();
     let choice = &run.call.model;
@@ -156,7 +156,7 @@
 }
 
 impl RequestRun {
-    /// Obtains the right to run a request that must not run twice.
+    /// Claims the key of a request that must run at most once.
     async fn claim(&mut self) -> Result<(), CallProblem> {
         let Some(key) = self.call.key.clone().filter(|_| !self.call.repeatable) else {
             return Ok(());
@@ -199,11 +199,11 @@
         self.core.traces.step(&self.call.request_id, self.core.clock.now(), kind, detail);
     }
 
-    /// Notes the final outcome, for the caller's resends, the metrics and the log.
+    /// Records the final outcome for the caller's resends, the metrics and the log.
     pub(crate) fn end(&mut self, outcome: RequestOutcome) {
         let kept = outcome != RequestOutcome::NotRun || !self.may_have_run;
         self.core.check(InvariantName::NotRunDidNotRun, kept, || {
-            format!("{} was sent and is called not run", self.call.request_id)
+            format!("{} was sent but is reported as not run", self.call.request_id)
         });
         self.outcome = Some(outcome);
         if let Some(key) = &mut self.key {
@@ -224,7 +224,7 @@
 
 impl Drop for RequestRun {
     fn drop(&mut self) {
-        // Without a noted outcome the caller went away in the middle.
+        // Without a recorded outcome the caller disconnected before the end.
         let outcome = self.outcome.unwrap_or(RequestOutcome::Unknown);
         let took_ms = self.core.clock.now().since(self.begun) / MICROS_PER_MILLI;
         self.step(StepKind::Ended, format!("outcome={}", outcome.as_str()));
@@ -255,9 +255,9 @@
     let core = Arc::clone(&run.core);
     let mut attempt = AttemptState::new(run.call.repeatable, run.deadline);
     core.limits.first_try();
-    let mut pause = AGAIN_PAUSE;
+    let mut pause = INITIAL_RETRY_DELAY;
     loop {
-        let mut failed = match try_once(&mut run, &spec).await {
+        let mut failed = match attempt_once(&mut run, &spec).await {
             Ok(answer) => return finish(run, spec, answer).await,
             Err(failed) => failed,
         };
@@ -283,13 +283,13 @@
                 failed.settle().await;
                 spec.avoid.extend(failed.server);
                 sleep(pause).await;
-                pause *= PAUSE_FACTOR;
+                pause *= RETRY_DELAY_FACTOR;
             }
         }
     }
 }
 
-/// The answer's first part, with all that is needed for the rest.
+/// The first part of an answer and the state needed to read the rest.
 pub(crate) struct FirstPart {
     pub(crate) hold: GrantHold,
     pub(crate) filter: AnswerFilter,
@@ -313,7 +313,7 @@
         run.tokens = filter.tokens();
         hold.end(GrantEnd::Done, filter.tokens());
         run.core.check(InvariantName::WholeAnswer, filter.finished(), || {
-            format!("{} was passed on without its end", run.call.request_id)
+            format!("answer to {} was forwarded without its end", run.call.request_id)
         });
         run.end(RequestOutcome::Done);
         AnswerBody::Whole(first)
@@ -321,17 +321,17 @@
     Ok(CompletionAnswer { status, content_type, headers: HeaderMap::new(), body })
 }
 
-/// Runs a request once, up to the first part of its answer.
-pub(crate) async fn try_once(
+/// Makes one attempt at a request, up to the first part of its answer.
+pub(crate) async fn attempt_once(
     run: &mut RequestRun,
     spec: &RequestSpec,
-) -> Result<FirstPart, FailedTry> {
-    let TimedGrant { grant, asked } = obtain_grant(run, spec).await?;
+) -> Result<FirstPart, FailedAttempt> {
+    let TimedGrant { grant, start } = obtain_grant(run, spec).await?;
     let core = Arc::clone(&run.core);
     let view = core.view();
     let Some((entry, _)) = view.engine(grant.server.as_str()) else {
-        let problem = not_run(RefusalReason::NoServer, "the engine left the configuration");
-        return Err(FailedTry::new(CallStage::GrantVoid, problem));
+        let problem = not_run(RefusalReason::NoServer, "the engine is no longer configured");
+        return Err(FailedAttempt::new(CallStage::GrantVoid, problem));
     };
     let server = grant.server.clone();
     run.server = Some(server.clone());
@@ -346,13 +346,16 @@
     let slot = grant.slot.clone();
     let body = engine_body(&run.call.body, slot.as_str(), grant.priority);
     let hold = GrantHold::new(&core, grant, entry.address, &run.call.request_id, spec.fingerprint);
-    let filter = AnswerFilter::new(slot.as_str(), &shown_model(run), run.call.request_id.as_str());
-    send(run, hold, filter, body, asked)
+    let filter = AnswerFilter::new(slot.as_str(), &model_name(run), run.call.request_id.as_str());
+    send(run, hold, filter, body, start)
         .await
-        .map_err(|failed| FailedTry { server: Some(server), ..failed })
+        .map_err(|failed| FailedAttempt { server: Some(server), ..failed })
 }
 
-async fn obtain_grant(run: &mut RequestRun, spec: &RequestSpec) -> Result<TimedGrant, FailedTry> {
+async fn obtain_grant(
+    run: &mut RequestRun,
+    spec: &RequestSpec,
+) -> Result<TimedGrant, FailedAttempt> {
     let groups = ranked_groups(run, spec)?;
     let mut last = None;
     for group in groups {
@@ -361,7 +364,7 @@
             Ok(grant) => return Ok(grant),
             Err(refusal) => last = Some(refusal),
         }
-        // A further group is of use only where this one is full or has lost its engines.
+        // The next group is tried only if this one is full or has no engine.
         let full = [RefusalReason::Overloaded, RefusalReason::NoServer];
         if last.is_none_or(|refusal| !full.contains(&refusal.reason)) {
             break;
@@ -369,7 +372,7 @@
     }
     let Some(refusal) = last else {
         let problem = not_run(RefusalReason::NoServer, "no engine runs the base model");
-        return Err(FailedTry::new(CallStage::OwnerRefused, problem));
+        return Err(FailedAttempt::new(CallStage::OwnerRefused, problem));
     };
     let stage = match refusal.reason {
         RefusalReason::LoadFailed => CallStage::LoadFailed,
@@ -378,10 +381,10 @@
     };
     let detail = "the request was not admitted to an engine";
     let problem = CallProblem::refused(refusal.reason, refusal.retry_after_ms, detail);
-    Err(FailedTry::new(stage, problem))
+    Err(FailedAttempt::new(stage, problem))
 }
 
-fn ranked_groups(run: &RequestRun, spec: &RequestSpec) -> Result<Vec<GroupName>, FailedTry> {
+fn ranked_groups(run: &RequestRun, spec: &RequestSpec) -> Result<Vec<GroupName>, FailedAttempt> {
     let view = run.core.view();
     let region = run.core.settings.region.as_str();
     match view.groups.route(spec.adapter.adapter.as_str(), region) {
@@ -389,7 +392,7 @@
         Err(refusal) => {
             let detail = "no group of this region serves the adapter";
             let problem = CallProblem::refused(refusal.reason, refusal.retry_after_ms, detail);
-            Err(FailedTry::new(CallStage::OwnerRefused, problem))
+            Err(FailedAttempt::new(CallStage::OwnerRefused, problem))
         }
     }
 }
@@ -398,14 +401,14 @@
     CallProblem::refused(reason, NOT_READY_RETRY_MS, detail)
 }
 
-fn shown_model(run: &RequestRun) -> String {
+fn model_name(run: &RequestRun) -> String {
     match &run.call.model.version {
         Some(version) => format!("{}@{version}", run.call.model.adapter),
         None => run.call.model.adapter.as_str().to_owned(),
     }
 }
 
-/// The body for the engine: the caller's, with the slot for the model and the owner's priority.
+/// Returns the caller's body with the slot as the model and the owner's priority.
 fn engine_body(body: &Map<String, Value>, slot: &str, priority: i32) -> Bytes {
     let mut body = body.clone();
     body.insert("model".to_owned(), Value::from(slot));
@@ -418,8 +421,8 @@
     mut hold: GrantHold,
     mut filter: AnswerFilter,
     body: Bytes,
-    asked: TimePoint,
-) -> Result<FirstPart, FailedTry> {
+    start: TimePoint,
+) -> Result<FirstPart, FailedAttempt> {
     let core = Arc::clone(&run.core);
     let path = match run.call.kind {
         CompletionKind::Chat => RunPath::Chat,
@@ -434,10 +437,10 @@
         repeatable: run.call.repeatable,
         within,
     };
-    if !usable(&core, asked, &hold.grant) {
+    if !usable(&core, start, &hold.grant) {
         hold.end(GrantEnd::NotRun, 0);
-        let problem = not_run(RefusalReason::NotOwner, "the grant came too late");
-        return Err(FailedTry::new(CallStage::GrantVoid, problem));
+        let problem = not_run(RefusalReason::NotOwner, "the grant expired or its owner changed");
+        return Err(FailedAttempt::new(CallStage::GrantVoid, problem));
     }
     hold.sending();
     let answer = match core.clients.engines.run(hold.address, call).await {
@@ -457,20 +460,21 @@
     })
 }
 
-/// Reads the answer until there is something to pass on: the first event of a stream, or the whole
-/// of an unstreamed answer. Up to here a further try is still unseen by the caller.
+/// Reads the first part of an answer: the first event of a stream, or the whole of an answer that is
+/// not streamed. The caller has received nothing yet, so a retry after a failure here is invisible.
 async fn read_first(
     run: &mut RequestRun,
     mut hold: GrantHold,
     filter: &mut AnswerFilter,
     mut answer: RunAnswer,
-) -> Result<(GrantHold, RunAnswer, Bytes), FailedTry> {
+) -> Result<(GrantHold, RunAnswer, Bytes), FailedAttempt> {
     use futures::StreamExt;
     let core = Arc::clone(&run.core);
     if run.call.stream != answer.content_type.starts_with(STREAM_TYPE) {
         hold.end(GrantEnd::Broken, 0);
-        let problem = broken("the engine's answer has another form than asked");
-        return Err(FailedTry::new(CallStage::AnswerCrossed, problem));
+        let problem =
+            broken("the answer's content type does not match the requested streaming mode");
+        return Err(FailedAttempt::new(CallStage::AnswerCrossed, problem));
     }
     let mut whole = Vec::new();
     loop {
@@ -480,7 +484,7 @@
             None if run.call.stream => {
                 hold.end(GrantEnd::Broken, 0);
                 let problem = broken("the answer ended without its end mark");
-                return Err(FailedTry::new(CallStage::AnswerCut, problem));
+                return Err(FailedAttempt::new(CallStage::AnswerCut, problem));
             }
             None => break,
         };
@@ -495,8 +499,8 @@
             whole.extend_from_slice(&piece);
             if whole.len() > core.settings.answer_bytes {
                 hold.end(GrantEnd::Broken, 0);
-                let problem = broken("the answer is longer than the bound");
-                return Err(FailedTry::new(CallStage::AnswerCut, problem));
+                let problem = broken("the answer exceeds the size limit");
+                return Err(FailedAttempt::new(CallStage::AnswerCut, problem));
             }
         }
     }
@@ -505,8 +509,8 @@
     Ok((hold, answer, body))
 }
 
-/// An answer of another slot: it is not passed on, and the invariant counts it.
-pub(crate) fn note_crossed(core: &EntryCore, error: &crate::answer::AnswerError) {
+/// Counts the invariant for an answer that is not forwarded: violated if it came from another slot.
+pub(crate) fn check_right_slot(core: &EntryCore, error: &crate::answer::AnswerError) {
     let right = !matches!(error, crate::answer::AnswerError::WrongSlot { .. });
     core.check(InvariantName::RightAdapter, right, || error.to_string());
 }
@@ -515,18 +519,18 @@
     core: &EntryCore,
     hold: &mut GrantHold,
     error: &crate::answer::AnswerError,
-) -> FailedTry {
-    note_crossed(core, error);
+) -> FailedAttempt {
+    check_right_slot(core, error);
     hold.end(GrantEnd::Broken, 0);
-    FailedTry::new(CallStage::AnswerCrossed, broken(&error.to_string()))
+    FailedAttempt::new(CallStage::AnswerCrossed, broken(&error.to_string()))
 }
 
 fn broken(detail: &str) -> CallProblem {
     CallProblem::ended(FaceReason::AnswerLost, RequestOutcome::Unknown, detail)
 }
 
-/// Translates a failed run into its stage, and notes how the grant ended.
-fn failed_run(hold: &mut GrantHold, error: &RunError) -> FailedTry {
+/// Maps an engine error to the stage of the failure, records the grant's end and releases the grant.
+fn failed_run(hold: &mut GrantHold, error: &RunError) -> FailedAttempt {
     let (stage, end, reason) = match error {
         RunError::NotSent { .. }
         | RunError::Timeout { stage: coltsfoothook_exchange::ExchangeStage::Connect } => {
@@ -560,11 +564,10 @@
     };
     hold.end(end, 0);
     let problem = CallProblem::ended(reason, RequestOutcome::Unknown, error.to_string());
-    FailedTry { released: Some(hold.give_back()), ..FailedTry::new(stage, problem) }
+    FailedAttempt { released: Some(hold.give_back()), ..FailedAttempt::new(stage, problem) }
 }
 
-/// A status by which the engine finds fault with the request itself, so that no other engine would
-/// take it either.
+/// Returns whether a status rejects the request itself, so that other engines would reject it too.
 fn rejects_request(status: StatusCode) -> bool {
     status.is_client_error()
         && status != StatusCode::TOO_MANY_REQUESTS
--- a/entry/src/services.rs
+++ b/entry/src/services.rs
@@ -1,4 +1,4 @@
-//! Routes calls to plain services.
+//! Routes calls to the backend servers of plain services.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,7 +23,7 @@
 
 const RETRY_MS: u64 = 1_000;
 
-/// A call from its arrival to the end of its answer. Dropping it writes the call's line in the log.
+/// A call from its arrival to the end of its answer. Dropping it counts and logs the call.
 struct ServiceRun {
     core: Arc<EntryCore>,
     call: ServiceCall,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Passes a call on to one of the service's backend servers.
+/// Forwards a call to one of the service's backend servers, with retries where they are allowed.
 pub(crate) async fn call_service(
     core: &Arc<EntryCore>,
     call: ServiceCall,
@@ -101,7 +101,7 @@
     try_until_done(run).await
 }
 
-/// Whether the tenant may call the service, and whether the call may be sent again.
+/// Checks that the customer may call the service, and returns whether the call may be repeated.
 fn check_service(core: &EntryCore, call: &ServiceCall) -> Result<bool, CallProblem> {
     let view = core.view();
     let Some(service) = view.manifest.service(call.service.as_str()) else {
@@ -166,7 +166,8 @@
     }
 }
 
-/// A server of the service that does not drain: one that this call has not tried, if there is one.
+/// Chooses the next server of the service in rotation, without draining ones. Prefers servers of this
+/// region and then servers that this call has not tried; `None` if there is no server.
 fn choose_server(
     run: &ServiceRun,
     avoid: &[ServerName],
@@ -210,10 +211,10 @@
     }
 }
 
-/// Passes the answer on piece by piece. The call has ended only when its last piece was read.
+/// Forwards the answer as a stream. The outcome is final only when the last part was read.
 fn pass_on(mut run: ServiceRun, answer: coltsfoothook_service::ServiceAnswer) -> ServiceAnswer {
     let coltsfoothook_service::ServiceAnswer { status, headers, body } = answer;
-    // An error that the service states is its own answer, and the call ran.
+    // The call ran, also if the service answered with an error; its outcome is unknown until the end.
     run.end(RequestOutcome::Unknown);
     let pieces = futures::stream::unfold(Some((run, body)), move |state| async move {
         let (mut run, mut body) = state?;
@@ -233,6 +234,7 @@
     ServiceAnswer { status, headers, body: AnswerBody::Stream(pieces.boxed()) }
 }
 
+/// Returns the outcome of a call whose answer was read to its end.
 fn answered(status: StatusCode) -> RequestOutcome {
     if status.is_server_error() { RequestOutcome::Failed } else { RequestOutcome::Done }
 }
--- a/entry/src/settings.rs
+++ b/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry process; docs/SETTINGS.md is made from them.
+//! Settings of an entry process; docs/SETTINGS.md is generated from them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,50 +12,50 @@
 use coltsfoothook_telemetry::{LogSettings, MetricSettings};
 
 settings_struct! {
-    /// The face towards callers.
+    /// Settings of the caller interface.
     pub struct CallerFaceSettings {
-        /// Where to listen for callers.
+        /// Address to listen at for callers.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 8080));
-        /// The largest body in bytes.
+        /// Maximum size of a request body in bytes.
         pub body_bytes: usize = 1 << 20, in 1_024..=64 << 20;
-        /// Milliseconds in which a body must have arrived whole.
+        /// Milliseconds within which a request body must have arrived completely.
         pub body_timeout_ms: u64 = 10_000, in 100..=600_000;
-        /// The longest id in bytes: request ids, idempotency keys, job ids.
+        /// Maximum length in bytes of request ids, idempotency keys and job ids.
         pub id_bytes: usize = 128, in 16..=1_024;
-        /// The most tokens that a request may ask for.
+        /// Maximum number of tokens to generate per request.
         pub max_tokens: u32 = 131_072, in 1..=10_000_000;
-        /// The most requests that are in progress at once on this VM; more are refused as overloaded.
+        /// Maximum number of concurrent requests on this VM; more are refused as overloaded.
         pub requests: usize = 4_096, in 1..=100_000;
     }
 }
 
 settings_struct! {
-    /// The face towards other entry VMs.
+    /// Settings of the interface to other entry VMs.
     pub struct PeerFaceSettings {
-        /// Where to listen for other VMs.
+        /// Address to listen at for other VMs.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 8082));
-        /// The largest message in bytes; a snapshot of the configuration must fit.
+        /// Maximum size of a message in bytes; a snapshot of the configuration must fit.
         pub frame_bytes: usize = 32 << 20, in 65_536..=256 << 20;
     }
 }
 
 settings_struct! {
-    /// Keys and certificates, in PEM files. They are read again when they change.
+    /// Keys and certificates in PEM files, which are reloaded when they change.
     pub struct KeySettings {
-        /// Whether callers, operators and VMs are spoken to without TLS. Allowed on loopback
-        /// addresses alone, and only if asked for.
+        /// Whether callers, operators and other VMs are served without TLS; allowed only on
+        /// loopback addresses.
         pub loopback_without_tls: bool = false;
-        /// The certificate chain towards callers and operators.
+        /// Certificate chain of the caller and operator interfaces.
         pub face_certificate: Option<PathBuf> = None;
-        /// Its key.
+        /// Private key of `face_certificate`.
         pub face_key: Option<SecretFile> = None;
-        /// The certificate chain of this VM towards other VMs; its name is the VM's name.
+        /// Certificate chain of this VM for other VMs; it is issued for the VM's name.
         pub peer_certificate: Option<PathBuf> = None;
-        /// Its key.
+        /// Private key of `peer_certificate`.
         pub peer_key: Option<SecretFile> = None;
-        /// The certificate of the authority that all VMs' certificates come from.
+        /// Certificate of the authority that issues all VMs' certificates.
         pub peer_authority: Option<PathBuf> = None;
-        /// Files with the operators' tokens, one token a file.
+        /// Files with the operators' tokens, one token per file.
         pub operator_tokens: Vec<SecretFile> = Vec::new(), required;
     }
     check check_keys
@@ -64,45 +64,47 @@
 settings_struct! {
     /// Settings of an entry process.
     pub struct EntrySettings {
-        /// The VM's name, unlike that of any other VM.
+        /// Unique name of the VM.
         pub vm: VmName = VmName::default(), required;
-        /// Its failure domain.
+        /// Failure domain of the VM.
         pub domain: DomainName = DomainName::default(), required;
-        /// Its region.
+        /// Region of the VM.
         pub region: RegionName = RegionName::default(), required;
-        /// Its share of new requests in the answer to callers, relative to other VMs.
+        /// Weight of the VM in the list of entry VMs that callers receive: its share of new
+        /// requests relative to other VMs.
         pub weight: u32 = 100, in 1..=10_000;
-        /// Where the platform's log listens.
+        /// Address of the platform's log.
         pub log: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 7100));
-        /// Where the platform's list of VMs listens.
+        /// Address of the platform's list of VMs.
         pub directory: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 7100));
-        /// The face towards callers.
+        /// Caller interface.
         pub caller: CallerFaceSettings = CallerFaceSettings::default();
-        /// The face towards operators.
+        /// Operator interface.
         pub operator: OperatorSettings = OperatorSettings::default();
-        /// The face towards other VMs.
+        /// Interface to other VMs.
         pub peer: PeerFaceSettings = PeerFaceSettings::default();
         /// Keys and certificates.
         pub keys: KeySettings = KeySettings::default();
-        /// Milliseconds between two reports that an owner asks of an engine.
+        /// Milliseconds between two reports that a group owner requests from an engine.
         pub report_ms: u64 = 250, in 20..=10_000;
-        /// Milliseconds that a probe of another VM may take.
+        /// Timeout in milliseconds of a probe of another VM; an indirect probe has twice as long.
         pub probe_ms: u64 = 250, in 20..=5_000;
-        /// Milliseconds for which callers may keep the list of entry VMs.
+        /// Milliseconds for which callers may cache the list of entry VMs.
         pub entries_ttl_ms: u64 = 3_000, in 100..=600_000;
-        /// Milliseconds without the log and without any other VM after which no work is taken.
+        /// Milliseconds without an answer from the log or another VM after which no work is taken.
         pub stale_ms: u64 = 8_000, in 1_000..=600_000;
-        /// The longest unstreamed answer in bytes.
+        /// Maximum size in bytes of an answer that is not streamed.
         pub answer_bytes: usize = 16 << 20, in 1_024..=1 << 30;
-        /// Milliseconds that a shutdown waits for running requests before it says that it is overdue.
+        /// Milliseconds that a shutdown waits for running requests before it is logged as overdue and
+        /// continues.
         pub shutdown_ms: u64 = 600_000, in 1_000..=86_400_000;
-        /// Milliseconds after which an order to an engine without an answer has an unknown effect.
+        /// Milliseconds after which the effect of an unanswered order to an engine counts as unknown.
         pub order_timeout_ms: u64 = 20_000, in 1_000..=600_000;
-        /// Milliseconds for which a VM that vanished is thought able to use its grants.
+        /// Milliseconds for which an unreachable VM is assumed to still be able to use its grants.
         pub zombie_window_ms: u64 = 120_000, in 1_000..=3_600_000;
-        /// What is logged.
+        /// Log output.
         pub logs: LogSettings = LogSettings::default();
-        /// What metrics tell apart.
+        /// Labels of the metrics.
         pub metrics: MetricSettings = MetricSettings::default();
     }
     check check_addresses
@@ -144,7 +146,7 @@
 }
 
 impl EntrySettings {
-    /// The settings of the callers' face.
+    /// Returns the settings of the caller interface.
     pub(crate) fn caller_settings(&self) -> CallerSettings {
         CallerSettings {
             listen: self.caller.listen,
@@ -156,7 +158,7 @@
         }
     }
 
-    /// The settings of the face towards other VMs.
+    /// Returns the settings of the interface to other VMs.
     pub(crate) fn peer_settings(&self) -> PeerSettings {
         PeerSettings {
             listen: self.peer.listen,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// The settings of the groups that this VM owns.
+    /// Returns the settings of the groups that this VM owns.
     pub(crate) fn owner_settings(&self) -> OwnerSettings {
         OwnerSettings {
             order_timeout_ms: self.order_timeout_ms,
@@ -176,7 +178,8 @@
     }
 }
 
-/// Settings of the operators' face that listens at `listen`, for processes that host entry VMs.
+/// Returns settings of the operator interface that listens at `listen`, for processes that host
+/// several entry VMs.
 #[must_use]
 pub fn operator_settings(listen: SocketAddr) -> OperatorSettings {
     OperatorSettings { listen, ..Default::default() }
--- a/entry/src/snapshots.rs
+++ b/entry/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! Writes the state of streams again, ahead of retention.
+//! Writes snapshots of streams before retention removes the records that they replace.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,17 +11,17 @@
 use crate::core::{EntryCore, read};
 use crate::held::lock;
 
-const PERIOD: Duration = Duration::from_millis(500);
-const SNAPSHOT_WITHIN: Duration = Duration::from_secs(20);
+const SNAPSHOT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Writes snapshots as they come due, until the process ends.
+/// Writes snapshots when they are due, until the process ends.
 pub(crate) async fn run_snapshots(core: Arc<EntryCore>) {
     let settings = SnapshotSettings::default();
     let now = core.clock.now();
     let mut config = SnapshotPlan::new(settings.clone(), CONFIG_STREAM, now);
     let mut control = SnapshotPlan::new(settings, CONTROL_STREAM, now);
     while !core.closing.is_cancelled() {
-        sleep(PERIOD).await;
+        sleep(SNAPSHOT_CHECK_INTERVAL).await;
         if !core.health.readable(core.clock.now()) {
             continue;
         }
@@ -66,7 +66,7 @@
             CONFIG_STREAM => &core.writers.config,
             _ => &core.writers.control,
         };
-        if writer.append(data, SNAPSHOT_WITHIN).await.is_ok() {
+        if writer.append(data, SNAPSHOT_TIMEOUT).await.is_ok() {
             event!(SnapshotWritten, stream = stream);
         }
     });
--- a/entry/src/stream.rs
+++ b/entry/src/stream.rs
@@ -1,5 +1,5 @@
-//! Passes a streamed answer on, event by event. If it breaks, it is resumed at its engine, or
-//! continued at another one from the prompt and what was already sent.
+//! Forwards a streamed answer event by event. A broken stream is resumed at its engine, or continued
+//! at another one from the prompt and the text that was already sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,18 +21,19 @@
 use crate::answer::AnswerFilter;
 use crate::hold::GrantHold;
 use crate::measure::micro_seconds;
-use crate::serve::{RELEASE_WAIT, RequestRun, note_crossed, try_once};
+use crate::serve::{RELEASE_WAIT, RequestRun, attempt_once, check_right_slot};
 
-/// Resumptions of one stream at its engine.
-const MOST_RESUMES: u32 = 3;
-/// Continuations of one stream at other engines.
-const MOST_CONTINUATIONS: u32 = 3;
-const CONTINUE_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum resumptions of one stream at one engine.
+const MAX_RESUMES: u32 = 3;
+/// Maximum continuations of one stream at other engines.
+const MAX_CONTINUATIONS: u32 = 3;
+/// Wait after a failed continuation, times the number of continuations so far.
+const CONTINUE_DELAY: Duration = Duration::from_millis(50);
 const PROMPT: &str = "prompt";
 const MAX_TOKENS: &str = "max_tokens";
 
-/// A streamed answer under way. Dropping it, because the caller went away, cancels the run at the
-/// engine and releases the grant.
+/// A streamed answer in progress. Dropping it, because the caller disconnected, cancels the run at
+/// the engine and releases the grant.
 pub(crate) struct AnswerRun {
     run: RequestRun,
     spec: RequestSpec,
@@ -62,7 +63,7 @@
         Self { run, spec, hold, filter, body, last, resumes: 0, continuations: 0 }
     }
 
-    /// The stream of events, which begins with `first`.
+    /// Returns the stream of events, beginning with `first`.
     pub(crate) fn into_stream(self, first: Bytes) -> AnswerStream {
         let rest = stream::unfold(Some(self), |state| async move {
             let mut run = state?;
@@ -101,7 +102,7 @@
             if let Some(first) = self.continue_elsewhere(&error).await {
                 return StreamStep::Pass(first);
             }
-            let detail = format!("the answer was cut: {error}");
+            let detail = format!("the answer's stream broke: {error}");
             return self.fail(FaceReason::AnswerLost, &detail);
         }
     }
@@ -117,17 +118,17 @@
                 Some(StreamStep::Pass(bytes))
             }
             Err(error) => {
-                note_crossed(&core, &error);
+                check_right_slot(&core, &error);
                 Some(self.fail(FaceReason::AnswerLost, &error.to_string()))
             }
         }
     }
 
-    /// Reads the same run on at its engine. The engine knows the run by its id and gives the very
-    /// tokens that are missing, so the caller never sees a splice of two generations; an engine in a
-    /// new life does not know it.
+    /// Continues reading the same run at its engine and returns whether that succeeded. The engine
+    /// identifies the run by its id and sends exactly the missing tokens, so the caller never receives
+    /// parts of two generations. A restarted engine does not know the run.
     async fn resume(&mut self, error: &RunError) -> bool {
-        if self.resumes == MOST_RESUMES {
+        if self.resumes == MAX_RESUMES {
             return false;
         }
         self.resumes += 1;
@@ -146,9 +147,10 @@
         }
     }
 
-    /// Runs the rest at another engine, which generates on from the prompt and all that the caller
-    /// has seen: one text, not a splice of two. Only for requests that may be repeated, and for text
-    /// prompts, where "go on from here" needs no extension of the engines' interface.
+    /// Runs the rest at another engine, which generates from the prompt and all text that the caller
+    /// has received, so that the whole is one consistent text. Returns the first part, or `None` on
+    /// failure. Only for repeatable requests with text prompts; a chat would need an extension of the
+    /// engine interface.
     async fn continue_elsewhere(&mut self, error: &RunError) -> Option<Bytes> {
         if !self.run.call.repeatable || self.run.call.kind != CompletionKind::Completions {
             return None;
@@ -156,7 +158,7 @@
         self.extend_prompt()?;
         let _ = timeout(RELEASE_WAIT, self.hold.give_back()).await;
         let core = Arc::clone(&self.run.core);
-        while self.continuations < MOST_CONTINUATIONS {
+        while self.continuations < MAX_CONTINUATIONS {
             self.continuations += 1;
             if !core.limits.after_failure(|budget| budget.take()) {
                 return None;
@@ -165,7 +167,7 @@
                 .step(StepKind::Retried, format!("continue tokens={} {error}", self.run.tokens));
             event!(StreamResumed, request_id = self.run.call.request_id, error = error);
             self.spec.avoid.extend(self.run.server.take());
-            match try_once(&mut self.run, &self.spec).await {
+            match attempt_once(&mut self.run, &self.spec).await {
                 Ok(part) => {
                     self.resumes = 0;
                     self.hold = part.hold;
@@ -174,16 +176,17 @@
                     return Some(part.first);
                 }
                 Err(mut failed) => {
-                    log::debug!("a continuation failed: {}", failed.problem.detail);
+                    log::debug!("continuation of a stream failed: {}", failed.problem.detail);
                     failed.settle().await;
                 }
             }
-            sleep(CONTINUE_PAUSE * self.continuations).await;
+            sleep(CONTINUE_DELAY * self.continuations).await;
         }
         None
     }
 
-    /// Puts what was sent behind the prompt; none if there is nothing left to generate.
+    /// Appends the text sent so far to the prompt and reduces the token limits. Returns `None` if
+    /// there is no text prompt or nothing left to generate.
     fn extend_prompt(&mut self) -> Option<()> {
         let sent = self.filter.tokens();
         let body = &mut self.run.call.body;
--- a/entry/src/tls.rs
+++ b/entry/src/tls.rs
@@ -1,4 +1,4 @@
-//! Keys of the process's faces; docs/KEYS.md tells how they are made and replaced.
+//! TLS keys of the process's interfaces; docs/KEYS.md describes how to create and replace them.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use crate::process::EntryError;
 use crate::settings::{EntrySettings, KeySettings};
 
-/// How often the files are looked at for new keys.
-const WATCH_PERIOD: Duration = Duration::from_secs(5);
+/// Interval at which the files are checked for new keys.
+const WATCH_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the faces need to speak TLS; nothing on loopback without TLS.
+/// TLS configurations of the interfaces; all `None` on loopback without TLS.
 #[derive(Default)]
 pub(crate) struct EntryKeys {
     pub(crate) peer_server: Option<Arc<rustls::ServerConfig>>,
@@ -24,7 +24,7 @@
 }
 
 impl EntryKeys {
-    /// Reads the keys that the settings name.
+    /// Loads the keys named in the settings.
     pub(crate) fn load(settings: &EntrySettings) -> Result<Self, EntryError> {
         if settings.keys.loopback_without_tls {
             return Ok(Self::default());
@@ -40,18 +40,18 @@
         })
     }
 
-    /// TLS towards callers or operators.
+    /// Returns the TLS configuration of the caller and operator interfaces; `None` without TLS.
     pub(crate) fn face(&self) -> Result<Option<rustls::ServerConfig>, EntryError> {
         self.face.as_ref().map(|keys| keys.server()).transpose().map_err(refused)
     }
 
-    /// Replaces the keys whenever their files change, until `closing`.
+    /// Starts tasks that reload the keys when their files change, until `closing` is cancelled.
     pub(crate) fn watch(&self, closing: &CancellationToken) {
         for keys in [&self.face, &self.peer].into_iter().flatten() {
             let (keys, closing) = (Arc::clone(keys), closing.clone());
             tokio::spawn(async move {
                 tokio::select! {
-                    () = keys.watch(WATCH_PERIOD) => {}
+                    () = keys.watch(WATCH_INTERVAL) => {}
                     () = closing.cancelled() => {}
                 }
             });
@@ -67,7 +67,7 @@
     file.map_or(Path::new(""), SecretFile::path)
 }
 
-/// The check of the settings has seen to it that every file is named.
+/// Returns the files for callers and operators. The check of the settings ensures that all are given.
 fn face_files(keys: &KeySettings) -> KeyFiles {
     KeyFiles {
         chain: keys.face_certificate.clone().unwrap_or_default(),
--- a/entry/src/view.rs
+++ b/entry/src/view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, with what is derived from it.
+//! The configuration in force and data derived from it.
 
 use std::sync::Arc;
 
@@ -12,7 +12,8 @@
 use coltsfoothook_decision::route::GroupMap;
 use coltsfoothook_decision::takeover::TakeoverGroup;
 
-/// A version of the configuration. Requests in progress keep the one that they began with.
+/// One version of the configuration. It is immutable and shared; a reader keeps its version while a
+/// newer one is put in force.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigView {
     pub(crate) version: ConfigVersion,
@@ -39,12 +40,13 @@
         Self { version, manifest, groups, takeover_groups, credentials }
     }
 
-    /// The tenant of a bearer credential.
+    /// Returns the customer of a bearer credential.
     pub(crate) fn tenant_of(&self, bearer: &str) -> Option<&CustomerName> {
         self.credentials.find(bearer)
     }
 
-    /// The adapter and the version that a request means; none if there is no such version.
+    /// Resolves an adapter and version; without `version`, the default version. `None` if there is no
+    /// such version.
     pub(crate) fn adapter_version(
         &self,
         adapter: &str,
@@ -59,19 +61,19 @@
         Some((entry, version))
     }
 
-    /// Where the weights of an adapter version are.
+    /// Returns the location of the weights of an adapter version.
     pub(crate) fn weights(&self, adapter: &AdapterVersion) -> Option<&str> {
         let entry = self.manifest.adapter(adapter.adapter.as_str())?;
         entry.version(adapter.version.as_str()).map(|version| version.weights.as_str())
     }
 
-    /// A class's limits.
+    /// Returns the limits of a class, or its defaults if the configuration has none.
     pub(crate) fn class(&self, class: RequestClass) -> ClassEntry {
         let found = self.manifest.classes.iter().find(|entry| entry.class == class);
         found.cloned().unwrap_or_else(|| class_defaults(class))
     }
 
-    /// The backend servers of a plain service.
+    /// Returns the backend servers of a plain service.
     pub(crate) fn service_servers<'a>(
         &'a self,
         service: &'a str,
@@ -81,7 +83,7 @@
         })
     }
 
-    /// The shape of an engine.
+    /// Returns the entries of an engine; `None` if `server` is not a known engine.
     pub(crate) fn engine(&self, server: &str) -> Option<(&ServerEntry, &EngineEntry)> {
         let entry = self.manifest.server(server)?;
         match &entry.serves {
@@ -91,7 +93,7 @@
     }
 }
 
-/// A hash that cannot be read never stands in an accepted manifest.
+/// Builds the credential table. Invalid hashes are skipped; an accepted manifest has none.
 fn read_credentials(manifest: &ServingManifest) -> CredentialTable<CustomerName> {
     let mut entries = Vec::new();
     for tenant in &manifest.tenants {
--- a/entry/src/watch.rs
+++ b/entry/src/watch.rs
@@ -1,5 +1,4 @@
-//! Timers of an owned group: reports of its engines, ticks, schedules and what the owner must know
-//! of VMs and of the log.
+//! Timers of an owned group: engine reports, ticks, schedules, and the state of VMs and of the log.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,23 +16,23 @@
 use crate::held::lock;
 use crate::own::OwnerShard;
 
-/// The owner's timers while something waits or loads, and while nothing does. Events are handled at
-/// once in either case.
+/// Intervals of the owner's ticks while requests wait or adapters load, and while idle. Other events
+/// are handled without delay.
 const BUSY_TICK: Duration = Duration::from_millis(25);
 const IDLE_TICK: Duration = Duration::from_millis(100);
-/// How often the owner is told of VMs and of the log.
-const VIEW_PERIOD: Duration = Duration::from_millis(250);
-/// How often the schedules are looked through.
-const SCHEDULE_PERIOD: Duration = Duration::from_millis(2_000);
-/// The pause after a report that failed: an engine that refuses connections is known to be down soon.
-const FAILED_PAUSE: Duration = Duration::from_millis(50);
-/// The pause before a fence that was not raised is tried again.
-const FENCE_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which the owner receives the state of VMs and of the log.
+const VIEW_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the schedules are checked.
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Maximum wait after a failed report, so that an engine that is down is detected quickly.
+const MAX_FAILED_INTERVAL: Duration = Duration::from_millis(50);
+/// Wait before a failed attempt to raise the fence is repeated.
+const FENCE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 const MILLIS_PER_SECOND: u64 = 1_000;
-/// Schedules are told to the owner so long before their lead begins.
-const SCHEDULE_AHEAD_MS: u64 = 10_000;
+/// The owner is notified of a schedule this long before the schedule's lead time begins.
+const SCHEDULE_NOTICE_MS: u64 = 10_000;
 
-/// Runs until the group goes to another VM or the process ends.
+/// Runs the timers of a shard until another VM takes the group over or the process ends.
 pub(crate) async fn watch_shard(core: Arc<EntryCore>, shard: Arc<OwnerShard>) {
     let mut watched: Vec<ServerName> = Vec::new();
     let mut view_due = Instant::now();
@@ -41,13 +40,13 @@
     loop {
         let now = Instant::now();
         if now >= view_due {
-            view_due = now + VIEW_PERIOD;
-            tell_view(&core, &shard);
+            view_due = now + VIEW_INTERVAL;
+            notify_view(&core, &shard);
             watch_engines(&core, &shard, &mut watched);
         }
         if now >= schedule_due {
-            schedule_due = now + SCHEDULE_PERIOD;
-            tell_schedules(&core, &shard);
+            schedule_due = now + SCHEDULE_INTERVAL;
+            notify_schedules(&core, &shard);
         }
         shard.drive(&core, OwnerEvent::Tick);
         let tick = if shard.is_busy() { BUSY_TICK } else { IDLE_TICK };
@@ -58,9 +57,9 @@
     }
 }
 
-fn tell_view(core: &Arc<EntryCore>, shard: &Arc<OwnerShard>) {
+fn notify_view(core: &Arc<EntryCore>, shard: &Arc<OwnerShard>) {
     let now = core.clock.now();
-    let (vms, gone, majority) = {
+    let (vms, dead_vms, majority) = {
         let members = lock(&core.members);
         let region = members.own().place().region.clone();
         let majority = members.majority(region.as_str());
@@ -68,11 +67,11 @@
         let ours = all.filter(|row| row.place().region == region);
         let vms: Vec<VmName> = ours.clone().map(|row| row.identity().vm.clone()).collect();
         let dead = ours.filter(|row| row.state() == MemberState::Dead);
-        let gone: Vec<_> = dead.map(|row| row.identity().clone()).collect();
-        (vms, gone, majority)
+        let dead_vms: Vec<_> = dead.map(|row| row.identity().clone()).collect();
+        (vms, dead_vms, majority)
     };
     shard.drive(core, OwnerEvent::VmLive { vms, majority });
-    for vm in gone {
+    for vm in dead_vms {
         shard.drive(core, OwnerEvent::VmGone { vm });
     }
     shard.drive(core, OwnerEvent::LogState { writable: core.health.writable(now) });
@@ -91,25 +90,26 @@
     }
 }
 
+/// Polls an engine's reports until the shard ends or the engine leaves its topology.
 async fn watch_engine(core: Arc<EntryCore>, shard: Arc<OwnerShard>, server: ServerName) {
     let period = Duration::from_millis(core.settings.report_ms);
     let mut fenced = None;
     while !shard.ended.is_cancelled() {
-        let asked = Instant::now();
+        let polled_at = Instant::now();
         let view = core.view();
         let Some((entry, engine)) = view.engine(server.as_str()) else { return };
         if !shard.engines().contains(&server) {
             return;
         }
         let report = core.clients.engines.report(entry.address).await;
-        let life = report.as_ref().ok().map(|report| report.incarnation);
-        if engine.checks_fencing && life.is_some() && fenced != life {
+        let engine_incarnation = report.as_ref().ok().map(|report| report.incarnation);
+        if engine.checks_fencing && engine_incarnation.is_some() && fenced != engine_incarnation {
             if raise_fence(&core, &shard, entry.address).await {
-                fenced = life;
+                fenced = engine_incarnation;
             }
             continue;
         }
-        let pause = if report.is_ok() { period } else { period.min(FAILED_PAUSE) };
+        let pause = if report.is_ok() { period } else { period.min(MAX_FAILED_INTERVAL) };
         let event = match report {
             Ok(report) => OwnerEvent::Report { server: server.clone(), report },
             Err(_) => OwnerEvent::ReportFailed { server: server.clone() },
@@ -117,34 +117,35 @@
         shard.drive(&core, event);
         tokio::select! {
             () = shard.ended.cancelled() => return,
-            () = sleep(pause.saturating_sub(asked.elapsed())) => {}
+            () = sleep(pause.saturating_sub(polled_at.elapsed())) => {}
         }
     }
 }
 
-/// Makes an engine that checks fencing numbers know this owner's, by an order that changes nothing.
+/// Sends this owner's fencing number to an engine that checks it, with an unload of a slot that does
+/// not exist. Returns whether the engine accepted it.
 ///
-/// Until the engine has seen the number it obeys a deposed owner that does not know yet that it is
-/// one, and would evict slots that this owner has granted. The owner learns of an engine's slots
-/// only by its reports, so it grants none of them before the engine is fenced.
+/// Until then the engine obeys a deposed owner that is not aware of its successor, and could evict
+/// slots that this owner has granted. The owner knows an engine's slots only from reports, which are
+/// not passed on before the fence is raised.
 async fn raise_fence(core: &EntryCore, shard: &OwnerShard, address: SocketAddr) -> bool {
     let slot = SlotName(format!("fence#{}", shard.epoch));
     let order = UnloadOrder { slot, fencing: shard.epoch };
     let raised = core.clients.engines.unload(address, &order).await;
     if raised.is_err() {
-        sleep(FENCE_PAUSE).await;
+        sleep(FENCE_RETRY_INTERVAL).await;
     }
     raised.is_ok()
 }
 
-fn tell_schedules(core: &Arc<EntryCore>, shard: &Arc<OwnerShard>) {
+fn notify_schedules(core: &Arc<EntryCore>, shard: &Arc<OwnerShard>) {
     let view = core.view();
     let region = core.settings.region.as_str();
     let now = wall_ms();
     for schedule in &view.manifest.schedules {
         let due_in_ms = due_in_ms(schedule, now);
         let lead_ms = u64::from(schedule.lead_s) * MILLIS_PER_SECOND;
-        if due_in_ms > lead_ms + SCHEDULE_AHEAD_MS {
+        if due_in_ms > lead_ms + SCHEDULE_NOTICE_MS {
             continue;
         }
         let Some((_, adapter)) =
--- a/entry/src/write.rs
+++ b/entry/src/write.rs
@@ -1,7 +1,7 @@
-//! Appends to a stream of the log: many records in one append, again until it is known to be there.
+//! Appends records to a stream of the log, in batches, with retries until the append is confirmed.
 //!
-//! Folds take a repeated record for nothing new, so an append whose answer was lost is simply sent
-//! again. The writer never reorders the records of one stream.
+//! Folds ignore duplicate records, so an append whose answer was lost is sent again. The writer never
+//! reorders the records of one stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,31 +16,31 @@
 use crate::health::LogHealth;
 use crate::measure::EntryMetrics;
 
-/// Records that wait for their append; further ones are refused.
-const QUEUED_RECORDS: usize = 4_096;
-/// Records and bytes of one append.
+/// Maximum number of records that wait for an append; further ones are refused.
+const MAX_QUEUED_RECORDS: usize = 4_096;
+/// Size of one append: a batch is sent once it reaches either number of records or bytes.
 const BATCH_RECORDS: usize = 256;
 const BATCH_BYTES: usize = 4 << 20;
-/// How long the first record of an append waits for others. The log takes several hundred appends a
-/// second from all VMs, so sharing one is worth more than these milliseconds.
-const LINGER: Duration = Duration::from_millis(2);
-/// The pause after a failed append, doubled up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-
-/// Why a record is not known to be in the log.
+/// How long the first record of a batch waits for others. The log takes only several hundred appends
+/// per second from all VMs.
+const BATCH_DELAY: Duration = Duration::from_millis(2);
+/// Wait after a failed append: starts at the first value and doubles up to the second.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
+
+/// Why the append of a record is not confirmed.
 #[derive(Clone, Debug, Snafu, PartialEq)]
 pub(crate) enum WriteError {
-    /// It is certainly not there.
+    /// The record is certainly not in the log.
     #[snafu(display("not appended: {cause}"))]
     NotAppended {
-        /// For logs and callers.
+        /// Shown in logs and to callers.
         cause: String,
     },
-    /// It may be there.
-    #[snafu(display("it is not known whether it was appended: {cause}"))]
-    Unsure {
-        /// For logs and callers.
+    /// The record may be in the log.
+    #[snafu(display("append not confirmed: {cause}"))]
+    Unconfirmed {
+        /// Shown in logs and to callers.
         cause: String,
     },
 }
@@ -48,42 +48,43 @@
 struct WriteItem {
     data: String,
     until: Instant,
-    unsure: bool,
+    unconfirmed: bool,
     answer: oneshot::Sender<Result<(), WriteError>>,
 }
 
-/// Takes records for one stream.
+/// Queues records for one stream.
 #[derive(Clone)]
 pub(crate) struct StreamWriter {
     sender: mpsc::Sender<WriteItem>,
 }
 
-/// What a writer's task needs.
+/// Parameters of a writer task.
 pub(crate) struct WriterParts {
     pub(crate) stream: &'static str,
     pub(crate) log: Arc<dyn LogClient>,
+    /// Called with whether the log takes appends.
     pub(crate) health: Arc<dyn Fn(bool) + Send + Sync>,
     pub(crate) metrics: Arc<EntryMetrics>,
 }
 
 impl StreamWriter {
-    /// Starts the writer of a stream.
+    /// Starts the writer task of a stream.
     pub(crate) fn start(parts: WriterParts) -> Self {
-        let (sender, receiver) = mpsc::channel(QUEUED_RECORDS);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_RECORDS);
         tokio::spawn(write_batches(parts, receiver));
         Self { sender }
     }
 
-    /// Appends a record; tries again for `within`.
+    /// Appends a record, with retries for `within`.
     pub(crate) async fn append(&self, data: String, within: Duration) -> Result<(), WriteError> {
         let (answer, answered) = oneshot::channel();
-        let item = WriteItem { data, until: Instant::now() + within, unsure: false, answer };
+        let item = WriteItem { data, until: Instant::now() + within, unconfirmed: false, answer };
         if self.sender.try_send(item).is_err() {
             let cause = "too many records wait for the log".to_owned();
             return Err(WriteError::NotAppended { cause });
         }
         answered.await.unwrap_or_else(|_| {
-            Err(WriteError::Unsure { cause: "the process is shutting down".to_owned() })
+            Err(WriteError::Unconfirmed { cause: "the process is shutting down".to_owned() })
         })
     }
 }
@@ -96,7 +97,7 @@
 }
 
 async fn fill_batch(first: WriteItem, receiver: &mut mpsc::Receiver<WriteItem>) -> Vec<WriteItem> {
-    let until = Instant::now() + LINGER;
+    let until = Instant::now() + BATCH_DELAY;
     let mut bytes = first.data.len();
     let mut batch = vec![first];
     while batch.len() < BATCH_RECORDS && bytes < BATCH_BYTES {
@@ -108,7 +109,7 @@
 }
 
 async fn write_batch(parts: &WriterParts, mut batch: Vec<WriteItem>) {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = INITIAL_RETRY_DELAY;
     loop {
         let records: Vec<String> = batch.iter().map(|item| item.data.clone()).collect();
         let error = match parts.log.append(parts.stream, &records).await {
@@ -120,7 +121,7 @@
             }
             Err(error) => error,
         };
-        note_health(parts, &error);
+        report_append_health(parts, &error);
         log::debug!("append to {} failed: {error}", parts.stream);
         if error == LogError::TooLarge {
             if let [_] = batch.as_slice() {
@@ -128,36 +129,36 @@
                 answer_all(batch, &Err(WriteError::NotAppended { cause }));
                 return;
             }
-            // One of the records is too large; each goes alone, so that the others are not lost.
+            // At least one record is too large; each is sent alone, so that the others are appended.
             for item in batch {
                 Box::pin(write_batch(parts, vec![item])).await;
             }
             return;
         }
-        let unsure = matches!(error, LogError::Unknown { .. } | LogError::BadAnswer { .. });
-        let result = if unsure { AppendResult::Unknown } else { AppendResult::Failed };
+        let unconfirmed = matches!(error, LogError::Unknown { .. } | LogError::BadAnswer { .. });
+        let result = if unconfirmed { AppendResult::Unknown } else { AppendResult::Failed };
         parts.metrics.appended(parts.stream, result);
-        if unsure {
+        if unconfirmed {
             event!(AppendUnknown, stream = parts.stream, records = batch.len(), error = error);
         }
-        batch.iter_mut().for_each(|item| item.unsure |= unsure);
+        batch.iter_mut().for_each(|item| item.unconfirmed |= unconfirmed);
         batch = drop_expired(batch, &error);
         if batch.is_empty() {
             return;
         }
-        let asked = match error {
+        let min_delay = match error {
             LogError::Throttled { retry_after } => retry_after,
             _ => Duration::ZERO,
         };
-        sleep(pause.max(asked)).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        sleep(pause.max(min_delay)).await;
+        pause = (pause * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Tells whether the log takes appends, as far as `error` shows it. A lost answer shows nothing: the
-/// append may well stand, and a log that loses answers and is taken to be down would have every
-/// request refused that needs a claim. One that does not answer at all fails its reads too.
-fn note_health(parts: &WriterParts, error: &LogError) {
+/// Reports whether the log takes appends, as far as `error` shows. A lost answer is not reported: the
+/// append may have succeeded, and with a log considered down every request that needs a claim would be
+/// refused. A log that does not answer at all fails its reads too.
+fn report_append_health(parts: &WriterParts, error: &LogError) {
     match error {
         LogError::Unavailable { .. } => (parts.health)(false),
         LogError::TooLarge | LogError::Throttled { .. } => (parts.health)(true),
@@ -167,15 +168,15 @@
     }
 }
 
-/// Answers the records whose time is over, and gives back the others.
+/// Fails the records that have expired or lost their receiver, and returns the others.
 fn drop_expired(batch: Vec<WriteItem>, error: &LogError) -> Vec<WriteItem> {
     let now = Instant::now();
     let (expired, kept): (Vec<_>, Vec<_>) =
         batch.into_iter().partition(|item| item.until <= now || item.answer.is_closed());
     for item in expired {
         let cause = error.to_string();
-        let error = if item.unsure {
-            WriteError::Unsure { cause }
+        let error = if item.unconfirmed {
+            WriteError::Unconfirmed { cause }
         } else {
             WriteError::NotAppended { cause }
         };
@@ -190,8 +191,8 @@
     }
 }
 
-/// The callback by which a writer reports how its appends go.
-pub(crate) fn report_health(
+/// Returns the callback by which a writer reports whether the log takes appends.
+pub(crate) fn health_callback(
     health: Arc<LogHealth>,
     clock: ProcessClock,
 ) -> Arc<dyn Fn(bool) + Send + Sync> {
