--- a/entry/tests/suite/bench.rs
+++ b/entry/tests/suite/bench.rs
@@ -1,4 +1,4 @@
-//! What the tests of whole sites share.
+//! Helpers shared by the tests of whole sites.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use coltsfoothook_standin::{prompt_hash, read_answer};
 use tokio::time::{Instant, sleep};
 
-/// Long enough for any recovery on a busy host; nothing is asserted about the time itself.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Upper bound of any recovery, also on a busy host; tests do not assert the time itself.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A small site with engines that check fencing numbers, or ignore them.
+/// Starts a small site whose engines check fencing numbers or ignore them.
 pub async fn small_site(checks_fencing: bool) -> LocalSite {
     let mut settings = SiteSettings::default();
     settings.engine.checks_fencing = checks_fencing;
@@ -22,14 +22,15 @@
     LocalSite::start(settings).await.expect("the site comes up")
 }
 
-/// A client of the VM with the number `vm` on account of the first tenant.
+/// Returns a client of the VM with the number `vm` with the first customer's credential.
 pub fn client(site: &LocalSite, vm: usize) -> Arc<SiteClient> {
     let process = site.vms[vm].as_ref().expect("the VM runs");
     Arc::new(SiteClient::new(process.addresses().caller, &credential(0)))
 }
 
-/// A completion of the adapter with the number `adapter`, an even one: the first tenant's.
-pub fn ask(adapter: usize, prompt: &str) -> CompletionAsk {
+/// Returns a completion of the adapter with the number `adapter`; the first customer may use the even
+/// ones.
+pub fn completion(adapter: usize, prompt: &str) -> CompletionAsk {
     CompletionAsk {
         model: format!("{}@{FIRST_VERSION}", adapter_name(adapter)),
         prompt: prompt.to_owned(),
@@ -37,21 +38,21 @@
     }
 }
 
-/// Asserts that an answer is whole and of the adapter and prompt that were asked.
-pub fn assert_right(ask: &CompletionAsk, read: &CompletionRead) {
-    let proof = read_answer(&read.text).expect("the answer is of one piece");
-    assert_eq!(proof.adapter, ask.model);
-    assert_eq!(proof.prompt, prompt_hash(&ask.prompt));
-    assert_eq!((proof.first, proof.tokens), (0, ask.max_tokens));
+/// Asserts that an answer is complete and comes from the requested adapter and prompt.
+pub fn assert_right(completion: &CompletionAsk, read: &CompletionRead) {
+    let proof = read_answer(&read.text).expect("the answer comes from one generation");
+    assert_eq!(proof.adapter, completion.model);
+    assert_eq!(proof.prompt, prompt_hash(&completion.prompt));
+    assert_eq!((proof.first, proof.tokens), (0, completion.max_tokens));
 }
 
-/// Tries until the answer is there; a failure other than "not run" ends the test.
-pub async fn until_done(client: &SiteClient, ask: &CompletionAsk) -> CompletionRead {
-    let until = Instant::now() + PATIENCE;
+/// Repeats a completion until it succeeds; an outcome other than "not run" fails the test.
+pub async fn until_done(client: &SiteClient, completion: &CompletionAsk) -> CompletionRead {
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        match client.complete(ask).await {
+        match client.complete(completion).await {
             Ok(read) => {
-                assert_right(ask, &read);
+                assert_right(completion, &read);
                 return read;
             }
             Err(failure) => {
@@ -59,20 +60,20 @@
                 assert!(Instant::now() < until, "{failure}");
             }
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Waits until `there` holds.
-pub async fn wait_until(what: &str, mut there: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !there() {
-        assert!(Instant::now() < until, "{what} did not come about");
-        sleep(PAUSE).await;
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + TEST_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "timed out waiting for {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The number of the VM that owns the site's only group.
+/// Returns the number of the VM that owns the site's only group.
 pub fn owner(site: &LocalSite) -> usize {
     let owns = |vm: &Option<coltsfoothook_entry::EntryProcess>| {
         vm.as_ref().is_some_and(|vm| vm.owned_groups() > 0)
@@ -80,14 +81,15 @@
     site.vms.iter().position(owns).expect("a VM owns the group")
 }
 
-/// Asserts what must always hold, and stops the site.
+/// Stops the site and asserts that no used slot was evicted, no request ran twice and no invariant was
+/// violated.
 pub async fn close(site: LocalSite) {
     assert_eq!(site.evicted_in_use(), 0);
     assert_eq!(site.doubled(), 0);
     assert_eq!(site.stop().await, 0, "an invariant was violated");
 }
 
-/// The outcome and reason of a failure.
+/// Returns the outcome and reason of a failure.
 pub fn verdict(failure: &SiteFailure) -> (&str, &str) {
     (failure.outcome(), failure.reason())
 }
--- a/entry/tests/suite/claimed_once.rs
+++ b/entry/tests/suite/claimed_once.rs
@@ -11,8 +11,8 @@
     client(site, vm).service(Method::POST, &path, Some(body), Some(key)).await
 }
 
-/// A caller sends the same ticket to three VMs at once. One runs it, the others say that it was
-/// claimed, and one ticket is made.
+/// A caller sends the same ticket to three VMs concurrently. One VM runs it, the others refuse it as
+/// claimed, and one ticket is created.
 #[tokio::test(flavor = "multi_thread")]
 async fn crossed_resends() {
     let site = small_site(true).await;
@@ -26,8 +26,8 @@
     close(site).await;
 }
 
-/// The log appends the claim and its answer is lost. The claim is found when it is read back, the
-/// ticket is made once, and a resend is told so.
+/// The log appends the claim but its answer is lost. The claim is read back, the ticket is created
+/// once, and a resend is refused as already claimed.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_append() {
     let site = small_site(true).await;
@@ -38,8 +38,8 @@
     close(site).await;
 }
 
-/// The log loses one answer after another and is fine otherwise. Each claim is found when it is read
-/// back, so no ticket is refused as if the log were down.
+/// The log appends records but loses many answers. Each claim is read back, so no ticket is refused as
+/// if the log were down.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_lost() {
     let site = small_site(true).await;
@@ -51,8 +51,8 @@
     close(site).await;
 }
 
-/// The service makes the ticket and its connection breaks before the answer. The caller is told
-/// "unknown", nobody tries again, and a resend under the same key does not run.
+/// The service creates the ticket and its connection breaks before the answer. The caller receives
+/// "unknown", no VM retries, and a resend with the same key does not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn answer_lost() {
     let site = small_site(true).await;
@@ -64,7 +64,7 @@
     close(site).await;
 }
 
-/// A careless caller uses a key again for something else.
+/// A key that is reused with another body is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn another_body() {
     let site = small_site(true).await;
@@ -76,8 +76,8 @@
     close(site).await;
 }
 
-/// The VM that ran a ticket dies before the caller resends it elsewhere. Nobody can tell whether it
-/// ran, so it does not run again.
+/// The VM that ran a ticket dies before the caller resends it to another VM. Its outcome is unknown,
+/// so it does not run again.
 #[tokio::test(flavor = "multi_thread")]
 async fn claimer_dead() {
     let mut site = small_site(true).await;
--- a/entry/tests/suite/config_race.rs
+++ b/entry/tests/suite/config_race.rs
@@ -1,10 +1,10 @@
 use coltsfoothook_demo::{OPERATOR_TOKEN, SiteClient, version_entry};
 use coltsfoothook_standin::PlatformFaults;
 
-use crate::bench::{ask, client, close, small_site, until_done};
+use crate::bench::{client, close, completion, small_site, until_done};
 
-/// Two operators publish on the same version through two VMs at once. One is accepted, the other is
-/// told which version is in force, and the loser's change is not in it.
+/// Two operators publish concurrently on the same base version through two VMs. One publication is
+/// accepted, the other is refused as stale.
 #[tokio::test(flavor = "multi_thread")]
 async fn same_base() {
     let site = small_site(true).await;
@@ -28,8 +28,8 @@
     close(site).await;
 }
 
-/// The log's answer to a publication is lost. It is found in the log and told as accepted; the same
-/// publication sent again is told as the same version.
+/// The log's answer to a publication is lost. The publication is read back and reported as accepted;
+/// a resend of it through another VM returns the same version.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer() {
     let site = small_site(true).await;
@@ -41,8 +41,8 @@
     let version = operator.publish_as("once", base, &manifest).await.unwrap();
     let again = SiteClient::new(site.operators()[2], OPERATOR_TOKEN);
     assert_eq!(again.publish_as("once", base, &manifest).await.unwrap(), version);
-    let mut asked = ask(0, "the new version");
-    asked.model = "adapter-00000@2".into();
-    until_done(&client(&site, 1), &asked).await;
+    let mut request = completion(0, "the new version");
+    request.model = "adapter-00000@2".into();
+    until_done(&client(&site, 1), &request).await;
     close(site).await;
 }
--- a/entry/tests/suite/graceful_stop.rs
+++ b/entry/tests/suite/graceful_stop.rs
@@ -1,17 +1,19 @@
 use coltsfoothook_demo::CompletionAsk;
 use tokio::time::sleep;
 
-use crate::bench::{ask, assert_right, client, close, owner, small_site, until_done, wait_until};
+use crate::bench::{
+    assert_right, client, close, completion, owner, small_site, until_done, wait_until,
+};
 
-/// A VM is told to stop while it streams, and it owns the engines too. The stream ends whole, new
-/// requests are told "not run" or go elsewhere, and another VM takes the engines over.
+/// The VM that owns the engines shuts down while it streams. The stream ends complete and another VM
+/// takes the group over.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_end_whole() {
     let mut site = small_site(true).await;
     let stopping = owner(&site);
     let caller = client(&site, stopping);
-    until_done(&caller, &ask(0, "before")).await;
-    let long = CompletionAsk { max_tokens: 600, ..ask(0, "long") };
+    until_done(&caller, &completion(0, "before")).await;
+    let long = CompletionAsk { max_tokens: 600, ..completion(0, "long") };
     let streamed = tokio::spawn({
         let (caller, long) = (caller.clone(), long.clone());
         async move { caller.complete(&long).await }
@@ -22,6 +24,6 @@
     let read = streamed.await.unwrap().unwrap();
     assert_right(&long, &read);
     wait_until("a new owner", || site.running().any(|vm| vm.owned_groups() == 1)).await;
-    until_done(&client(&site, (stopping + 1) % 3), &ask(2, "after")).await;
+    until_done(&client(&site, (stopping + 1) % 3), &completion(2, "after")).await;
     close(site).await;
 }
--- a/entry/tests/suite/job_results.rs
+++ b/entry/tests/suite/job_results.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use crate::bench::{PATIENCE, client, close, small_site};
+use crate::bench::{TEST_TIMEOUT, client, close, small_site};
 
 async fn submit(site: &LocalSite, vm: usize, id: &str) {
     let body = json!({
@@ -17,7 +17,7 @@
 }
 
 async fn result(site: &LocalSite, vm: usize, id: &str) -> String {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let path = format!("/v1/jobs/{id}/result");
     loop {
         match client(site, vm).json(Method::GET, &path, None).await {
@@ -28,7 +28,7 @@
     }
 }
 
-/// A job is submitted twice to two VMs; it is one job with one result, the same from every VM.
+/// A job is submitted to two VMs. It stays one job with one result, the same from every VM.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_result() {
     let site = small_site(true).await;
@@ -40,8 +40,8 @@
     close(site).await;
 }
 
-/// A job is accepted, and the VM that runs it fails before the result is in the log; the log's
-/// answer to the submission was lost besides. Another VM runs the job to its end.
+/// The log's answer to a job's submission is lost, and the VM that runs the job fails before the
+/// result is in the log. Another VM runs the job.
 #[tokio::test(flavor = "multi_thread")]
 async fn runner_dies() {
     let mut site = small_site(true).await;
@@ -55,8 +55,8 @@
     if let Some(runner) = runner {
         site.kill_vm(runner).await;
     }
-    let asked = site.vms.iter().position(Option::is_some).unwrap();
-    let text = result(&site, asked, "audit-2").await;
+    let survivor = site.vms.iter().position(Option::is_some).unwrap();
+    let text = result(&site, survivor, "audit-2").await;
     assert_eq!(read_answer(&text).unwrap().tokens, 20);
     close(site).await;
 }
--- a/entry/tests/suite/log_outage.rs
+++ b/entry/tests/suite/log_outage.rs
@@ -3,24 +3,24 @@
 use http::Method;
 use serde_json::json;
 
-use crate::bench::{ask, client, close, owner, small_site, until_done, verdict, wait_until};
+use crate::bench::{client, close, completion, owner, small_site, until_done, verdict, wait_until};
 
 fn log_down() -> PlatformFaults {
     PlatformFaults { log: OutageKind::Refuse, ..Default::default() }
 }
 
-/// The log goes down and stays down. Loaded adapters are served; a key that a VM issued runs without
-/// the log and never twice; a caller's own key cannot be claimed and does not run; a publication is
-/// refused. When the log is back, all of it works again.
+/// While the log is down, loaded adapters are served and a key issued by a VM runs, at most once; a
+/// caller's own key cannot be claimed and does not run, and a publication is refused. After the log
+/// recovers, requests and publications succeed again.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_still_works() {
     let mut site = small_site(false).await;
     let caller = client(&site, 0);
-    until_done(&caller, &ask(0, "before")).await;
+    until_done(&caller, &completion(0, "before")).await;
     let entries = caller.json(Method::GET, "/v1/entries", None).await.unwrap();
     let issued = entries["keys"][0].as_str().unwrap().to_owned();
     site.platform.set_faults(log_down());
-    until_done(&caller, &ask(0, "during")).await;
+    until_done(&caller, &completion(0, "during")).await;
     let path = format!("/v1/services/{SERVICE}/tickets");
     let ticket = json!({ "id": issued });
     let made = caller.service(Method::POST, &path, Some(ticket.clone()), Some(&issued)).await;
@@ -43,44 +43,44 @@
             .all(|made| !["own-key", "first-key"].contains(&made.text.as_str()))
     }));
     site.platform.set_faults(PlatformFaults::default());
-    until_done(&caller, &ask(2, "after")).await;
+    until_done(&caller, &completion(2, "after")).await;
     let manifest = site.manifest.clone();
     site.publish(manifest).await.unwrap();
     close(site).await;
 }
 
-/// The log goes down, then the owner of the engines fails: nobody can take over. Adapters that are
-/// loaded are served all the same, since nobody can order an eviction; a cold one is "not run".
+/// The owner of the engines fails while the log is down, so no VM can take over. Loaded adapters are
+/// served, since no VM can order an eviction; a cold adapter is "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn owner_gone_too() {
     let mut site = small_site(true).await;
     let failing = owner(&site);
     let caller = client(&site, (failing + 1) % 3);
-    until_done(&caller, &ask(0, "before")).await;
+    until_done(&caller, &completion(0, "before")).await;
     site.platform.set_faults(log_down());
     site.kill_vm(failing).await;
-    until_done(&caller, &ask(0, "without an owner")).await;
-    let cold = CompletionAsk { deadline_ms: Some(1_500), ..ask(6, "cold") };
+    until_done(&caller, &completion(0, "without an owner")).await;
+    let cold = CompletionAsk { deadline_ms: Some(1_500), ..completion(6, "cold") };
     let failure = caller.complete(&cold).await.unwrap_err();
     assert_eq!(failure.outcome(), "not_run", "{failure}");
     site.platform.set_faults(PlatformFaults::default());
     wait_until("a new owner", || site.running().any(|vm| vm.owned_groups() == 1)).await;
-    until_done(&caller, &ask(6, "cold no more")).await;
+    until_done(&caller, &completion(6, "cold no more")).await;
     close(site).await;
 }
 
-/// A VM starts with nothing while the log is down. It learns the configuration and the owners from
-/// another VM, and serves.
+/// A VM starts without state while the log is down. It receives the configuration and the owners from
+/// another VM and serves requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_without_log() {
     let mut site = small_site(true).await;
     let other = (owner(&site) + 1) % 3;
-    until_done(&client(&site, other), &ask(0, "before")).await;
+    until_done(&client(&site, other), &completion(0, "before")).await;
     site.platform.set_faults(log_down());
     site.kill_vm(other).await;
     site.start_vm(other).await.unwrap();
-    wait_until("the VM's new life", || site.vms[other].as_ref().unwrap().ready()).await;
-    until_done(&client(&site, other), &ask(0, "from a VM that never saw the log")).await;
+    wait_until("the restarted VM", || site.vms[other].as_ref().unwrap().ready()).await;
+    until_done(&client(&site, other), &completion(0, "from a VM that never saw the log")).await;
     site.platform.set_faults(PlatformFaults::default());
     close(site).await;
 }
--- a/entry/tests/suite/main.rs
+++ b/entry/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry process, one file a feature. They run whole sites on loopback ports.
+//! Tests of the entry process, one file per feature. They run whole sites on loopback ports.
 
 mod bench;
 
--- a/entry/tests/suite/poison_request.rs
+++ b/entry/tests/suite/poison_request.rs
@@ -1,13 +1,12 @@
 use coltsfoothook_demo::{CompletionAsk, LocalSite, SiteSettings};
 use coltsfoothook_standin::EngineFaults;
 
-use crate::bench::{ask, assert_right, client, close, until_done};
+use crate::bench::{assert_right, client, close, completion, until_done};
 
 const MARK: &str = "POISON";
 
-/// One request crashes each engine that runs it. Its caller sends it again and again, under new ids
-/// and through different VMs, among good requests that run beside it. Two engines fall to it at the
-/// most, it is condemned, and the good requests all get their answers.
+/// A request crashes each engine that runs it. Its caller repeats it with new ids through all VMs while
+/// other requests run. It crashes at most two engines, it is condemned, and all other requests succeed.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_crashes() {
     let mut settings = SiteSettings { engines: 4, ..Default::default() };
@@ -22,14 +21,14 @@
         let caller = client(&site, vm);
         tokio::spawn(async move {
             for number in 0..20 {
-                let asked = ask(2 * (number % 2), &format!("good {vm} {number}"));
-                let read = until_done(&caller, &asked).await;
-                assert_right(&asked, &read);
+                let request = completion(2 * (number % 2), &format!("good {vm} {number}"));
+                let read = until_done(&caller, &request).await;
+                assert_right(&request, &read);
             }
         })
     });
     let good: Vec<_> = good.collect();
-    let poison = CompletionAsk { deadline_ms: Some(20_000), ..ask(0, MARK) };
+    let poison = CompletionAsk { deadline_ms: Some(20_000), ..completion(0, MARK) };
     let mut last = None;
     for number in 0..12 {
         let failure = client(&site, number % 3).complete(&poison).await.unwrap_err();
@@ -39,7 +38,7 @@
         run.await.unwrap();
     }
     let crashes: u64 = site.engines.iter().map(|engine| engine.counters().crashes).sum();
-    assert!(crashes <= 2, "{crashes} engines fell to one request");
+    assert!(crashes <= 2, "one request crashed {crashes} engines");
     let last = last.unwrap();
     assert_eq!((last.outcome(), last.reason()), ("not_run", "condemned"), "{last}");
     close(site).await;
--- a/entry/tests/suite/roles_apart.rs
+++ b/entry/tests/suite/roles_apart.rs
@@ -4,7 +4,7 @@
 use http::{Method, StatusCode};
 use tokio::time::{Instant, sleep};
 
-use crate::bench::{PATIENCE, ask, close, small_site};
+use crate::bench::{TEST_TIMEOUT, close, completion, small_site};
 
 fn status(failure: &SiteFailure) -> Option<StatusCode> {
     match failure {
@@ -13,8 +13,8 @@
     }
 }
 
-/// A tenant's credential opens no operator call, an operator's token no caller's call, and a wrong
-/// one nothing.
+/// A customer's credential is refused by the operator interface, an operator's token by the caller
+/// interface, and an unknown one by both.
 #[tokio::test(flavor = "multi_thread")]
 async fn wrong_credentials() {
     let site = small_site(true).await;
@@ -25,7 +25,7 @@
     }
     for secret in [OPERATOR_TOKEN, "nobody", ""] {
         let caller = SiteClient::new(site.callers()[0], secret);
-        let failure = caller.complete(&ask(0, "x")).await.unwrap_err();
+        let failure = caller.complete(&completion(0, "x")).await.unwrap_err();
         assert_eq!(status(&failure), Some(StatusCode::UNAUTHORIZED), "{failure}");
         assert_eq!(failure.outcome(), "not_run");
     }
@@ -35,16 +35,16 @@
     close(site).await;
 }
 
-/// An operator's token is replaced in its file while the VMs run: the new one opens the face and the
-/// old one no longer does.
+/// An operator's token is replaced in its file while the VMs run: the new one is accepted and the old
+/// one refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn replaced_token() {
     let site = small_site(true).await;
     site.replace_token("a new token");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let fresh = SiteClient::new(site.operators()[0], "a new token");
     while fresh.json(Method::GET, "/v1/status", None).await.is_err() {
-        assert!(Instant::now() < until, "the new token is not known");
+        assert!(Instant::now() < until, "the new token is not accepted");
         sleep(Duration::from_millis(50)).await;
     }
     let old = SiteClient::new(site.operators()[0], OPERATOR_TOKEN);
--- a/entry/tests/suite/settings_page.rs
+++ b/entry/tests/suite/settings_page.rs
@@ -1,4 +1,4 @@
-//! docs/SETTINGS.md is the page that the code gives; `UPDATE_EXPECT=1` writes it anew.
+//! Checks that docs/SETTINGS.md matches the declarations; `UPDATE_EXPECT=1` regenerates it.
 
 use coltsfoothook_ctl::CtlSettings;
 use coltsfoothook_entry::EntrySettings;
--- a/entry/tests/suite/whole_path.rs
+++ b/entry/tests/suite/whole_path.rs
@@ -5,27 +5,27 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use crate::bench::{ask, assert_right, client, close, small_site, until_done, verdict};
+use crate::bench::{assert_right, client, close, completion, small_site, until_done, verdict};
 
-/// Callers ask any VM for any adapter, streamed or not, and get the right and whole answer; more
-/// adapters are asked for than the engines have slots, so that loads and evictions come in between.
+/// Any VM serves any adapter, streamed or not, with the right and complete answer. More adapters are
+/// requested than the engines have slots, so that loads and evictions occur.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_adapter() {
     let site = small_site(false).await;
     for adapter in [0, 2, 4, 6, 0, 4] {
         for vm in 0..3 {
-            let asked = CompletionAsk { stream: vm != 1, ..ask(adapter, "chiller 7") };
-            until_done(&client(&site, vm), &asked).await;
+            let request = CompletionAsk { stream: vm != 1, ..completion(adapter, "chiller 7") };
+            until_done(&client(&site, vm), &request).await;
         }
     }
     close(site).await;
 }
 
-/// The time in which VMs that are ready have heard of each other: some probes.
-const HEARD_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which VMs that are ready know each other, which takes a few probes.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A caller asks a VM for all VMs and all models. A site comes up as soon as each VM is ready, which one may be
-/// before it has heard of the others.
+/// A VM lists all VMs and the customer's models. A VM may be ready before it knows all others, so the
+/// list is polled.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_and_models() {
     let site = small_site(true).await;
@@ -33,7 +33,8 @@
     let begun = Instant::now();
     let entries = loop {
         let entries = caller.json(Method::GET, "/v1/entries", None).await.unwrap();
-        if entries["entries"].as_array().unwrap().len() == 3 || begun.elapsed() > HEARD_WITHIN {
+        if entries["entries"].as_array().unwrap().len() == 3 || begun.elapsed() > DISCOVERY_TIMEOUT
+        {
             break entries;
         }
         sleep(Duration::from_millis(20)).await;
@@ -45,15 +46,15 @@
     close(site).await;
 }
 
-/// A request names an adapter or version that does not exist, or one of another tenant.
+/// Requests for an unknown adapter version or for an adapter of another customer are refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn wrong_names() {
     let site = small_site(true).await;
     let caller = client(&site, 2);
-    let unknown = CompletionAsk { model: "adapter-00000@9".into(), ..ask(0, "x") };
+    let unknown = CompletionAsk { model: "adapter-00000@9".into(), ..completion(0, "x") };
     let failure = caller.complete(&unknown).await.unwrap_err();
     assert_eq!(verdict(&failure), ("not_run", "unknown_adapter"));
-    let failure = caller.complete(&ask(1, "x")).await.unwrap_err();
+    let failure = caller.complete(&completion(1, "x")).await.unwrap_err();
     assert_eq!(verdict(&failure), ("not_run", "not_allowed"));
     close(site).await;
 }
@@ -72,7 +73,7 @@
     close(site).await;
 }
 
-/// Sixty streams at once through one VM: none loses a token.
+/// Sixty concurrent streams through one VM lose no token.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_streams() {
     let site = small_site(true).await;
@@ -80,9 +81,9 @@
     let runs = (0..60).map(|number| {
         let caller = caller.clone();
         tokio::spawn(async move {
-            let asked = ask(2 * (number % 3), &format!("hall {number}"));
-            let read = caller.complete(&asked).await.unwrap();
-            assert_right(&asked, &read);
+            let request = completion(2 * (number % 3), &format!("hall {number}"));
+            let read = caller.complete(&request).await.unwrap();
+            assert_right(&request, &read);
         })
     });
     for run in runs.collect::<Vec<_>>() {
