--- a/entry/src/admit.rs
+++ b/entry/src/admit.rs
@@ -12,7 +12,7 @@
 
 /// Retry delay returned by a VM that shuts down or is full; short, since another VM can take the
 /// request.
-const ELSEWHERE_RETRY_MS: u64 = 100;
+const OTHER_VM_RETRY_MS: u64 = 100;
 /// Retry delay returned by a VM that is not ready.
 const NOT_READY_RETRY_MS: u64 = 1_000;
 /// Retry delay returned when the right to run a keyed request was not obtained.
@@ -41,7 +41,7 @@
             RefusalReason::Leaving => "this VM shuts down",
             _ => "this VM has too many requests in progress",
         };
-        (reason, ELSEWHERE_RETRY_MS, detail)
+        (reason, OTHER_VM_RETRY_MS, detail)
     })?;
     core.ready().map_err(|why| (RefusalReason::NotReady, NOT_READY_RETRY_MS, why))?;
     core.limits.admit(core.clock.now(), tenant.as_str()).map_err(|refusal| {
--- a/entry/src/claims.rs
+++ b/entry/src/claims.rs
@@ -92,7 +92,7 @@
         None => Ok(start),
     };
     core.metrics.set.count_claim(claim_label(&start, issued));
-    settle(core, request, start?).await
+    resolve_start(core, request, start?).await
 }
 
 /// Returns the metrics label of a claim's end. `issued` keys run without a claim in the log.
@@ -158,7 +158,7 @@
     }
 }
 
-async fn settle(
+async fn resolve_start(
     core: &Arc<EntryCore>,
     request: &KeyedRequest<'_>,
     start: ClaimStart,
--- a/entry/src/faces.rs
+++ b/entry/src/faces.rs
@@ -46,8 +46,8 @@
         let mut entries = live_entries(&self.core);
         let domain = &self.core.settings.domain;
         entries.sort_by(|left, right| {
-            let far = |entry: &EntryAddress| entry.domain != *domain;
-            far(left).cmp(&far(right)).then_with(|| left.vm.cmp(&right.vm))
+            let other_domain = |entry: &EntryAddress| entry.domain != *domain;
+            other_domain(left).cmp(&other_domain(right)).then_with(|| left.vm.cmp(&right.vm))
         });
         let mut claims = lock(&self.core.claims);
         let keys = (0..KEYS_PER_LIST).map(|_| claims.issue()).collect();
--- a/entry/src/gate.rs
+++ b/entry/src/gate.rs
@@ -22,7 +22,7 @@
 }
 
 impl RequestGate {
-    /// Creates a gate for at most `most` concurrent requests.
+    /// Creates a gate for at most `max_requests` concurrent requests.
     pub(crate) fn new(max_requests: usize) -> Self {
         Self {
             max_requests,
@@ -64,7 +64,7 @@
     }
 
     /// Waits until no request is in flight.
-    pub(crate) async fn emptied(&self) {
+    pub(crate) async fn wait_empty(&self) {
         loop {
             let notified = self.empty.notified();
             if self.active() == 0 {
--- a/entry/src/hold.rs
+++ b/entry/src/hold.rs
@@ -14,6 +14,7 @@
 
 /// Attempts to cancel a run at its engine before the run counts as broken.
 const CANCEL_ATTEMPTS: u32 = 5;
+/// Wait between two attempts to cancel.
 const CANCEL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Holds a grant from its arrival to its release.
@@ -84,7 +85,7 @@
     }
 
     /// Records that the request is about to be sent.
-    pub(crate) fn sending(&mut self) {
+    pub(crate) fn mark_sent(&mut self) {
         self.sent = true;
     }
 
--- a/entry/src/jobs.rs
+++ b/entry/src/jobs.rs
@@ -33,9 +33,13 @@
 const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest time between two plans of the job runner; a record of the stream triggers one earlier.
 const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(500);
+/// Shortest time between two plans, so that many records cause few plans.
 const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(20);
+/// Retry delay returned when the log or the configuration does not allow the call now.
 const LOG_RETRY_MS: u64 = 2_000;
+/// Retry delay returned when the limit of stored jobs is reached.
 const FULL_RETRY_MS: u64 = 30_000;
+/// Retry delay returned for the result of an unfinished job.
 const UNFINISHED_RETRY_MS: u64 = 1_000;
 const RESULT_TYPE: &str = "application/json";
 
--- a/entry/src/operate.rs
+++ b/entry/src/operate.rs
@@ -242,7 +242,7 @@
     }
 }
 
-/// Appends a control record and waits until `there` holds in the fold.
+/// Appends a control record and waits until `applied` holds in the fold.
 async fn write_control(
     core: &Arc<EntryCore>,
     record: &ControlRecord,
--- a/entry/src/peers.rs
+++ b/entry/src/peers.rs
@@ -16,7 +16,7 @@
 use crate::follow::FollowedStream;
 use crate::held::lock;
 use crate::own::{answer_held, not_owner};
-use crate::release::take_release;
+use crate::release::apply_release;
 use crate::roster::{RosterDriver, answer_catch_up};
 
 /// Serves requests of other VMs from the shared state.
@@ -52,7 +52,7 @@
 
     async fn release(&self, calls: Vec<ReleaseCall>) {
         for call in calls {
-            take_release(&self.core, call);
+            apply_release(&self.core, call);
         }
     }
 
--- a/entry/src/process.rs
+++ b/entry/src/process.rs
@@ -116,24 +116,24 @@
         let keys = crate::tls::EntryKeys::load(&settings)?;
         let (core, receiver) = build_core(settings, keys.peer_client.clone())?;
         let roster = Arc::new(RosterDriver::new(Arc::clone(&core)));
-        let face = PeerInterface { core: Arc::clone(&core), roster: Arc::clone(&roster) };
+        let handler = PeerInterface { core: Arc::clone(&core), roster: Arc::clone(&roster) };
         let peer = PeerServer::start(
             core.settings.peer_settings(),
-            Arc::new(face),
+            Arc::new(handler),
             keys.peer_server.clone(),
         )
         .context(PeerSnafu)?;
         let caller = CallerServer::start(
             core.settings.caller_settings(),
             Arc::new(CallerInterface { core: Arc::clone(&core) }),
-            keys.face()?,
+            keys.interface()?,
         )
         .context(CallerSnafu)?;
         let operator = OperatorServer::start(
             &core.settings.operator,
             Arc::new(OperatorInterface { core: Arc::clone(&core) }),
             Arc::clone(&tokens) as Arc<dyn OperatorAuth>,
-            keys.face()?,
+            keys.interface()?,
         )
         .context(OperatorSnafu)?;
         roster.begin(caller.address(), peer.address());
@@ -204,7 +204,7 @@
         core.gate.close();
         self.roster.drive(MemberEvent::Leave);
         let limit = Duration::from_millis(core.settings.shutdown_ms);
-        let emptied = timeout(limit, core.gate.emptied()).await.is_ok();
+        let emptied = timeout(limit, core.gate.wait_empty()).await.is_ok();
         core.check(InvariantName::ShutdownCutsNothing, emptied, || {
             format!("{} requests were running at the end", core.gate.active())
         });
@@ -236,8 +236,8 @@
     let until = Instant::now() + HAND_OVER_TIMEOUT;
     while Instant::now() < until {
         let alone = lock(&core.members).live().next().is_none();
-        let handed = read(&core.owners).is_empty() || alone;
-        if handed && core.held.len() == 0 {
+        let taken_over = read(&core.owners).is_empty() || alone;
+        if taken_over && core.held.len() == 0 {
             return;
         }
         sleep(HAND_OVER_POLL_INTERVAL).await;
--- a/entry/src/release.rs
+++ b/entry/src/release.rs
@@ -87,7 +87,7 @@
         let part = owned.split_off(start).into_iter().map(|(_, pending)| pending).collect();
         let (core, queue) = (Arc::clone(core), core.releases.clone());
         tokio::spawn(async move {
-            let refused = hand_over(&core, owner, part).await;
+            let refused = send_releases(&core, owner, part).await;
             if !refused.is_empty() {
                 sleep(RETRY_INTERVAL).await;
                 queue.requeue(refused);
@@ -103,7 +103,7 @@
 }
 
 /// Delivers releases to `owner` and returns those that were not delivered.
-async fn hand_over(
+async fn send_releases(
     core: &Arc<EntryCore>,
     owner: Option<VmName>,
     part: Vec<PendingRelease>,
@@ -111,7 +111,7 @@
     let Some(owner) = owner else { return part };
     if owner == core.me.vm {
         for pending in part {
-            take_release(core, pending.call);
+            apply_release(core, pending.call);
         }
         return Vec::new();
     }
@@ -125,7 +125,7 @@
 
 /// Passes a release to the group's owner on this VM. If this VM does not own the group the release is
 /// dropped.
-pub(crate) fn take_release(core: &Arc<EntryCore>, call: ReleaseCall) {
+pub(crate) fn apply_release(core: &Arc<EntryCore>, call: ReleaseCall) {
     if let Some(shard) = core.shard(call.grant.group.as_str()) {
         shard.drive(core, OwnerEvent::Release(call));
     }
--- a/entry/src/roster.rs
+++ b/entry/src/roster.rs
@@ -144,10 +144,11 @@
 
     fn send(self: &Arc<Self>, target: PeerTarget, message: ProbeMessage, factor: u32) {
         let driver = Arc::clone(self);
-        let within = Duration::from_millis(self.core.settings.probe_ms) * factor;
+        let probe_timeout = Duration::from_millis(self.core.settings.probe_ms) * factor;
         tokio::spawn(async move {
             let number = message.number;
-            let event = match driver.core.clients.peers.probe(&target, message, within).await {
+            let event = match driver.core.clients.peers.probe(&target, message, probe_timeout).await
+            {
                 Ok(reply) => {
                     driver.core.health.peer_answered(driver.core.clock.now());
                     MemberEvent::Reply(reply)
@@ -253,7 +254,7 @@
     let mut rng = Pcg64::seed_from_u64(core.me.incarnation.0.rotate_left(17));
     while !core.closing.is_cancelled() {
         sleep(CATCH_UP_INTERVAL).await;
-        let Some(target) = better_informed(&core, &mut rng) else { continue };
+        let Some(target) = catch_up_source(&core, &mut rng) else { continue };
         let call = CatchUpCall {
             config: core.view().version,
             control_through: read(&core.control).next(),
@@ -269,7 +270,7 @@
 
 /// Returns a random VM that reports newer state than this one, or any live VM while this VM's state
 /// is incomplete. `None` if the state is complete and the log readable, or there is no such VM.
-fn better_informed(core: &EntryCore, rng: &mut Pcg64) -> Option<PeerTarget> {
+fn catch_up_source(core: &EntryCore, rng: &mut Pcg64) -> Option<PeerTarget> {
     let now = core.clock.now();
     let config = core.view().version;
     let (control, whole) = {
--- a/entry/src/serve.rs
+++ b/entry/src/serve.rs
@@ -48,7 +48,7 @@
     pub(crate) core: Arc<EntryCore>,
     pub(crate) call: CompletionCall,
     pub(crate) adapter: AdapterVersion,
-    pub(crate) begun: TimePoint,
+    pub(crate) started_at: TimePoint,
     pub(crate) deadline: CallDeadline,
     pub(crate) server: Option<ServerName>,
     pub(crate) tokens: u32,
@@ -72,7 +72,7 @@
 
 impl FailedAttempt {
     /// Waits until the owner knows how the attempt ended, at most [`RELEASE_WAIT`].
-    pub(crate) async fn settle(&mut self) {
+    pub(crate) async fn wait_released(&mut self) {
         if let Some(released) = self.released.take() {
             let _ = timeout(RELEASE_WAIT, released).await;
         }
@@ -103,7 +103,7 @@
 /// Admits a request and starts its trace and metrics.
 fn begin(core: &Arc<EntryCore>, call: CompletionCall) -> Result<RequestRun, CallProblem> {
     let pass = admit::admit(core, &call.tenant, call.class)?;
-    let begun = core.clock.now();
+    let started_at = core.clock.now();
     let view = core.view();
     let deadline_ms = call.deadline_ms.unwrap_or_else(|| view.class(call.class).deadline_ms);
     let adapter = AdapterVersion {
@@ -116,12 +116,12 @@
         call.class.as_str(),
         call.repeatable
     );
-    core.traces.begin(&call.request_id, begun, detail);
+    core.traces.begin(&call.request_id, started_at, detail);
     Ok(RequestRun {
         core: Arc::clone(core),
         adapter,
-        begun,
-        deadline: CallDeadline::after(begun, Some(deadline_ms)),
+        started_at,
+        deadline: CallDeadline::after(started_at, Some(deadline_ms)),
         server: None,
         tokens: 0,
         metrics: core.metrics.set.request(call.tenant.as_str(), call.class),
@@ -201,8 +201,8 @@
 
     /// Records the final outcome for the caller's resends, the metrics and the log.
     pub(crate) fn end(&mut self, outcome: RequestOutcome) {
-        let kept = outcome != RequestOutcome::NotRun || !self.may_have_run;
-        self.core.check(InvariantName::NotRunDidNotRun, kept, || {
+        let holds = outcome != RequestOutcome::NotRun || !self.may_have_run;
+        self.core.check(InvariantName::NotRunDidNotRun, holds, || {
             format!("{} was sent but is reported as not run", self.call.request_id)
         });
         self.outcome = Some(outcome);
@@ -226,7 +226,7 @@
     fn drop(&mut self) {
         // Without a recorded outcome the caller disconnected before the end.
         let outcome = self.outcome.unwrap_or(RequestOutcome::Unknown);
-        let took_ms = self.core.clock.now().since(self.begun) / MICROS_PER_MILLI;
+        let took_ms = self.core.clock.now().since(self.started_at) / MICROS_PER_MILLI;
         self.step(StepKind::Ended, format!("outcome={}", outcome.as_str()));
         self.core.metrics.set.count_request(self.call.tenant.as_str(), self.call.class, outcome);
         self.metrics.ended(seconds(took_ms));
@@ -280,7 +280,7 @@
                     stage = stage
                 );
                 run.step(StepKind::Retried, format!("stage={stage} {}", failed.problem.detail));
-                failed.settle().await;
+                failed.wait_released().await;
                 spec.avoid.extend(failed.server);
                 sleep(pause).await;
                 pause *= RETRY_DELAY_FACTOR;
@@ -442,7 +442,7 @@
         let problem = not_run(RefusalReason::NotOwner, "the grant expired or its owner changed");
         return Err(FailedAttempt::new(CallStage::GrantVoid, problem));
     }
-    hold.sending();
+    hold.mark_sent();
     let answer = match core.clients.engines.run(hold.address, call).await {
         Ok(answer) => answer,
         Err(error) => {
@@ -473,39 +473,40 @@
     if run.call.stream != answer.content_type.starts_with(STREAM_TYPE) {
         hold.end(GrantEnd::Broken, 0);
         let problem =
-            broken("the answer's content type does not match the requested streaming mode");
+            answer_lost("the answer's content type does not match the requested streaming mode");
         return Err(FailedAttempt::new(CallStage::AnswerCrossed, problem));
     }
     let mut whole = Vec::new();
     loop {
-        let piece = match answer.body.next().await {
-            Some(Ok(piece)) => piece,
+        let chunk = match answer.body.next().await {
+            Some(Ok(chunk)) => chunk,
             Some(Err(error)) => return Err(failed_run(&mut hold, &RunError::from(error))),
             None if run.call.stream => {
                 hold.end(GrantEnd::Broken, 0);
-                let problem = broken("the answer ended without its end mark");
+                let problem = answer_lost("the answer ended without its end mark");
                 return Err(FailedAttempt::new(CallStage::AnswerCut, problem));
             }
             None => break,
         };
         if run.call.stream {
-            let first = filter.push(&piece).map_err(|error| crossed(&core, &mut hold, &error))?;
+            let first =
+                filter.push(&chunk).map_err(|error| invalid_answer(&core, &mut hold, &error))?;
             if !first.is_empty() {
-                run.metrics.first_token(micro_seconds(core.clock.now().since(run.begun)));
+                run.metrics.first_token(micro_seconds(core.clock.now().since(run.started_at)));
                 run.step(StepKind::FirstByte, String::new());
                 return Ok((hold, answer, first));
             }
         } else {
-            whole.extend_from_slice(&piece);
+            whole.extend_from_slice(&chunk);
             if whole.len() > core.settings.answer_bytes {
                 hold.end(GrantEnd::Broken, 0);
-                let problem = broken("the answer exceeds the size limit");
+                let problem = answer_lost("the answer exceeds the size limit");
                 return Err(FailedAttempt::new(CallStage::AnswerCut, problem));
             }
         }
     }
-    let body = filter.whole(&whole).map_err(|error| crossed(&core, &mut hold, &error))?;
-    run.metrics.first_token(micro_seconds(core.clock.now().since(run.begun)));
+    let body = filter.whole(&whole).map_err(|error| invalid_answer(&core, &mut hold, &error))?;
+    run.metrics.first_token(micro_seconds(core.clock.now().since(run.started_at)));
     Ok((hold, answer, body))
 }
 
@@ -515,17 +516,17 @@
     core.check(InvariantName::RightAdapter, right, || error.to_string());
 }
 
-fn crossed(
+fn invalid_answer(
     core: &EntryCore,
     hold: &mut GrantHold,
     error: &crate::answer::AnswerError,
 ) -> FailedAttempt {
     check_right_slot(core, error);
     hold.end(GrantEnd::Broken, 0);
-    FailedAttempt::new(CallStage::AnswerCrossed, broken(&error.to_string()))
+    FailedAttempt::new(CallStage::AnswerCrossed, answer_lost(&error.to_string()))
 }
 
-fn broken(detail: &str) -> CallProblem {
+fn answer_lost(detail: &str) -> CallProblem {
     CallProblem::ended(FaceReason::AnswerLost, RequestOutcome::Unknown, detail)
 }
 
--- a/entry/src/services.rs
+++ b/entry/src/services.rs
@@ -27,7 +27,7 @@
 struct ServiceRun {
     core: Arc<EntryCore>,
     call: ServiceCall,
-    begun: coltsfoothook_decision::id::TimePoint,
+    started_at: coltsfoothook_decision::id::TimePoint,
     repeatable: bool,
     deadline: CallDeadline,
     key: Option<RunningKey>,
@@ -55,7 +55,7 @@
         let outcome = self.outcome.unwrap_or(RequestOutcome::Unknown);
         let (class, tenant) = (self.call.class, self.call.tenant.as_str());
         self.core.metrics.set.count_request(tenant, class, outcome);
-        let took_ms = self.core.clock.now().since(self.begun) / MICROS_PER_MILLI;
+        let took_ms = self.core.clock.now().since(self.started_at) / MICROS_PER_MILLI;
         let detail = format!("outcome={}", outcome.as_str());
         let now = self.core.clock.now();
         self.core.traces.step(&self.call.request_id, now, StepKind::Ended, detail);
@@ -79,16 +79,16 @@
     call: ServiceCall,
 ) -> Result<ServiceAnswer, CallProblem> {
     let pass = admit::admit(core, &call.tenant, call.class)?;
-    let begun = core.clock.now();
+    let started_at = core.clock.now();
     let repeatable = check_service(core, &call)?;
     let deadline_ms = call.deadline_ms.unwrap_or_else(|| core.view().class(call.class).deadline_ms);
     let detail = format!("tenant={} service={}", call.tenant, call.service);
-    core.traces.begin(&call.request_id, begun, detail);
+    core.traces.begin(&call.request_id, started_at, detail);
     let mut run = ServiceRun {
         core: Arc::clone(core),
-        begun,
+        started_at,
         repeatable,
-        deadline: CallDeadline::after(begun, Some(deadline_ms)),
+        deadline: CallDeadline::after(started_at, Some(deadline_ms)),
         key: None,
         outcome: None,
         server: None,
@@ -144,7 +144,7 @@
         run.server = Some(server.0.clone());
         let sent = sent_call(&run);
         let error = match core.clients.services.call(server.1, sent).await {
-            Ok(answer) => return Ok(pass_on(run, answer)),
+            Ok(answer) => return Ok(forward(run, answer)),
             Err(error) => error,
         };
         let (stage, reason) = stage_of(&error);
@@ -188,8 +188,8 @@
     if servers.is_empty() {
         return None;
     }
-    let turn = run.core.request_numbers.fetch_add(1, Ordering::Relaxed) as usize;
-    let entry = servers[turn % servers.len()];
+    let rotation = run.core.request_numbers.fetch_add(1, Ordering::Relaxed) as usize;
+    let entry = servers[rotation % servers.len()];
     Some((entry.name.clone(), entry.address))
 }
 
@@ -212,14 +212,14 @@
 }
 
 /// Forwards the answer as a stream. The outcome is final only when the last part was read.
-fn pass_on(mut run: ServiceRun, answer: coltsfoothook_service::ServiceAnswer) -> ServiceAnswer {
+fn forward(mut run: ServiceRun, answer: coltsfoothook_service::ServiceAnswer) -> ServiceAnswer {
     let coltsfoothook_service::ServiceAnswer { status, headers, body } = answer;
     // The call ran, also if the service answered with an error; its outcome is unknown until the end.
     run.end(RequestOutcome::Unknown);
-    let pieces = futures::stream::unfold(Some((run, body)), move |state| async move {
+    let chunks = futures::stream::unfold(Some((run, body)), move |state| async move {
         let (mut run, mut body) = state?;
         match body.next().await {
-            Some(Ok(piece)) => Some((Ok(piece), Some((run, body)))),
+            Some(Ok(chunk)) => Some((Ok(chunk), Some((run, body)))),
             Some(Err(error)) => {
                 let outcome = RequestOutcome::Unknown;
                 let reason = FaceReason::AnswerLost;
@@ -231,7 +231,7 @@
             }
         }
     });
-    ServiceAnswer { status, headers, body: AnswerBody::Stream(pieces.boxed()) }
+    ServiceAnswer { status, headers, body: AnswerBody::Stream(chunks.boxed()) }
 }
 
 /// Returns the outcome of a call whose answer was read to its end.
--- a/entry/src/settings.rs
+++ b/entry/src/settings.rs
@@ -134,12 +134,12 @@
     if !settings.keys.loopback_without_tls {
         return;
     }
-    let faces = [
+    let listeners = [
         ("caller.listen", settings.caller.listen),
         ("operator.listen", settings.operator.listen),
         ("peer.listen", settings.peer.listen),
     ];
-    for (key, address) in faces.iter().filter(|(_, address)| !address.ip().is_loopback()) {
+    for (key, address) in listeners.iter().filter(|(_, address)| !address.ip().is_loopback()) {
         let wrong = format!("{address} is not a loopback address and there is no TLS");
         faults.add(key, wrong, "a loopback address, or keys.loopback_without_tls set to false");
     }
--- a/entry/src/stream.rs
+++ b/entry/src/stream.rs
@@ -40,13 +40,13 @@
     hold: GrantHold,
     filter: AnswerFilter,
     body: AnswerBody,
-    last: TimePoint,
+    last_event_at: TimePoint,
     resumes: u32,
     continuations: u32,
 }
 
 enum StreamStep {
-    Pass(Bytes),
+    Forward(Bytes),
     End,
     Fail(CallProblem),
 }
@@ -59,8 +59,8 @@
         filter: AnswerFilter,
         body: AnswerBody,
     ) -> Self {
-        let last = run.core.clock.now();
-        Self { run, spec, hold, filter, body, last, resumes: 0, continuations: 0 }
+        let last_event_at = run.core.clock.now();
+        Self { run, spec, hold, filter, body, last_event_at, resumes: 0, continuations: 0 }
     }
 
     /// Returns the stream of events, beginning with `first`.
@@ -68,7 +68,7 @@
         let rest = stream::unfold(Some(self), |state| async move {
             let mut run = state?;
             match run.next().await {
-                StreamStep::Pass(bytes) => Some((Ok(bytes), Some(run))),
+                StreamStep::Forward(bytes) => Some((Ok(bytes), Some(run))),
                 StreamStep::Fail(problem) => Some((Err(problem), None)),
                 StreamStep::End => None,
             }
@@ -87,7 +87,7 @@
                     .fail(FaceReason::DeadlineExceeded, "the deadline passed in the answer");
             }
             let error = match self.body.next().await {
-                Some(Ok(piece)) => match self.take(&piece) {
+                Some(Ok(chunk)) => match self.take(&chunk) {
                     Some(step) => return step,
                     None => continue,
                 },
@@ -100,22 +100,22 @@
             }
             self.hold.end(GrantEnd::Broken, self.filter.tokens());
             if let Some(first) = self.continue_elsewhere(&error).await {
-                return StreamStep::Pass(first);
+                return StreamStep::Forward(first);
             }
             let detail = format!("the answer's stream broke: {error}");
             return self.fail(FaceReason::AnswerLost, &detail);
         }
     }
 
-    fn take(&mut self, piece: &[u8]) -> Option<StreamStep> {
+    fn take(&mut self, chunk: &[u8]) -> Option<StreamStep> {
         let core = Arc::clone(&self.run.core);
-        match self.filter.push(piece) {
+        match self.filter.push(chunk) {
             Ok(bytes) if bytes.is_empty() => None,
             Ok(bytes) => {
                 let now = core.clock.now();
-                self.run.metrics.next_token(micro_seconds(now.since(self.last)));
-                self.last = now;
-                Some(StreamStep::Pass(bytes))
+                self.run.metrics.next_token(micro_seconds(now.since(self.last_event_at)));
+                self.last_event_at = now;
+                Some(StreamStep::Forward(bytes))
             }
             Err(error) => {
                 check_right_slot(&core, &error);
@@ -177,7 +177,7 @@
                 }
                 Err(mut failed) => {
                     log::debug!("continuation of a stream failed: {}", failed.problem.detail);
-                    failed.settle().await;
+                    failed.wait_released().await;
                 }
             }
             sleep(CONTINUE_DELAY * self.continuations).await;
@@ -192,8 +192,8 @@
         let body = &mut self.run.call.body;
         let Some(Value::String(prompt)) = body.get_mut(PROMPT) else { return None };
         prompt.push_str(self.filter.text());
-        if let Some(most) = body.get(MAX_TOKENS).and_then(Value::as_u64) {
-            let left = most.checked_sub(u64::from(sent)).filter(|left| *left > 0)?;
+        if let Some(limit) = body.get(MAX_TOKENS).and_then(Value::as_u64) {
+            let left = limit.checked_sub(u64::from(sent)).filter(|left| *left > 0)?;
             body.insert(MAX_TOKENS.to_owned(), Value::from(left));
         }
         self.run.tokens += sent;
--- a/entry/src/tls.rs
+++ b/entry/src/tls.rs
@@ -19,7 +19,7 @@
 pub(crate) struct EntryKeys {
     pub(crate) peer_server: Option<Arc<rustls::ServerConfig>>,
     pub(crate) peer_client: Option<Arc<rustls::ClientConfig>>,
-    face: Option<Arc<TlsKeys>>,
+    interface: Option<Arc<TlsKeys>>,
     peer: Option<Arc<TlsKeys>>,
 }
 
@@ -30,24 +30,24 @@
             return Ok(Self::default());
         }
         let keys = &settings.keys;
-        let face = TlsKeys::load(face_files(keys)).map_err(refused)?;
-        let peer = TlsKeys::load(peer_files(keys)).map_err(refused)?;
+        let interface = TlsKeys::load(interface_files(keys)).map_err(key_error)?;
+        let peer = TlsKeys::load(peer_files(keys)).map_err(key_error)?;
         Ok(Self {
-            peer_server: Some(peer.mutual_server().map_err(refused)?),
-            peer_client: Some(peer.mutual_client().map_err(refused)?),
-            face: Some(face),
+            peer_server: Some(peer.mutual_server().map_err(key_error)?),
+            peer_client: Some(peer.mutual_client().map_err(key_error)?),
+            interface: Some(interface),
             peer: Some(peer),
         })
     }
 
     /// Returns the TLS configuration of the caller and operator interfaces; `None` without TLS.
-    pub(crate) fn face(&self) -> Result<Option<rustls::ServerConfig>, EntryError> {
-        self.face.as_ref().map(|keys| keys.server()).transpose().map_err(refused)
+    pub(crate) fn interface(&self) -> Result<Option<rustls::ServerConfig>, EntryError> {
+        self.interface.as_ref().map(|keys| keys.server()).transpose().map_err(key_error)
     }
 
     /// Starts tasks that reload the keys when their files change, until `closing` is cancelled.
     pub(crate) fn watch(&self, closing: &CancellationToken) {
-        for keys in [&self.face, &self.peer].into_iter().flatten() {
+        for keys in [&self.interface, &self.peer].into_iter().flatten() {
             let (keys, closing) = (Arc::clone(keys), closing.clone());
             tokio::spawn(async move {
                 tokio::select! {
@@ -59,7 +59,7 @@
     }
 }
 
-fn refused(error: KeyError) -> EntryError {
+fn key_error(error: KeyError) -> EntryError {
     EntryError::Keys { reason: error.to_string() }
 }
 
@@ -68,7 +68,7 @@
 }
 
 /// Returns the files for callers and operators. The check of the settings ensures that all are given.
-fn face_files(keys: &KeySettings) -> KeyFiles {
+fn interface_files(keys: &KeySettings) -> KeyFiles {
     KeyFiles {
         chain: keys.face_certificate.clone().unwrap_or_default(),
         key: path_of(keys.face_key.as_ref()).to_owned(),
--- a/entry/src/trace.rs
+++ b/entry/src/trace.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct RequestTrace {
     id: RequestId,
-    begun: TimePoint,
+    started_at: TimePoint,
     steps: Vec<ExplainStep>,
 }
 
@@ -32,7 +32,7 @@
     /// Begins the trace of a request and removes the oldest one if there are too many.
     pub(crate) fn begin(&self, id: &RequestId, now: TimePoint, detail: String) {
         let step = ExplainStep { at_ms: 0, kind: StepKind::Arrived, detail };
-        let trace = RequestTrace { id: id.clone(), begun: now, steps: vec![step] };
+        let trace = RequestTrace { id: id.clone(), started_at: now, steps: vec![step] };
         let mut traces = lock(&self.traces);
         if traces.len() == MAX_TRACES {
             traces.pop_front();
@@ -46,7 +46,7 @@
         // Searched from the end, where the requests in progress are.
         let Some(trace) = traces.iter_mut().rev().find(|trace| trace.id == *id) else { return };
         if trace.steps.len() < MAX_STEPS {
-            let at_ms = millis(now.since(trace.begun));
+            let at_ms = millis(now.since(trace.started_at));
             trace.steps.push(ExplainStep { at_ms, kind, detail });
         }
     }
--- a/entry/src/write.rs
+++ b/entry/src/write.rs
@@ -75,10 +75,15 @@
         Self { sender }
     }
 
-    /// Appends a record, with retries for `within`.
-    pub(crate) async fn append(&self, data: String, within: Duration) -> Result<(), WriteError> {
+    /// Appends a record, with retries for `time_limit`.
+    pub(crate) async fn append(
+        &self,
+        data: String,
+        time_limit: Duration,
+    ) -> Result<(), WriteError> {
         let (answer, answered) = oneshot::channel();
-        let item = WriteItem { data, until: Instant::now() + within, unconfirmed: false, answer };
+        let item =
+            WriteItem { data, until: Instant::now() + time_limit, unconfirmed: false, answer };
         if self.sender.try_send(item).is_err() {
             let cause = "too many records wait for the log".to_owned();
             return Err(WriteError::NotAppended { cause });
