--- a/entry/src/answer.rs
+++ b/entry/src/answer.rs
@@ -44,8 +44,8 @@
 }
 
 impl AnswerFilter {
-    /// Creates a filter for an answer of `slot`. The caller sees `model_name` as the model and `id` as the
-    /// answer's id, which stays the same when another engine continues the answer.
+    /// Creates a filter for an answer of `slot`. The caller sees `model_name` as the model and
+    /// `id` as the answer's id, which stays the same when another engine continues the answer.
     pub(crate) fn new(slot: &str, model_name: &str, id: &str) -> Self {
         Self {
             slot: slot.to_owned(),
--- a/entry/src/claims.rs
+++ b/entry/src/claims.rs
@@ -75,8 +75,8 @@
         wall_ms: wall_ms(),
         log_up: core.health.writable(now),
     };
-    // The waiter is registered under the claim table's lock, so that it exists before the claim can
-    // be read back.
+    // The waiter is registered under the claim table's lock, so that it exists before the claim
+    // can be read back.
     let (start, answered) = {
         let mut claims = lock(&core.claims);
         let start = claims.begin(now, &ask);
--- a/entry/src/clock.rs
+++ b/entry/src/clock.rs
@@ -6,8 +6,8 @@
 
 /// The monotonic clock used for decisions.
 ///
-/// Wall clocks of VMs differ and jump, so decisions do not compare them. Wall times are used only in
-/// records whose windows are hours long.
+/// Wall clocks of VMs differ and jump, so decisions do not compare them. Wall times are used only
+/// in records whose windows are hours long.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessClock {
     start: Instant,
--- a/entry/src/core.rs
+++ b/entry/src/core.rs
@@ -64,8 +64,8 @@
 
 /// The shared state of the process.
 ///
-/// Each field has its own lock. No lock is held across an await, and no two are held at once except
-/// `members` and then `control`.
+/// Each field has its own lock. No lock is held across an await, and no two are held at once
+/// except `members` and then `control`.
 pub(crate) struct EntryCore {
     pub(crate) settings: EntrySettings,
     pub(crate) me: VmIdentity,
--- a/entry/src/faces.rs
+++ b/entry/src/faces.rs
@@ -120,7 +120,8 @@
         .collect()
 }
 
-/// Returns one page of the adapter versions that `tenant` may use, in order of adapter and version.
+/// Returns one page of the adapter versions that `tenant` may use, in order of adapter and
+/// version.
 fn model_page(core: &EntryCore, tenant: &str, query: &ModelQuery) -> ModelPage {
     let view = core.view();
     let adapters = &view.manifest.adapters;
--- a/entry/src/gate.rs
+++ b/entry/src/gate.rs
@@ -6,7 +6,8 @@
 use coltsfoothook_decision::outcome::RefusalReason;
 use tokio::sync::Notify;
 
-/// Admits requests up to a bound until the shutdown begins, and signals when the last one has ended.
+/// Admits requests up to a bound until the shutdown begins, and signals when the last one has
+/// ended.
 #[derive(Debug)]
 pub(crate) struct RequestGate {
     max_requests: usize,
--- a/entry/src/health.rs
+++ b/entry/src/health.rs
@@ -61,8 +61,8 @@
         self.snapshot_of(stream).fetch_max(through, Ordering::Relaxed);
     }
 
-    /// Returns the offset before which the newest snapshot read covers the state; `None` if none was
-    /// read.
+    /// Returns the offset before which the newest snapshot read covers the state; `None` if none
+    /// was read.
     pub(crate) fn snapshot(&self, stream: &str) -> Option<u64> {
         let through = self.snapshot_of(stream).load(Ordering::Relaxed);
         (through > 0).then_some(through)
--- a/entry/src/held.rs
+++ b/entry/src/held.rs
@@ -1,7 +1,7 @@
 //! Register of the grants that this VM holds.
 //!
-//! A new owner of a group does not know the grants of its predecessor. It queries every VM and evicts
-//! no inherited slot before all have answered from this register.
+//! A new owner of a group does not know the grants of its predecessor. It queries every VM and
+//! evicts no inherited slot before all have answered from this register.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Returns the held grants of `group` from epochs before `epoch`, which a new owner must respect.
+    /// Returns the held grants of `group` from epochs before `epoch`, which a new owner must
+    /// respect.
     pub(crate) fn before(&self, group: &str, epoch: OwnerEpoch) -> Vec<HeldGrant> {
         let mut found = Vec::new();
         for shard in &self.shards {
--- a/entry/src/hold.rs
+++ b/entry/src/hold.rs
@@ -60,11 +60,12 @@
         }
     }
 
-    /// Releases the grant now. The receiver resolves once the owner has the release or it was dropped.
+    /// Releases the grant now. The receiver resolves once the owner has the release or it was
+    /// dropped.
     ///
     /// A request whose engine failed waits for this before its next attempt. Until the owner knows
-    /// which runs failed it cannot place suspects apart, and a poison request could run next to the
-    /// same requests on its second server.
+    /// which runs failed it cannot place suspects apart, and a poison request could run next to
+    /// the same requests on its second server.
     pub(crate) fn give_back(&mut self) -> oneshot::Receiver<()> {
         let (delivered, receiver) = oneshot::channel();
         if !std::mem::replace(&mut self.given_back, true) {
@@ -126,8 +127,8 @@
     }
 }
 
-/// Cancels a run and then releases its grant. An engine that refuses the connection is down and its
-/// runs have ended, so the release is not delayed by further attempts.
+/// Cancels a run and then releases its grant. An engine that refuses the connection is down and
+/// its runs have ended, so the release is not delayed by further attempts.
 async fn cancel_run(
     core: Arc<EntryCore>,
     address: SocketAddr,
--- a/entry/src/jobs.rs
+++ b/entry/src/jobs.rs
@@ -256,8 +256,8 @@
     fold.row(tenant.as_str(), job.as_str()).map(status_of).ok_or_else(|| unknown_job(core, job))
 }
 
-/// Refuses until the job stream was read to its end. Before that this VM does not know all jobs, nor
-/// which result of a job is the first.
+/// Refuses until the job stream was read to its end. Before that this VM does not know all jobs,
+/// nor which result of a job is the first.
 fn check_caught_up(core: &EntryCore) -> Result<(), CallProblem> {
     if lock(&core.jobs.fold).is_caught_up() {
         return Ok(());
--- a/entry/src/operate.rs
+++ b/entry/src/operate.rs
@@ -36,8 +36,8 @@
 /// Interval at which the files with operators' tokens are read again.
 const TOKEN_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Hashes of the operators' tokens. Customers' credentials are in a separate table, so they grant no
-/// access to the operator interface.
+/// Hashes of the operators' tokens. Customers' credentials are in a separate table, so they grant
+/// no access to the operator interface.
 pub(crate) struct OperatorTokens {
     files: Vec<SecretFile>,
     table: RwLock<CredentialTable<()>>,
--- a/entry/src/own.rs
+++ b/entry/src/own.rs
@@ -74,8 +74,9 @@
 impl OwnerShard {
     /// Passes an event to the owner and performs its actions.
     ///
-    /// Events that arrive after the shard has ended, such as the end of an order or a withdrawal, are
-    /// ignored: a deposed owner that acted on them could evict slots that its successor has granted.
+    /// Events that arrive after the shard has ended, such as the end of an order or a withdrawal,
+    /// are ignored: a deposed owner that acted on them could evict slots that its successor has
+    /// granted.
     pub(crate) fn drive(self: &Arc<Self>, core: &Arc<EntryCore>, event: OwnerEvent) {
         if self.ended.is_cancelled() {
             return;
@@ -260,9 +261,9 @@
         }
     }
 
-    /// Answers for a dead VM whose process has ended: it holds no grants. Without this the slots of
-    /// the previous owner could not be evicted until the zombie window has passed, which would delay
-    /// loads by two minutes after a crash.
+    /// Answers for a dead VM whose process has ended: it holds no grants. Without this the slots
+    /// of the previous owner could not be evicted until the zombie window has passed, which would
+    /// delay loads by two minutes after a crash.
     async fn report_if_ended(self: &Arc<Self>, core: &Arc<EntryCore>, target: &PeerTarget) {
         let dead = {
             let members = lock(&core.members);
@@ -431,7 +432,8 @@
     }
 }
 
-/// Ends a shard. Its waiting requests are refused with `NotOwner`, since their senders are dropped.
+/// Ends a shard. Its waiting requests are refused with `NotOwner`, since their senders are
+/// dropped.
 fn end_shard(shard: &OwnerShard) {
     shard.ended.cancel();
     lock(&shard.state).waiting.clear();
@@ -548,8 +550,8 @@
     };
     let result = order_result(&sent);
     if matches!(sent, Err(OrderError::OrderNotSent { .. })) {
-        // An engine that refuses connections is down. Until its next reports failed, the owner would
-        // keep sending it loads.
+        // An engine that refuses connections is down. Until its next reports failed, the owner
+        // would keep sending it loads.
         shard.drive(core, OwnerEvent::ReportFailed { server: server.into() });
     }
     if let Err(error) = sent {
--- a/entry/src/process.rs
+++ b/entry/src/process.rs
@@ -104,8 +104,8 @@
 }
 
 impl EntryProcess {
-    /// Starts a process and returns when its listeners are bound. It takes work once a configuration
-    /// and the ownership state are known, see [`EntryProcess::ready`].
+    /// Starts a process and returns when its listeners are bound. It takes work once a
+    /// configuration and the ownership state are known, see [`EntryProcess::ready`].
     ///
     /// # Errors
     ///
--- a/entry/src/release.rs
+++ b/entry/src/release.rs
@@ -1,7 +1,7 @@
 //! Delivers releases of grants to the owners of their groups, in batches and with retries.
 //!
-//! A lost release would pin its slot until this VM is removed. Each retry goes to the group's current
-//! owner: a new owner knows the grant from this VM's answer to its query for held grants.
+//! A lost release would pin its slot until this VM is removed. Each retry goes to the group's
+//! current owner: a new owner knows the grant from this VM's answer to its query for held grants.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,8 +38,8 @@
 }
 
 impl ReleaseQueue {
-    /// Creates the sending side and the receiver for [`run_releases`]. The channel is unbounded: it
-    /// holds one small entry per ended request, and admission bounds the requests.
+    /// Creates the sending side and the receiver for [`run_releases`]. The channel is unbounded:
+    /// it holds one small entry per ended request, and admission bounds the requests.
     pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<PendingRelease>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Self { sender }, receiver)
@@ -75,8 +75,8 @@
     }
 }
 
-/// Sends each owner its part of the batch. Each release's owner is read once, since a takeover that
-/// is folded during the sort would make the order inconsistent.
+/// Sends each owner its part of the batch. Each release's owner is read once, since a takeover
+/// that is folded during the sort would make the order inconsistent.
 fn deliver(core: &Arc<EntryCore>, batch: Vec<PendingRelease>) {
     let with_owner = |pending| (owner_of(core, &pending), pending);
     let mut owned: Vec<_> = batch.into_iter().map(with_owner).collect();
@@ -123,8 +123,8 @@
     }
 }
 
-/// Passes a release to the group's owner on this VM. If this VM does not own the group the release is
-/// dropped.
+/// Passes a release to the group's owner on this VM. If this VM does not own the group the release
+/// is dropped.
 pub(crate) fn apply_release(core: &Arc<EntryCore>, call: ReleaseCall) {
     if let Some(shard) = core.shard(call.grant.group.as_str()) {
         shard.drive(core, OwnerEvent::Release(call));
--- a/entry/src/reserve.rs
+++ b/entry/src/reserve.rs
@@ -21,14 +21,15 @@
 use crate::held::lock;
 use crate::own::{floor, slot_adapter};
 
-/// How long a request waits for a reachable owner. A takeover is read within 5 s while the log is up.
+/// How long a request waits for a reachable owner. A takeover is read within 5 s while the log is
+/// up.
 const OWNER_TIMEOUT_MS: u64 = 8_000;
 /// Interval at which the group's owner is checked again.
 const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum wait at an owner for a request without a deadline.
 const MAX_WAIT: Duration = Duration::from_secs(3_600);
-/// Time added to the deadline for the owner's reply: the owner refuses a request at its deadline, and
-/// that refusal confirms that the request did not run.
+/// Time added to the deadline for the owner's reply: the owner refuses a request at its deadline,
+/// and that refusal confirms that the request did not run.
 const REPLY_MARGIN: Duration = Duration::from_millis(250);
 const WITHDRAW_TIMEOUT: Duration = Duration::from_secs(2);
 /// First number of grants without an owner; an owner's numbers do not reach it.
@@ -145,8 +146,8 @@
 
 /// Returns when `owner` no longer owns the group or is considered dead.
 ///
-/// A paused VM keeps its connections open. Without this a request would wait there until its deadline
-/// although another VM has taken the group over.
+/// A paused VM keeps its connections open. Without this a request would wait there until its
+/// deadline although another VM has taken the group over.
 async fn owner_changed(core: &EntryCore, group: &GroupName, owner: &VmIdentity) {
     loop {
         sleep(OWNER_POLL_INTERVAL).await;
@@ -157,8 +158,8 @@
     }
 }
 
-/// Withdraws a request at the owner when its answer is not received, because the caller disconnected
-/// or the answer was lost. Without it an unknown grant would pin its slot.
+/// Withdraws a request at the owner when its answer is not received, because the caller
+/// disconnected or the answer was lost. Without it an unknown grant would pin its slot.
 struct WithdrawGuard {
     core: Arc<EntryCore>,
     target: PeerTarget,
@@ -184,8 +185,8 @@
     }
 }
 
-/// Returns whether a grant may be used now: it has not expired by this VM's clock, and no new owner
-/// has queried the grants of its epoch.
+/// Returns whether a grant may be used now: it has not expired by this VM's clock, and no new
+/// owner has queried the grants of its epoch.
 ///
 /// A VM that was paused finds its grant expired. Call this immediately before the request is sent;
 /// only a pause after it that exceeds the owner's zombie window remains undetected.
--- a/entry/src/roster.rs
+++ b/entry/src/roster.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Sets this VM's addresses once its listeners are bound. No probe is answered before, since the
-    /// reply would publish addresses at which nothing listens.
+    /// Sets this VM's addresses once its listeners are bound. No probe is answered before, since
+    /// the reply would publish addresses at which nothing listens.
     pub(crate) fn begin(&self, caller: SocketAddr, peer: SocketAddr) {
         let core = &self.core;
         let place = MemberPlace {
@@ -228,8 +228,8 @@
     }
 }
 
-/// Appends the takeovers that are due for this VM, until the process ends. Takes over nothing while
-/// the log is not readable or this VM shuts down.
+/// Appends the takeovers that are due for this VM, until the process ends. Takes over nothing
+/// while the log is not readable or this VM shuts down.
 pub(crate) async fn run_takeovers(core: Arc<EntryCore>) {
     let mut plan = TakeoverPlan::new(TakeoverSettings::default(), core.clock.now());
     while !core.closing.is_cancelled() {
@@ -249,7 +249,8 @@
     }
 }
 
-/// Requests from other VMs the state that this one cannot read from the log, until the process ends.
+/// Requests from other VMs the state that this one cannot read from the log, until the process
+/// ends.
 pub(crate) async fn run_catch_up(core: Arc<EntryCore>) {
     let mut rng = Pcg64::seed_from_u64(core.me.incarnation.0.rotate_left(17));
     while !core.closing.is_cancelled() {
@@ -268,8 +269,9 @@
     }
 }
 
-/// Returns a random VM that reports newer state than this one, or any live VM while this VM's state
-/// is incomplete. `None` if the state is complete and the log readable, or there is no such VM.
+/// Returns a random VM that reports newer state than this one, or any live VM while this VM's
+/// state is incomplete. `None` if the state is complete and the log readable, or there is no such
+/// VM.
 fn catch_up_source(core: &EntryCore, rng: &mut Pcg64) -> Option<PeerTarget> {
     let now = core.clock.now();
     let config = core.view().version;
--- a/entry/src/serve.rs
+++ b/entry/src/serve.rs
@@ -34,8 +34,8 @@
 use crate::reserve::{TimedGrant, reserve, usable};
 use crate::stream::AnswerRun;
 
-/// Wait before the first retry. Each further one waits [`RETRY_DELAY_FACTOR`] times as long, so that a
-/// failed engine is detected before the attempts are used up.
+/// Wait before the first retry. Each further one waits [`RETRY_DELAY_FACTOR`] times as long, so
+/// that a failed engine is detected before the attempts are used up.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 const RETRY_DELAY_FACTOR: u32 = 4;
 /// How long a retry waits until the owner knows how the previous attempt ended.
@@ -460,8 +460,9 @@
     })
 }
 
-/// Reads the first part of an answer: the first event of a stream, or the whole of an answer that is
-/// not streamed. The caller has received nothing yet, so a retry after a failure here is invisible.
+/// Reads the first part of an answer: the first event of a stream, or the whole of an answer that
+/// is not streamed. The caller has received nothing yet, so a retry after a failure here is
+/// invisible.
 async fn read_first(
     run: &mut RequestRun,
     mut hold: GrantHold,
@@ -510,7 +511,8 @@
     Ok((hold, answer, body))
 }
 
-/// Counts the invariant for an answer that is not forwarded: violated if it came from another slot.
+/// Counts the invariant for an answer that is not forwarded: violated if it came from another
+/// slot.
 pub(crate) fn check_right_slot(core: &EntryCore, error: &crate::answer::AnswerError) {
     let right = !matches!(error, crate::answer::AnswerError::WrongSlot { .. });
     core.check(InvariantName::RightAdapter, right, || error.to_string());
@@ -530,7 +532,8 @@
     CallProblem::ended(FaceReason::AnswerLost, RequestOutcome::Unknown, detail)
 }
 
-/// Maps an engine error to the stage of the failure, records the grant's end and releases the grant.
+/// Maps an engine error to the stage of the failure, records the grant's end and releases the
+/// grant.
 fn failed_run(hold: &mut GrantHold, error: &RunError) -> FailedAttempt {
     let (stage, end, reason) = match error {
         RunError::NotSent { .. }
--- a/entry/src/services.rs
+++ b/entry/src/services.rs
@@ -166,8 +166,8 @@
     }
 }
 
-/// Chooses the next server of the service in rotation, without draining ones. Prefers servers of this
-/// region and then servers that this call has not tried; `None` if there is no server.
+/// Chooses the next server of the service in rotation, without draining ones. Prefers servers of
+/// this region and then servers that this call has not tried; `None` if there is no server.
 fn choose_server(
     run: &ServiceRun,
     avoid: &[ServerName],
@@ -214,7 +214,8 @@
 /// Forwards the answer as a stream. The outcome is final only when the last part was read.
 fn forward(mut run: ServiceRun, answer: coltsfoothook_service::ServiceAnswer) -> ServiceAnswer {
     let coltsfoothook_service::ServiceAnswer { status, headers, body } = answer;
-    // The call ran, also if the service answered with an error; its outcome is unknown until the end.
+    // The call ran, also if the service answered with an error; its outcome is unknown until the
+    // end.
     run.end(RequestOutcome::Unknown);
     let chunks = futures::stream::unfold(Some((run, body)), move |state| async move {
         let (mut run, mut body) = state?;
--- a/entry/src/settings.rs
+++ b/entry/src/settings.rs
@@ -95,10 +95,11 @@
         pub stale_ms: u64 = 8_000, in 1_000..=600_000;
         /// Maximum size in bytes of an answer that is not streamed.
         pub answer_bytes: usize = 16 << 20, in 1_024..=1 << 30;
-        /// Milliseconds that a shutdown waits for running requests before it is logged as overdue and
-        /// continues.
+        /// Milliseconds that a shutdown waits for running requests before it is logged as overdue
+        /// and continues.
         pub shutdown_ms: u64 = 600_000, in 1_000..=86_400_000;
-        /// Milliseconds after which the effect of an unanswered order to an engine counts as unknown.
+        /// Milliseconds after which the effect of an unanswered order to an engine counts as
+        /// unknown.
         pub order_timeout_ms: u64 = 20_000, in 1_000..=600_000;
         /// Milliseconds for which an unreachable VM is assumed to still be able to use its grants.
         pub zombie_window_ms: u64 = 120_000, in 1_000..=3_600_000;
--- a/entry/src/stream.rs
+++ b/entry/src/stream.rs
@@ -1,5 +1,5 @@
-//! Forwards a streamed answer event by event. A broken stream is resumed at its engine, or continued
-//! at another one from the prompt and the text that was already sent.
+//! Forwards a streamed answer event by event. A broken stream is resumed at its engine, or
+//! continued at another one from the prompt and the text that was already sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -125,8 +125,8 @@
     }
 
     /// Continues reading the same run at its engine and returns whether that succeeded. The engine
-    /// identifies the run by its id and sends exactly the missing tokens, so the caller never receives
-    /// parts of two generations. A restarted engine does not know the run.
+    /// identifies the run by its id and sends exactly the missing tokens, so the caller never
+    /// receives parts of two generations. A restarted engine does not know the run.
     async fn resume(&mut self, error: &RunError) -> bool {
         if self.resumes == MAX_RESUMES {
             return false;
@@ -147,10 +147,10 @@
         }
     }
 
-    /// Runs the rest at another engine, which generates from the prompt and all text that the caller
-    /// has received, so that the whole is one consistent text. Returns the first part, or `None` on
-    /// failure. Only for repeatable requests with text prompts; a chat would need an extension of the
-    /// engine interface.
+    /// Runs the rest at another engine, which generates from the prompt and all text that the
+    /// caller has received, so that the whole is one consistent text. Returns the first part, or
+    /// `None` on failure. Only for repeatable requests with text prompts; a chat would need an
+    /// extension of the engine interface.
     async fn continue_elsewhere(&mut self, error: &RunError) -> Option<Bytes> {
         if !self.run.call.repeatable || self.run.call.kind != CompletionKind::Completions {
             return None;
--- a/entry/src/tls.rs
+++ b/entry/src/tls.rs
@@ -67,7 +67,8 @@
     file.map_or(Path::new(""), SecretFile::path)
 }
 
-/// Returns the files for callers and operators. The check of the settings ensures that all are given.
+/// Returns the files for callers and operators. The check of the settings ensures that all are
+/// given.
 fn interface_files(keys: &KeySettings) -> KeyFiles {
     KeyFiles {
         chain: keys.face_certificate.clone().unwrap_or_default(),
--- a/entry/src/trace.rs
+++ b/entry/src/trace.rs
@@ -11,8 +11,8 @@
 
 /// Maximum number of requests with a trace, of a few kilobytes each.
 const MAX_TRACES: usize = 2_000;
-/// Maximum number of steps of one request; further ones are dropped. Retries are bounded, so this is
-/// seldom reached.
+/// Maximum number of steps of one request; further ones are dropped. Retries are bounded, so this
+/// is seldom reached.
 const MAX_STEPS: usize = 48;
 
 /// Traces of the newest requests, oldest first.
--- a/entry/src/view.rs
+++ b/entry/src/view.rs
@@ -12,8 +12,8 @@
 use coltsfoothook_decision::route::GroupMap;
 use coltsfoothook_decision::takeover::TakeoverGroup;
 
-/// One version of the configuration. It is immutable and shared; a reader keeps its version while a
-/// newer one is put in force.
+/// One version of the configuration. It is immutable and shared; a reader keeps its version while
+/// a newer one is put in force.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigView {
     pub(crate) version: ConfigVersion,
@@ -45,8 +45,8 @@
         self.credentials.find(bearer)
     }
 
-    /// Resolves an adapter and version; without `version`, the default version. `None` if there is no
-    /// such version.
+    /// Resolves an adapter and version; without `version`, the default version. `None` if there is
+    /// no such version.
     pub(crate) fn adapter_version(
         &self,
         adapter: &str,
--- a/entry/src/watch.rs
+++ b/entry/src/watch.rs
@@ -1,4 +1,5 @@
-//! Timers of an owned group: engine reports, ticks, schedules, and the state of VMs and of the log.
+//! Timers of an owned group: engine reports, ticks, schedules, and the state of VMs and of the
+//! log.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,8 +17,8 @@
 use crate::held::lock;
 use crate::own::OwnerShard;
 
-/// Intervals of the owner's ticks while requests wait or adapters load, and while idle. Other events
-/// are handled without delay.
+/// Intervals of the owner's ticks while requests wait or adapters load, and while idle. Other
+/// events are handled without delay.
 const BUSY_TICK: Duration = Duration::from_millis(25);
 const IDLE_TICK: Duration = Duration::from_millis(100);
 /// Interval at which the owner receives the state of VMs and of the log.
@@ -122,12 +123,12 @@
     }
 }
 
-/// Sends this owner's fencing number to an engine that checks it, with an unload of a slot that does
-/// not exist. Returns whether the engine accepted it.
+/// Sends this owner's fencing number to an engine that checks it, with an unload of a slot that
+/// does not exist. Returns whether the engine accepted it.
 ///
 /// Until then the engine obeys a deposed owner that is not aware of its successor, and could evict
-/// slots that this owner has granted. The owner knows an engine's slots only from reports, which are
-/// not passed on before the fence is raised.
+/// slots that this owner has granted. The owner knows an engine's slots only from reports, which
+/// are not passed on before the fence is raised.
 async fn raise_fence(core: &EntryCore, shard: &OwnerShard, address: SocketAddr) -> bool {
     let slot = SlotName(format!("fence#{}", shard.epoch));
     let order = UnloadOrder { slot, fencing: shard.epoch };
--- a/entry/src/write.rs
+++ b/entry/src/write.rs
@@ -1,7 +1,7 @@
 //! Appends records to a stream of the log, in batches, with retries until the append is confirmed.
 //!
-//! Folds ignore duplicate records, so an append whose answer was lost is sent again. The writer never
-//! reorders the records of one stream.
+//! Folds ignore duplicate records, so an append whose answer was lost is sent again. The writer
+//! never reorders the records of one stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,8 +21,8 @@
 /// Size of one append: a batch is sent once it reaches either number of records or bytes.
 const BATCH_RECORDS: usize = 256;
 const BATCH_BYTES: usize = 4 << 20;
-/// How long the first record of a batch waits for others. The log takes only several hundred appends
-/// per second from all VMs.
+/// How long the first record of a batch waits for others. The log takes only several hundred
+/// appends per second from all VMs.
 const BATCH_DELAY: Duration = Duration::from_millis(2);
 /// Wait after a failed append: starts at the first value and doubles up to the second.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -134,7 +134,8 @@
                 answer_all(batch, &Err(WriteError::NotAppended { cause }));
                 return;
             }
-            // At least one record is too large; each is sent alone, so that the others are appended.
+            // At least one record is too large; each is sent alone, so that the others are
+            // appended.
             for item in batch {
                 Box::pin(write_batch(parts, vec![item])).await;
             }
@@ -160,9 +161,9 @@
     }
 }
 
-/// Reports whether the log takes appends, as far as `error` shows. A lost answer is not reported: the
-/// append may have succeeded, and with a log considered down every request that needs a claim would be
-/// refused. A log that does not answer at all fails its reads too.
+/// Reports whether the log takes appends, as far as `error` shows. A lost answer is not reported:
+/// the append may have succeeded, and with a log considered down every request that needs a claim
+/// would be refused. A log that does not answer at all fails its reads too.
 fn report_append_health(parts: &WriterParts, error: &LogError) {
     match error {
         LogError::Unavailable { .. } => (parts.health)(false),
--- a/entry/tests/suite/bench.rs
+++ b/entry/tests/suite/bench.rs
@@ -28,8 +28,8 @@
     Arc::new(SiteClient::new(process.addresses().caller, &credential(0)))
 }
 
-/// Returns a completion of the adapter with the number `adapter`; the first customer may use the even
-/// ones.
+/// Returns a completion of the adapter with the number `adapter`; the first customer may use the
+/// even ones.
 pub fn completion(adapter: usize, prompt: &str) -> CompletionAsk {
     CompletionAsk {
         model: format!("{}@{FIRST_VERSION}", adapter_name(adapter)),
@@ -81,8 +81,8 @@
     site.vms.iter().position(owns).expect("a VM owns the group")
 }
 
-/// Stops the site and asserts that no used slot was evicted, no request ran twice and no invariant was
-/// violated.
+/// Stops the site and asserts that no used slot was evicted, no request ran twice and no invariant
+/// was violated.
 pub async fn close(site: LocalSite) {
     assert_eq!(site.evicted_in_use(), 0);
     assert_eq!(site.doubled(), 0);
--- a/entry/tests/suite/caller_gone.rs
+++ b/entry/tests/suite/caller_gone.rs
@@ -5,8 +5,8 @@
 
 use crate::bench::{client, close, completion, owner, small_site, until_done, wait_until};
 
-/// Callers disconnect during their streams, at the VM that owns the engines and at another one. The
-/// engines cancel the runs, the grants are released and the slots can be evicted.
+/// Callers disconnect during their streams, at the VM that owns the engines and at another one.
+/// The engines cancel the runs, the grants are released and the slots can be evicted.
 #[tokio::test(flavor = "multi_thread")]
 async fn grants_come_back() {
     let site = small_site(true).await;
--- a/entry/tests/suite/claimed_once.rs
+++ b/entry/tests/suite/claimed_once.rs
@@ -11,8 +11,8 @@
     client(site, vm).service(Method::POST, &path, Some(body), Some(key)).await
 }
 
-/// A caller sends the same ticket to three VMs concurrently. One VM runs it, the others refuse it as
-/// claimed, and one ticket is created.
+/// A caller sends the same ticket to three VMs concurrently. One VM runs it, the others refuse it
+/// as claimed, and one ticket is created.
 #[tokio::test(flavor = "multi_thread")]
 async fn crossed_resends() {
     let site = small_site(true).await;
@@ -38,8 +38,8 @@
     close(site).await;
 }
 
-/// The log appends records but loses many answers. Each claim is read back, so no ticket is refused as
-/// if the log were down.
+/// The log appends records but loses many answers. Each claim is read back, so no ticket is
+/// refused as if the log were down.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_lost() {
     let site = small_site(true).await;
@@ -76,8 +76,8 @@
     close(site).await;
 }
 
-/// The VM that ran a ticket dies before the caller resends it to another VM. Its outcome is unknown,
-/// so it does not run again.
+/// The VM that ran a ticket dies before the caller resends it to another VM. Its outcome is
+/// unknown, so it does not run again.
 #[tokio::test(flavor = "multi_thread")]
 async fn claimer_dead() {
     let mut site = small_site(true).await;
--- a/entry/tests/suite/config_race.rs
+++ b/entry/tests/suite/config_race.rs
@@ -28,8 +28,8 @@
     close(site).await;
 }
 
-/// The log's answer to a publication is lost. The publication is read back and reported as accepted;
-/// a resend of it through another VM returns the same version.
+/// The log's answer to a publication is lost. The publication is read back and reported as
+/// accepted; a resend of it through another VM returns the same version.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer() {
     let site = small_site(true).await;
--- a/entry/tests/suite/graceful_stop.rs
+++ b/entry/tests/suite/graceful_stop.rs
@@ -5,8 +5,8 @@
     assert_right, client, close, completion, owner, small_site, until_done, wait_until,
 };
 
-/// The VM that owns the engines shuts down while it streams. The stream ends complete and another VM
-/// takes the group over.
+/// The VM that owns the engines shuts down while it streams. The stream ends complete and another
+/// VM takes the group over.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_end_whole() {
     let mut site = small_site(true).await;
--- a/entry/tests/suite/log_outage.rs
+++ b/entry/tests/suite/log_outage.rs
@@ -9,9 +9,9 @@
     PlatformFaults { log: OutageKind::Refuse, ..Default::default() }
 }
 
-/// While the log is down, loaded adapters are served and a key issued by a VM runs, at most once; a
-/// caller's own key cannot be claimed and does not run, and a publication is refused. After the log
-/// recovers, requests and publications succeed again.
+/// While the log is down, loaded adapters are served and a key issued by a VM runs, at most once;
+/// a caller's own key cannot be claimed and does not run, and a publication is refused. After the
+/// log recovers, requests and publications succeed again.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_still_works() {
     let mut site = small_site(false).await;
@@ -49,8 +49,8 @@
     close(site).await;
 }
 
-/// The owner of the engines fails while the log is down, so no VM can take over. Loaded adapters are
-/// served, since no VM can order an eviction; a cold adapter is "not run".
+/// The owner of the engines fails while the log is down, so no VM can take over. Loaded adapters
+/// are served, since no VM can order an eviction; a cold adapter is "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn owner_gone_too() {
     let mut site = small_site(true).await;
@@ -69,8 +69,8 @@
     close(site).await;
 }
 
-/// A VM starts without state while the log is down. It receives the configuration and the owners from
-/// another VM and serves requests.
+/// A VM starts without state while the log is down. It receives the configuration and the owners
+/// from another VM and serves requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_without_log() {
     let mut site = small_site(true).await;
--- a/entry/tests/suite/owner_dies.rs
+++ b/entry/tests/suite/owner_dies.rs
@@ -3,15 +3,15 @@
 use crate::bench::{client, close, completion, owner, small_site, until_done, wait_until};
 
 /// The VM that owns the engines fails while callers use the others. Their requests wait or end as
-/// "not run", and after the takeover every adapter is served. The new owner knows the previous owner's
-/// slots from the engines' reports and evicts none that is in use.
+/// "not run", and after the takeover every adapter is served. The new owner knows the previous
+/// owner's slots from the engines' reports and evicts none that is in use.
 #[tokio::test(flavor = "multi_thread")]
 async fn checking_engines() {
     fail_over(true).await;
 }
 
-/// The same with engines that do not check fencing numbers and would obey the previous owner, so that
-/// orders need intents.
+/// The same with engines that do not check fencing numbers and would obey the previous owner, so
+/// that orders need intents.
 #[tokio::test(flavor = "multi_thread")]
 async fn obedient_engines() {
     fail_over(false).await;
@@ -33,8 +33,8 @@
 }
 
 /// The owner fails when every slot is loaded. A cold adapter needs an eviction, and the new owner
-/// cannot query the previous owner's held grants. The closed port of that VM's process shows that it
-/// holds none, so callers do not wait for the two minutes of the zombie window.
+/// cannot query the previous owner's held grants. The closed port of that VM's process shows that
+/// it holds none, so callers do not wait for the two minutes of the zombie window.
 #[tokio::test(flavor = "multi_thread")]
 async fn full_slots() {
     let mut settings = SiteSettings::default();
--- a/entry/tests/suite/poison_request.rs
+++ b/entry/tests/suite/poison_request.rs
@@ -5,8 +5,9 @@
 
 const MARK: &str = "POISON";
 
-/// A request crashes each engine that runs it. Its caller repeats it with new ids through all VMs while
-/// other requests run. It crashes at most two engines, it is condemned, and all other requests succeed.
+/// A request crashes each engine that runs it. Its caller repeats it with new ids through all VMs
+/// while other requests run. It crashes at most two engines, it is condemned, and all other
+/// requests succeed.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_crashes() {
     let mut settings = SiteSettings { engines: 4, ..Default::default() };
--- a/entry/tests/suite/roles_apart.rs
+++ b/entry/tests/suite/roles_apart.rs
@@ -35,8 +35,8 @@
     close(site).await;
 }
 
-/// An operator's token is replaced in its file while the VMs run: the new one is accepted and the old
-/// one refused.
+/// An operator's token is replaced in its file while the VMs run: the new one is accepted and the
+/// old one refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn replaced_token() {
     let site = small_site(true).await;
--- a/entry/tests/suite/server_drain.rs
+++ b/entry/tests/suite/server_drain.rs
@@ -4,8 +4,8 @@
 
 use crate::bench::{client, close, completion, small_site, until_done};
 
-/// An operator drains an engine. Requests are served by the other engine, and the drained one gets no
-/// new runs.
+/// An operator drains an engine. Requests are served by the other engine, and the drained one gets
+/// no new runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_drained() {
     let site = small_site(true).await;
--- a/entry/tests/suite/whole_path.rs
+++ b/entry/tests/suite/whole_path.rs
@@ -7,8 +7,8 @@
 
 use crate::bench::{assert_right, client, close, completion, small_site, until_done, verdict};
 
-/// Any VM serves any adapter, streamed or not, with the right and complete answer. More adapters are
-/// requested than the engines have slots, so that loads and evictions occur.
+/// Any VM serves any adapter, streamed or not, with the right and complete answer. More adapters
+/// are requested than the engines have slots, so that loads and evictions occur.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_adapter() {
     let site = small_site(false).await;
@@ -24,8 +24,8 @@
 /// Time within which VMs that are ready know each other, which takes a few probes.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A VM lists all VMs and the customer's models. A VM may be ready before it knows all others, so the
-/// list is polled.
+/// A VM lists all VMs and the customer's models. A VM may be ready before it knows all others, so
+/// the list is polled.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_and_models() {
     let site = small_site(true).await;
