--- a/entry/src/main.rs
+++ b/entry/src/main.rs
@@ -16,14 +16,14 @@
 ///
 /// Example: coltsfoothook-entry --settings /etc/coltsfoothook/entry.json
 ///
-/// SIGTERM ends the process without cutting a request.
+/// SIGTERM and SIGINT start a graceful shutdown, which lets running requests end.
 #[derive(Bpaf, Debug)]
 #[bpaf(options, version)]
 struct EntryOptions {
     /// The settings file: JSON with comments; docs/SETTINGS.md lists the keys.
     #[bpaf(argument("FILE"))]
     settings: PathBuf,
-    /// Check the settings and end: 0 if they are good, 2 if not.
+    /// Check the settings and exit: 0 if they are valid, 2 if not.
     check_settings: bool,
 }
 
@@ -68,7 +68,7 @@
     if invariants.violated() == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Waits for SIGTERM, or SIGINT from a terminal.
+/// Waits for SIGTERM or SIGINT; never returns if the handlers cannot be installed.
 async fn wait_for_end() {
     let (Ok(mut term), Ok(mut int)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
