--- a/entry/src/services.rs
+++ b/entry/src/services.rs
@@ -1,4 +1,4 @@
-//! Routes calls to plain services.
+//! Routes calls to the backend servers of plain services.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,11 +23,11 @@
 
 const RETRY_MS: u64 = 1_000;
 
-/// A call from its arrival to the end of its answer. Dropping it writes the call's line in the log.
+/// A call from its arrival to the end of its answer. Dropping it counts and logs the call.
 struct ServiceRun {
     core: Arc<EntryCore>,
     call: ServiceCall,
-    begun: coltsfoothook_decision::id::TimePoint,
+    started_at: coltsfoothook_decision::id::TimePoint,
     repeatable: bool,
     deadline: CallDeadline,
     key: Option<RunningKey>,
@@ -55,7 +55,7 @@
         let outcome = self.outcome.unwrap_or(RequestOutcome::Unknown);
         let (class, tenant) = (self.call.class, self.call.tenant.as_str());
         self.core.metrics.set.count_request(tenant, class, outcome);
-        let took_ms = self.core.clock.now().since(self.begun) / MICROS_PER_MILLI;
+        let took_ms = self.core.clock.now().since(self.started_at) / MICROS_PER_MILLI;
         let detail = format!("outcome={}", outcome.as_str());
         let now = self.core.clock.now();
         self.core.traces.step(&self.call.request_id, now, StepKind::Ended, detail);
@@ -73,22 +73,22 @@
     }
 }
 
-/// Passes a call on to one of the service's backend servers.
+/// Forwards a call to one of the service's backend servers, with retries where they are allowed.
 pub(crate) async fn call_service(
     core: &Arc<EntryCore>,
     call: ServiceCall,
 ) -> Result<ServiceAnswer, CallProblem> {
     let pass = admit::admit(core, &call.tenant, call.class)?;
-    let begun = core.clock.now();
+    let started_at = core.clock.now();
     let repeatable = check_service(core, &call)?;
     let deadline_ms = call.deadline_ms.unwrap_or_else(|| core.view().class(call.class).deadline_ms);
     let detail = format!("tenant={} service={}", call.tenant, call.service);
-    core.traces.begin(&call.request_id, begun, detail);
+    core.traces.begin(&call.request_id, started_at, detail);
     let mut run = ServiceRun {
         core: Arc::clone(core),
-        begun,
+        started_at,
         repeatable,
-        deadline: CallDeadline::after(begun, Some(deadline_ms)),
+        deadline: CallDeadline::after(started_at, Some(deadline_ms)),
         key: None,
         outcome: None,
         server: None,
@@ -101,7 +101,7 @@
     try_until_done(run).await
 }
 
-/// Whether the tenant may call the service, and whether the call may be sent again.
+/// Checks that the customer may call the service, and returns whether the call may be repeated.
 fn check_service(core: &EntryCore, call: &ServiceCall) -> Result<bool, CallProblem> {
     let view = core.view();
     let Some(service) = view.manifest.service(call.service.as_str()) else {
@@ -144,7 +144,7 @@
         run.server = Some(server.0.clone());
         let sent = sent_call(&run);
         let error = match core.clients.services.call(server.1, sent).await {
-            Ok(answer) => return Ok(pass_on(run, answer)),
+            Ok(answer) => return Ok(forward(run, answer)),
             Err(error) => error,
         };
         let (stage, reason) = stage_of(&error);
@@ -166,7 +166,8 @@
     }
 }
 
-/// A server of the service that does not drain: one that this call has not tried, if there is one.
+/// Chooses the next server of the service in rotation, without draining ones. Prefers servers of
+/// this region and then servers that this call has not tried; `None` if there is no server.
 fn choose_server(
     run: &ServiceRun,
     avoid: &[ServerName],
@@ -187,8 +188,8 @@
     if servers.is_empty() {
         return None;
     }
-    let turn = run.core.request_numbers.fetch_add(1, Ordering::Relaxed) as usize;
-    let entry = servers[turn % servers.len()];
+    let rotation = run.core.request_numbers.fetch_add(1, Ordering::Relaxed) as usize;
+    let entry = servers[rotation % servers.len()];
     Some((entry.name.clone(), entry.address))
 }
 
@@ -210,15 +211,16 @@
     }
 }
 
-/// Passes the answer on piece by piece. The call has ended only when its last piece was read.
-fn pass_on(mut run: ServiceRun, answer: coltsfoothook_service::ServiceAnswer) -> ServiceAnswer {
+/// Forwards the answer as a stream. The outcome is final only when the last part was read.
+fn forward(mut run: ServiceRun, answer: coltsfoothook_service::ServiceAnswer) -> ServiceAnswer {
     let coltsfoothook_service::ServiceAnswer { status, headers, body } = answer;
-    // An error that the service states is its own answer, and the call ran.
+    // The call ran, also if the service answered with an error; its outcome is unknown until the
+    // end.
     run.end(RequestOutcome::Unknown);
-    let pieces = futures::stream::unfold(Some((run, body)), move |state| async move {
+    let chunks = futures::stream::unfold(Some((run, body)), move |state| async move {
         let (mut run, mut body) = state?;
         match body.next().await {
-            Some(Ok(piece)) => Some((Ok(piece), Some((run, body)))),
+            Some(Ok(chunk)) => Some((Ok(chunk), Some((run, body)))),
             Some(Err(error)) => {
                 let outcome = RequestOutcome::Unknown;
                 let reason = FaceReason::AnswerLost;
@@ -230,9 +232,10 @@
             }
         }
     });
-    ServiceAnswer { status, headers, body: AnswerBody::Stream(pieces.boxed()) }
+    ServiceAnswer { status, headers, body: AnswerBody::Stream(chunks.boxed()) }
 }
 
+/// Returns the outcome of a call whose answer was read to its end.
 fn answered(status: StatusCode) -> RequestOutcome {
     if status.is_server_error() { RequestOutcome::Failed } else { RequestOutcome::Done }
 }
