--- a/decision/benches/fleet_cost.rs
+++ b/decision/benches/fleet_cost.rs
@@ -36,13 +36,13 @@
     let holding = |number| AdapterHolding { key: key(number), version: 1, ..Default::default() };
     let holdings = (first..first + SLOTS).map(holding).collect();
     let owner = ServerOwner { vm: "vm-1".into(), incarnation: 1, fence: 1, at: NOW, free: 2 };
-    table.list(&name(server), owner, revision, holdings);
+    table.apply_list(&name(server), owner, revision, holdings);
 }
 
 fn fleet(servers: usize) -> BackendTable {
     let mut table = BackendTable::default();
     for server in 0..servers {
-        table.entry(BackendEntry { incarnation: 1, ..engine_entry(&name(server)) }, NOW);
+        table.apply_entry(BackendEntry { incarnation: 1, ..engine_entry(&name(server)) }, NOW);
         list(&mut table, server, server * SLOTS, 1);
         let figure = LoadFigure { running: (server % 12) as u32, pending_prompt_tokens: 700 };
         table.fleet_load(&name(server), figure, NOW);
@@ -60,7 +60,7 @@
                 service: &service,
                 model: Some(&model),
                 adapter: Some((&wanted, 1)),
-                not: &[],
+                excluded: &[],
                 domain: &domain,
                 shared: SharedPrompt::default(),
                 prompt: 646,
@@ -80,7 +80,7 @@
     for servers in SIZES {
         let mut table = fleet(servers);
         let mut writer = UpdateWriter::default();
-        writer.changes(&table, usize::MAX, NOW);
+        writer.list_changes(&table, usize::MAX, NOW);
         let later = NOW.plus(150_000);
         let mut revision = 1;
         group.bench_function(BenchmarkId::new("written", servers), |bench| {
@@ -90,7 +90,7 @@
                     list(&mut table, server, server * SLOTS + revision as usize % 2, revision);
                 }
                 let domain = table.member_loads(later);
-                (writer.fleet_loads(&domain, later), writer.changes(&table, usize::MAX, later))
+                (writer.fleet_loads(&domain, later), writer.list_changes(&table, usize::MAX, later))
             });
         });
         let view = fleet(servers);
--- a/decision/benches/route_cost.rs
+++ b/decision/benches/route_cost.rs
@@ -56,7 +56,7 @@
     let mut assigned = vec![Vec::new(); map.groups().len()];
     for number in 0..adapters {
         let ranked = map.route(version(number).adapter.as_str(), REGION).expect("a known adapter");
-        assigned[ranked[0].place()].push(version(number));
+        assigned[ranked[0].index()].push(version(number));
     }
     let mut rng = Pcg64::seed_from_u64(1);
     let mut owners = Vec::new();
@@ -92,10 +92,10 @@
         let versions: Vec<AdapterVersion> = (0..adapters).map(version).collect();
         let query = SlotQuery {
             class: RequestClass::Urgent,
-            standing: SuspectVerdict::Clear,
+            verdict: SuspectVerdict::Clear,
             prefix: 0,
             avoid: &[],
-            confined: None,
+            allowed_engines: None,
         };
         let mut next = 0;
         let id = BenchmarkId::from_parameter(format!("{servers}x{adapters}"));
@@ -106,7 +106,7 @@
                 next = (next + 7_919) % adapters;
                 let adapter = &versions[next];
                 let ranked = map.route(adapter.adapter.as_str(), REGION).expect("known");
-                let owner = &owners[ranked[0].place()];
+                let owner = &owners[ranked[0].index()];
                 let number = owner.adapter_index(adapter);
                 black_box(number.and_then(|number| owner.choose(TimePoint(1), number, &query)))
             });
--- a/decision/src/adapter.rs
+++ b/decision/src/adapter.rs
@@ -53,7 +53,7 @@
     }
 
     /// Counts a request.
-    pub(crate) fn touch(&mut self, now: TimePoint, decay_micros: f64) {
+    pub(crate) fn record_use(&mut self, now: TimePoint, decay_micros: f64) {
         self.usage_score = self.usage_score(now, decay_micros) + 1.0;
         self.used_at = now;
     }
--- a/decision/src/admission.rs
+++ b/decision/src/admission.rs
@@ -52,7 +52,7 @@
 
     /// Updates the cache after a change of configuration: keys of the old one that the new one
     /// lacks are added, and keys that the new one has are removed.
-    pub fn replaced(&mut self, before: &RouteTable, now: &RouteTable) {
+    pub fn apply_config(&mut self, before: &RouteTable, now: &RouteTable) {
         for key in before.customers().plans().iter().flat_map(|plan| &plan.keys) {
             self.insert(*key);
         }
@@ -62,7 +62,7 @@
 
 /// Checks the key of a request on a route.
 #[must_use]
-pub fn judge_key<'a>(
+pub fn check_key<'a>(
     table: &'a RouteTable,
     route: &ServingRoute,
     key: Option<&CredentialHash>,
--- a/decision/src/backend.rs
+++ b/decision/src/backend.rs
@@ -159,7 +159,7 @@
 
     /// Applies a server's registration. Ignores entries older than the one known, so that a delayed
     /// heartbeat does not make a leaving server ready again.
-    pub fn entry(&mut self, entry: BackendEntry, now: TimePoint) -> EntryChange {
+    pub fn apply_entry(&mut self, entry: BackendEntry, now: TimePoint) -> EntryChange {
         let found = self.servers.binary_search_by(|state| state.name().cmp(entry.server.as_str()));
         let at = match found {
             Ok(at) => at,
@@ -246,14 +246,14 @@
 
     /// Returns whether a server is known in this incarnation, so that results from it apply.
     #[must_use]
-    pub fn is_life(&self, server: &str, incarnation: u64) -> bool {
+    pub fn is_current_incarnation(&self, server: &str, incarnation: u64) -> bool {
         self.get(server).is_some_and(|state| state.entry.incarnation == incarnation)
     }
 
     /// Starts a later incarnation of a known server that was reported by the server or its owner
     /// before its entry was read. `models` are the base models it is known to hold. Returns whether
     /// the incarnation was new to this VM.
-    pub fn reborn(
+    pub fn start_incarnation(
         &mut self,
         server: &str,
         incarnation: u64,
@@ -274,14 +274,14 @@
     /// Applies an owner's list of the adapters at its server. Ignores lists for an earlier
     /// incarnation, with a lower fencing number, or with a lower revision of the same owner.
     /// Returns whether it was applied.
-    pub fn list(
+    pub fn apply_list(
         &mut self,
         server: &str,
         owner: ServerOwner,
         revision: u64,
         holdings: Vec<AdapterHolding>,
     ) -> bool {
-        self.reborn(server, owner.incarnation, &[], owner.at);
+        self.start_incarnation(server, owner.incarnation, &[], owner.at);
         let Some(state) = self.get_mut(server) else { return false };
         if owner.incarnation < state.entry.incarnation {
             return false;
@@ -307,9 +307,9 @@
     }
 
     /// Drops all counts of a peer whose process ended.
-    pub fn peer_gone(&mut self, vm: &VmName) {
+    pub fn remove_peer(&mut self, vm: &VmName) {
         for state in &mut self.servers {
-            state.counts.peer_gone(vm);
+            state.counts.remove_peer(vm);
         }
     }
 
@@ -321,14 +321,14 @@
     }
 
     /// Marks this VM's counts at a server as reported to the aggregator of its domain.
-    pub fn told_load(&mut self, server: &str) {
+    pub fn mark_load_reported(&mut self, server: &str) {
         let Some(state) = self.get_mut(server) else { return };
-        state.counts.told();
+        state.counts.mark_reported();
     }
 
     /// Marks this VM's counts at all servers as reported.
-    pub fn told_loads(&mut self) {
-        self.servers.iter_mut().for_each(|state| state.counts.told());
+    pub fn mark_loads_reported(&mut self) {
+        self.servers.iter_mut().for_each(|state| state.counts.mark_reported());
     }
 
     /// Counts a request of this VM at a server. Returns the prompt tokens that the server had yet
@@ -343,7 +343,7 @@
 
     /// Records the first event of a request, by which its prompt has been processed. `alone_us` is
     /// the time since it was sent, if the server had no other prompt to process then.
-    pub fn read(&mut self, server: &str, tokens: u64, alone_us: Option<u64>) {
+    pub fn prompt_processed(&mut self, server: &str, tokens: u64, alone_us: Option<u64>) {
         let Some(state) = self.get_mut(server) else { return };
         state.counts.own.pending_prompt_tokens =
             state.counts.own.pending_prompt_tokens.saturating_sub(tokens);
@@ -374,7 +374,7 @@
     }
 
     /// Records the end of a request of this VM at a server. `pending_prompt_tokens` are its prompt
-    /// tokens that were not passed to [`Self::read`].
+    /// tokens that were not passed to [`Self::prompt_processed`].
     pub fn ended(&mut self, server: &str, pending_prompt_tokens: u64) {
         let Some(state) = self.get_mut(server) else { return };
         state.counts.own.running = state.counts.own.running.saturating_sub(1);
@@ -384,7 +384,7 @@
 
     /// Avoids a server that could not be reached or broke off an answer, longer after each further
     /// failure.
-    pub fn unreachable(&mut self, server: &str, now: TimePoint) {
+    pub fn mark_unreachable(&mut self, server: &str, now: TimePoint) {
         let Some(state) = self.get_mut(server) else { return };
         let condition = &mut state.condition;
         condition.avoid_us = (condition.avoid_us * 2).clamp(INITIAL_AVOID_US, MAX_AVOID_US);
@@ -392,7 +392,7 @@
     }
 
     /// Avoids a server that answered that it is full.
-    pub fn full(&mut self, server: &str, now: TimePoint) {
+    pub fn mark_full(&mut self, server: &str, now: TimePoint) {
         let Some(state) = self.get_mut(server) else { return };
         let until = now.plus(FULL_AVOID_US);
         state.condition.avoid_until = state.condition.avoid_until.max(until);
@@ -421,7 +421,7 @@
     /// Returns the number of adapters in flight from the weight store to servers that are neither
     /// leaving nor avoided.
     #[must_use]
-    pub fn loads_under_way(&self, now: TimePoint) -> usize {
+    pub fn loads_in_flight(&self, now: TimePoint) -> usize {
         let reachable = |state: &&BackendState| !state.leaving && !state.is_avoided(now);
         let holdings = self.servers.iter().filter(reachable).flat_map(BackendState::holdings);
         let in_flight =
--- a/decision/src/budget.rs
+++ b/decision/src/budget.rs
@@ -69,13 +69,13 @@
     }
 
     /// Counts a request that is sent to `service` for the first time.
-    pub fn first(&mut self, service: &ServiceName, now: TimePoint) {
+    pub fn record_first(&mut self, service: &ServiceName, now: TimePoint) {
         self.bucket(service, now).requests += 1;
     }
 
     /// Returns whether this VM, one of `vms`, may send one more repeat to `service`, and counts it
     /// if so.
-    pub fn again(&mut self, service: &ServiceName, vms: usize, now: TimePoint) -> bool {
+    pub fn try_repeat(&mut self, service: &ServiceName, vms: usize, now: TimePoint) -> bool {
         let bounds = self.bounds;
         self.bucket(service, now);
         let at = self.services.binary_search_by(|counts| counts.service.cmp(service));
--- a/decision/src/check.rs
+++ b/decision/src/check.rs
@@ -219,7 +219,7 @@
 
 /// Whether `name` satisfies [`NAME_RULE`].
 #[must_use]
-pub fn is_good_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len())
         && name.chars().all(is_name_character)
         && name != "."
@@ -255,7 +255,7 @@
     }
 
     fn name(&mut self, path: &str, name: &str) {
-        if is_good_name(name) {
+        if is_valid_name(name) {
             return;
         }
         let detail = format!("the name {} is not allowed", quoted(name));
--- a/decision/src/choice.rs
+++ b/decision/src/choice.rs
@@ -57,7 +57,7 @@
     /// Adapter and the lowest version of it that may be used.
     pub adapter: Option<(&'a AdapterKey, u64)>,
     /// Servers that this request was already sent to, or that rejected it.
-    pub not: &'a [ServerName],
+    pub excluded: &'a [ServerName],
     /// Failure domain of this VM.
     pub domain: &'a DomainName,
     /// Prompt prefix that other requests have in common.
@@ -74,7 +74,7 @@
     fn takes(&self, state: &BackendState) -> bool {
         state.entry.service == *self.service
             && !state.leaving
-            && !self.not.contains(&state.entry.server)
+            && !self.excluded.contains(&state.entry.server)
             && self.model.is_none_or(|model| state.holds_model(model))
     }
 }
@@ -465,6 +465,6 @@
 /// Returns how long a request may wait for its adapter before it is rejected, where `timeout` is
 /// the time after which its caller gives up.
 #[must_use]
-pub fn longest_wait(timeout: Duration) -> Duration {
+pub fn max_wait(timeout: Duration) -> Duration {
     timeout.mul_f64(WAIT_FRACTION)
 }
--- a/decision/src/claim.rs
+++ b/decision/src/claim.rs
@@ -236,7 +236,7 @@
     /// Its claim waits for its append to be read back; see [`ClaimTable::read_back`].
     Claiming,
     /// Only this other VM may run it: request a revocation there, then call
-    /// [`ClaimTable::revoked`].
+    /// [`ClaimTable::answer_after_revocation`].
     RequestRevocation(VmIdentity),
     /// It does not run here.
     Answer(ClaimAnswer),
@@ -576,7 +576,7 @@
     /// Returns the answer to the caller after a revocation request to the VM that alone may run the
     /// key. `reply` is `None` if that VM was unreachable.
     #[must_use]
-    pub fn revoked(reply: Option<RevokeReply>) -> ClaimAnswer {
+    pub fn answer_after_revocation(reply: Option<RevokeReply>) -> ClaimAnswer {
         match reply {
             Some(RevokeReply::Revoked) => ClaimAnswer::not_run(RefusalReason::AlreadyClaimed),
             Some(RevokeReply::Unknown(RevokeUncertainty::OtherBody)) => {
--- a/decision/src/config.rs
+++ b/decision/src/config.rs
@@ -107,7 +107,7 @@
     /// because of retention is not complete until it has a snapshot, and must not accept requests
     /// based on this fold.
     #[must_use]
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.cursor.is_complete()
     }
 
@@ -172,7 +172,7 @@
     /// missing.
     #[must_use]
     pub fn snapshot(&self) -> Option<ConfigRecord> {
-        self.whole().then(|| ConfigRecord::Snapshot {
+        self.is_complete().then(|| ConfigRecord::Snapshot {
             version: self.version,
             through: self.cursor.next(),
             recent: self.recent.clone(),
--- a/decision/src/control.rs
+++ b/decision/src/control.rs
@@ -104,14 +104,14 @@
 
     /// Whether the server is being drained by an operator.
     #[must_use]
-    pub fn server_drains(&self, server: &str) -> bool {
+    pub fn is_server_draining(&self, server: &str) -> bool {
         let servers = &self.state.draining_servers;
         servers.binary_search_by(|name| name.as_str().cmp(server)).is_ok()
     }
 
     /// Whether the VM is being drained by an operator.
     #[must_use]
-    pub fn vm_drains(&self, vm: &str) -> bool {
+    pub fn is_vm_draining(&self, vm: &str) -> bool {
         self.state.draining_vms.binary_search_by(|name| name.as_str().cmp(vm)).is_ok()
     }
 
@@ -129,7 +129,7 @@
 
     /// Whether the state includes every record before [`Self::next`].
     #[must_use]
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.cursor.is_complete()
     }
 
@@ -193,7 +193,7 @@
     #[must_use]
     pub fn snapshot(&self) -> Option<ControlSnapshot> {
         let through = self.cursor.next();
-        self.whole().then(|| ControlSnapshot { through, ..self.state.clone() })
+        self.is_complete().then(|| ControlSnapshot { through, ..self.state.clone() })
     }
 
     fn take_snapshot(&mut self, state: ControlSnapshot) {
--- a/decision/src/counts.rs
+++ b/decision/src/counts.rs
@@ -3,7 +3,7 @@
 //! In small fleets each VM reports its counts to all others within milliseconds. In large ones the
 //! cost of that would grow with the square of the number of VMs, so each VM reports to the
 //! aggregator of its failure domain, which sends the sum over all VMs back
-//! ([`crate::domain_news`]).
+//! ([`crate::domain_update`]).
 
 use crate::id::{TimePoint, VmName};
 use crate::prefill::PrefillRate;
@@ -83,7 +83,7 @@
     }
 
     /// Drops the count of another VM.
-    pub(crate) fn peer_gone(&mut self, vm: &VmName) {
+    pub(crate) fn remove_peer(&mut self, vm: &VmName) {
         if let Ok(found) = self.peers.binary_search_by(|peer| peer.vm.cmp(vm)) {
             self.peers.remove(found);
         }
@@ -95,7 +95,7 @@
     }
 
     /// Records that this VM's count was reported to the aggregator.
-    pub(crate) fn told(&mut self) {
+    pub(crate) fn mark_reported(&mut self) {
         self.reported = self.own;
     }
 
--- a/decision/src/coverage.rs
+++ b/decision/src/coverage.rs
@@ -28,15 +28,15 @@
 
 impl TopicCoverage {
     /// Records that the VM read the topic itself up to a position.
-    pub fn looked(&mut self, up_to: u64) {
+    pub fn record_read(&mut self, up_to: u64) {
         self.known_to = self.known_to.max(Some(up_to));
     }
 
     /// Records a received span. Returns false if changes before the span are missing.
-    pub fn told(&mut self, span: ReportedSpan) -> bool {
+    pub fn apply_report(&mut self, span: ReportedSpan) -> bool {
         let complete = self.known_to.is_some_and(|known| span.since <= known);
         if complete {
-            self.looked(span.up_to);
+            self.record_read(span.up_to);
         }
         complete
     }
@@ -59,7 +59,7 @@
     }
 
     /// Adds the changes found between the end of the previous read and a position.
-    pub fn look(&mut self, up_to: u64, changes: T) {
+    pub fn add_read(&mut self, up_to: u64, changes: T) {
         self.reads.push((self.up_to, changes));
         self.up_to = up_to;
         let excess = self.reads.len().saturating_sub(self.repeats);
@@ -67,7 +67,7 @@
     }
 
     /// Restarts the history at a position, because some changes before it are not sent.
-    pub fn untold(&mut self, up_to: u64) {
+    pub fn restart(&mut self, up_to: u64) {
         self.reads.clear();
         self.up_to = up_to;
     }
--- a/decision/src/domain_update.rs
+++ b/decision/src/domain_update.rs
@@ -121,7 +121,7 @@
                 state.holdings().iter().filter(is_kept).cloned().collect();
             holdings.extend(kept);
         }
-        self.list(server.as_str(), owner, revision, holdings)
+        self.apply_list(server.as_str(), owner, revision, holdings)
     }
 
     /// Returns for each server the requests of this VM and of the VMs that report theirs to it.
@@ -193,7 +193,7 @@
 
 impl UpdateWriter {
     /// Stores the sums of another aggregator, sorted by server.
-    pub fn take_sums(&mut self, vm: &VmName, loads: Vec<(ServerName, LoadFigure)>, now: TimePoint) {
+    pub fn set_sums(&mut self, vm: &VmName, loads: Vec<(ServerName, LoadFigure)>, now: TimePoint) {
         let sums = ReceivedSums { vm: vm.clone(), loads, at: now };
         match self.sums.binary_search_by(|sums| sums.vm.cmp(vm)) {
             Ok(at) => self.sums[at] = sums,
@@ -223,7 +223,7 @@
     /// recently. If there are more than `max`, those with the most unread tokens are sent: most
     /// servers of a large fleet are idle plain services, whose counts would fill the aggregator's
     /// link.
-    pub fn news_loads(
+    pub fn loads_to_send(
         &mut self,
         mut fleet: Vec<(ServerName, LoadFigure)>,
         max: usize,
@@ -255,7 +255,12 @@
     /// rest follows in the next round: after a start all lists are new, and sending them at once to
     /// all VMs of a domain would saturate the aggregator's link for seconds, during which it would
     /// appear dead.
-    pub fn changes(&mut self, table: &BackendTable, max: usize, now: TimePoint) -> Vec<ListChange> {
+    pub fn list_changes(
+        &mut self,
+        table: &BackendTable,
+        max: usize,
+        now: TimePoint,
+    ) -> Vec<ListChange> {
         self.sent.retain(|sent| table.get(sent.server.as_str()).is_some());
         let servers = table.servers();
         let start = self.first_checked.min(servers.len());
--- a/decision/src/fleet.rs
+++ b/decision/src/fleet.rs
@@ -81,7 +81,7 @@
         let Some(at) = self.engine(server) else { return };
         let engine = &mut self.engines[at];
         let lag = self.settings.report_lag_ms * MICROS_PER_MILLI;
-        if engine.is_past(now, report.incarnation, lag) {
+        if engine.is_past_incarnation(now, report.incarnation, lag) {
             return;
         }
         let same_incarnation = engine.incarnation == Some(report.incarnation);
@@ -224,7 +224,7 @@
         reported: &SlotReport,
         actions: &mut Vec<OwnerAction>,
     ) {
-        if self.engines[at].recently_gone(&reported.slot, now) {
+        if self.engines[at].recently_removed(&reported.slot, now) {
             return;
         }
         let Some((version, epoch)) = parse_slot(&reported.slot) else { return };
@@ -245,7 +245,7 @@
             extra: false,
             reported: reported.running,
             prefix: 0,
-            at_risk_until: self.engines[at].doom_of(&reported.slot),
+            at_risk_until: self.engines[at].at_risk_until(&reported.slot),
         };
         let slot = self.engines[at].add_slot(slot);
         let choice = SlotChoice { server: at as u16, slot: slot as u16 };
@@ -269,7 +269,7 @@
             }
             let choice = SlotChoice { server: at as u16, slot: slot as u16 };
             match state.phase {
-                SlotPhase::Ready => self.lose_slot(now, choice, actions),
+                SlotPhase::Ready => self.remove_lost_slot(now, choice, actions),
                 SlotPhase::Unloading if !self.is_ordered(at, state) => {
                     self.remove_slot(now, choice);
                 }
@@ -280,7 +280,7 @@
 
     /// Removes a slot that the engine lost without an order of this owner, and notes the grants
     /// that used it.
-    pub(crate) fn lose_slot(
+    pub(crate) fn remove_lost_slot(
         &mut self,
         now: TimePoint,
         choice: SlotChoice,
@@ -308,7 +308,7 @@
 
     /// Keeps requests away from a slot that a paused owner of an earlier epoch may still evict, for
     /// the zombie window.
-    pub(crate) fn old_intent(
+    pub(crate) fn protect_from_old_intent(
         &mut self,
         now: TimePoint,
         server: &ServerName,
@@ -316,7 +316,7 @@
     ) {
         let (Some(at), Some(evict)) = (self.engine(server), evict) else { return };
         let until = now.plus(self.settings.zombie_window_ms * MICROS_PER_MILLI);
-        self.engines[at].doom(evict, until);
+        self.engines[at].mark_at_risk(evict, until);
     }
 
     /// Applies the list of VMs. Each may hold grants of earlier epochs, so inherited slots are not
@@ -345,10 +345,10 @@
                 self.vms.insert(at, PendingHolder { vm, answered: false, absent_since: None });
             }
         }
-        self.ask_held(now, actions);
+        self.query_held(now, actions);
     }
 
-    fn ask_held(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
+    fn query_held(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
         if self.inherited_evictable || !self.vms_known {
             return;
         }
@@ -388,7 +388,7 @@
             self.vms[at].answered = true;
             self.vms[at].absent_since = None;
         }
-        self.ask_held(now, actions);
+        self.query_held(now, actions);
     }
 
     fn add_foreign(&mut self, holder: &VmIdentity, held: HeldGrant) {
@@ -434,7 +434,7 @@
     /// Records that an incarnation of a VM is dead or was replaced. Its grants keep their slots
     /// pinned, because the VM may only be paused and use them when it resumes, but they no longer
     /// count against the batch.
-    pub(crate) fn vm_gone(&mut self, now: TimePoint, vm: &VmIdentity) {
+    pub(crate) fn vm_dead(&mut self, now: TimePoint, vm: &VmIdentity) {
         for grant in self.grants.iter_mut().filter(|grant| grant.holder == *vm) {
             if grant.orphaned.is_none() {
                 grant.orphaned = Some(now);
@@ -475,13 +475,13 @@
         actions: &mut Vec<OwnerAction>,
     ) {
         self.drop_orphans(now);
-        self.settle_orders(now, rng, actions);
-        self.keep_scheduled(now);
-        self.give_up(now, actions);
-        self.ask_held(now, actions);
+        self.expire_orders(now, rng, actions);
+        self.reserve_scheduled(now);
+        self.refuse_expired(now, actions);
+        self.query_held(now, actions);
         for at in 0..self.engines.len() {
-            self.engines[at].warmth = self.warmth(now, &self.engines[at]);
+            self.engines[at].usage_score_sum = self.usage_score_sum(now, &self.engines[at]);
         }
-        self.gather(now, actions);
+        self.consolidate(now, actions);
     }
 }
--- a/decision/src/freshness.rs
+++ b/decision/src/freshness.rs
@@ -74,7 +74,7 @@
     /// Records that another VM, in answer to a query sent at `sent_at`, has the same configuration
     /// and a confirmation of it that was `age` old when it answered. Send times in the future are
     /// ignored.
-    pub fn told(&mut self, sent_at: TimePoint, age: Duration, now: TimePoint) {
+    pub fn confirmed_by_peer(&mut self, sent_at: TimePoint, age: Duration, now: TimePoint) {
         let age_us = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         // A time in the future was not set by this VM.
         if sent_at <= now && sent_at.0 >= age_us {
--- a/decision/src/job.rs
+++ b/decision/src/job.rs
@@ -189,7 +189,7 @@
 
     /// Marks the end of the stream as reached once since the start. Records read before that are of
     /// unknown age and are rewritten sooner.
-    pub fn caught_up(&mut self) {
+    pub fn set_caught_up(&mut self) {
         self.caught_up = true;
     }
 
@@ -648,7 +648,7 @@
 
 /// Returns the VM that runs the job: the first, in offset order of the starts, that is live.
 fn runner<'a>(row: &'a JobRow, members: &MemberTable) -> Option<&'a VmIdentity> {
-    row.starts.iter().find(|vm| members.runs(vm))
+    row.starts.iter().find(|vm| members.may_be_running(vm))
 }
 
 fn by_due_time(fold: &JobFold) -> Vec<usize> {
--- a/decision/src/lease.rs
+++ b/decision/src/lease.rs
@@ -102,7 +102,7 @@
 
 /// Determines whether the store is unavailable to all. `witnesses` are all other known VMs.
 #[must_use]
-pub fn judge_outage(witnesses: &[StoreWitness], now: TimePoint) -> StoreOutage {
+pub fn assess_outage(witnesses: &[StoreWitness], now: TimePoint) -> StoreOutage {
     let fresh = |witness: &&StoreWitness| now.since(witness.last_seen) < WITNESS_TTL_US;
     let fresh: Vec<&StoreWitness> = witnesses.iter().filter(fresh).collect();
     let unreached =
--- a/decision/src/limit.rs
+++ b/decision/src/limit.rs
@@ -302,13 +302,13 @@
     }
 
     /// Refunds a request that certainly did not run.
-    pub fn give_back(&mut self, now: TimePoint, customer: &str, cost: f64) {
+    pub fn refund(&mut self, now: TimePoint, customer: &str, cost: f64) {
         self.charge(now, customer, -cost);
     }
 
     /// Sets the number of reachable VMs and of known VMs, both including this one. If too few of
     /// the known VMs are reachable, the rates are reduced.
-    pub fn in_touch(&mut self, now: TimePoint, reachable: usize, known: usize) {
+    pub fn set_reachable(&mut self, now: TimePoint, reachable: usize, known: usize) {
         let fraction = reachable as f64 / known.max(reachable).max(1) as f64;
         let fraction =
             if fraction >= FULL_RATE_FRACTION { 1.0 } else { fraction * MINORITY_FRACTION };
@@ -323,13 +323,13 @@
     }
 
     /// Applies the usage report of another VM.
-    pub fn member_use(&mut self, now: TimePoint, vm: &VmName, report: &UsageReport) {
+    pub fn apply_member_report(&mut self, now: TimePoint, vm: &VmName, report: &UsageReport) {
         let (increments, interval_us) = self.members.take(now, vm, report, self.age_ms(now));
         self.apply_increments(now, increments, interval_us);
     }
 
     /// Applies the usage report of the aggregator of another domain.
-    pub fn domain_use(&mut self, now: TimePoint, vm: &VmName, report: &UsageReport) {
+    pub fn apply_domain_report(&mut self, now: TimePoint, vm: &VmName, report: &UsageReport) {
         let (increments, interval_us) = self.domains.take(now, vm, report, self.age_ms(now));
         self.apply_increments(now, increments, interval_us);
     }
@@ -370,24 +370,24 @@
 
     /// Applies the bucket states from the aggregator, which include this VM's usage up to its last
     /// report. Customers without a state have no demand in the fleet.
-    pub fn stand(&mut self, now: TimePoint, standings: &[BucketState]) {
+    pub fn set_bucket_states(&mut self, now: TimePoint, states: &[BucketState]) {
         let fraction = self.fraction;
         self.note_report(now);
         for bucket in &mut self.buckets {
             bucket.advance(now, fraction);
-            let named = standings.iter().find(|standing| standing.customer == bucket.customer);
-            let Some(standing) = named else { continue };
+            let named = states.iter().find(|state| state.customer == bucket.customer);
+            let Some(state) = named else { continue };
             let unreported = bucket.own.admitted - bucket.reported.admitted;
-            bucket.level = standing.level.min(bucket.capacity(fraction)) - unreported;
-            bucket.fleet_demand.set(now, standing.demand_per_s);
+            bucket.level = state.level.min(bucket.capacity(fraction)) - unreported;
+            bucket.fleet_demand.set(now, state.demand_per_s);
         }
     }
 
     /// Returns the bucket states for the VMs that this one aggregates for, leaving out customers
     /// without demand whose bucket is full.
-    pub fn standings(&mut self, now: TimePoint) -> Vec<BucketState> {
+    pub fn bucket_states(&mut self, now: TimePoint) -> Vec<BucketState> {
         let fraction = self.fraction;
-        let mut standings = Vec::new();
+        let mut states = Vec::new();
         for bucket in &mut self.buckets {
             bucket.advance(now, fraction);
             let demand_per_s = bucket.fleet_demand.get(now);
@@ -395,14 +395,14 @@
                 continue;
             }
             let (customer, level) = (bucket.customer.clone(), bucket.level);
-            standings.push(BucketState { customer, level, demand_per_s });
+            states.push(BucketState { customer, level, demand_per_s });
         }
-        standings
+        states
     }
 
     /// Returns this VM's usage report and marks the usage as reported. `start_id` identifies this
     /// incarnation of the process.
-    pub fn tell(&mut self, now: TimePoint, start_id: u64) -> UsageReport {
+    pub fn report(&mut self, now: TimePoint, start_id: u64) -> UsageReport {
         for bucket in &mut self.buckets {
             bucket.reported = bucket.own;
         }
@@ -410,7 +410,7 @@
     }
 
     /// Starts to aggregate the usage of this VM and of those that report to it, from zero.
-    pub fn begin_sums(&mut self, now: TimePoint) {
+    pub fn start_aggregating(&mut self, now: TimePoint) {
         self.sums_since = now;
         self.members.clear_sums();
         for bucket in &mut self.buckets {
@@ -418,7 +418,8 @@
         }
     }
 
-    /// Returns the usage of this VM and of those that report to it, since [`Self::begin_sums`].
+    /// Returns the usage of this VM and of those that report to it, since
+    /// [`Self::start_aggregating`].
     #[must_use]
     pub fn sums(&self, now: TimePoint) -> UsageReport {
         let uses = self.totals(|bucket| {
@@ -465,7 +466,7 @@
     /// Returns this VM's usage for its digest: of the [`MAX_SPREAD_CUSTOMERS`] customers with the
     /// most demand, sorted by customer.
     pub fn usage(&mut self, now: TimePoint) -> Vec<CustomerUsage> {
-        let mut used = self.tell(now, 0).uses;
+        let mut used = self.report(now, 0).uses;
         used.sort_by(|a, b| b.total.demand.total_cmp(&a.total.demand));
         used.truncate(MAX_SPREAD_CUSTOMERS);
         used.sort_by(|a, b| a.customer.cmp(&b.customer));
@@ -484,10 +485,10 @@
     }
 
     /// Applies the usage in the digests of the live VMs, and the number of VMs.
-    pub fn hear_members(&mut self, now: TimePoint, members: &MemberTable) {
+    pub fn apply_digests(&mut self, now: TimePoint, members: &MemberTable) {
         let rows: Vec<_> =
             members.live().filter(|row| row.name() != members.own().name()).collect();
-        self.in_touch(now, rows.len() + 1, members.others().len() + 1);
+        self.set_reachable(now, rows.len() + 1, members.others().len() + 1);
         for row in rows {
             let uses = row.facts().usage.iter().map(|usage| CustomerTotal {
                 customer: usage.tenant.clone(),
@@ -496,7 +497,7 @@
             let uses: Vec<CustomerTotal> = uses.collect();
             let VmIncarnation(start_id) = row.identity().incarnation;
             let report = UsageReport { start_id, age_ms: u64::MAX, uses };
-            self.member_use(now, &VmName::from(row.name()), &report);
+            self.apply_member_report(now, &VmName::from(row.name()), &report);
         }
     }
 }
--- a/decision/src/load.rs
+++ b/decision/src/load.rs
@@ -110,7 +110,7 @@
     /// For a schedule whose deadline is not near; uses loads that no request needs.
     Scheduled,
     /// For a frequently used adapter, to move it to an engine with a larger batch.
-    Gather,
+    Consolidate,
 }
 
 /// Load request for an adapter, from its waiting requests or from a schedule.
@@ -140,7 +140,7 @@
         let due = self.deadline.map_or(u64::MAX, |due| due.0);
         match self.priority {
             LoadPriority::DueSoon | LoadPriority::Scheduled => due,
-            LoadPriority::Urgent | LoadPriority::Waiting | LoadPriority::Gather => {
+            LoadPriority::Urgent | LoadPriority::Waiting | LoadPriority::Consolidate => {
                 let bonus = u64::from(self.waiters.saturating_sub(1)) * WAITER_BONUS_MICROS;
                 self.oldest.0.saturating_sub(bonus)
             }
--- a/decision/src/loadtime.rs
+++ b/decision/src/loadtime.rs
@@ -145,7 +145,7 @@
     /// then better ordered when one of them is done and it is known which requests it can still
     /// serve in time.
     #[must_use]
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         self.crowded_us > CROWDED_US
     }
 
@@ -217,7 +217,7 @@
         }
     }
 
-    fn heard(&mut self, us: u64) {
+    fn apply_report(&mut self, us: u64) {
         self.upper_bound_us *= UPPER_BOUND_GROWTH;
         self.us = (self.us + REPORT_WEIGHT * (us as f64 - self.us)).min(self.upper_bound_us);
     }
@@ -277,7 +277,7 @@
     }
 
     /// Makes requests check early for some of the loads. Must be called once for each ordered load.
-    pub fn early_look(&mut self, forecast: LoadForecast) -> LoadForecast {
+    pub fn early_check(&mut self, forecast: LoadForecast) -> LoadForecast {
         self.since_early_check += 1;
         if let Some(check_fraction) = self.eager_fraction {
             return LoadForecast { check_fraction, ..forecast };
@@ -292,7 +292,7 @@
     }
 
     /// Records that a request found its adapter not loaded `elapsed_us` after the order.
-    pub fn too_early(&mut self, load: OrderedLoad, elapsed_us: u64) {
+    pub fn record_too_early(&mut self, load: OrderedLoad, elapsed_us: u64) {
         if load.is_early() {
             self.eager_fraction = None;
             self.early_hits = 0;
@@ -320,7 +320,7 @@
     }
 
     /// Records that a request found its adapter loaded at its first check.
-    pub fn in_time(&mut self, load: OrderedLoad) {
+    pub fn record_hit(&mut self, load: OrderedLoad) {
         if load.check_us == 0 || !load.is_early() {
             return;
         }
@@ -350,9 +350,9 @@
 
     /// Applies another VM's report. Each VM sees few loads and all share one store, so their
     /// estimates are averaged; a time that was shown to be shorter has a higher weight.
-    pub fn heard(&mut self, reported: ReportedTimes) {
-        self.alone.heard(reported.alone_us);
-        self.each.heard(reported.each_us);
+    pub fn apply_report(&mut self, reported: ReportedTimes) {
+        self.alone.apply_report(reported.alone_us);
+        self.each.apply_report(reported.each_us);
         if reported.is_shortened {
             if (reported.alone_us as f64) < self.alone.us * WRONG_RATIO {
                 self.early_check_interval = INITIAL_EARLY_CHECK_INTERVAL;
@@ -363,7 +363,7 @@
     }
 
     /// Returns the report for other VMs and resets its `is_shortened`.
-    pub fn told(&mut self) -> ReportedTimes {
+    pub fn take_report(&mut self) -> ReportedTimes {
         let is_shortened = std::mem::take(&mut self.is_shortened);
         ReportedTimes { alone_us: self.alone.us as u64, each_us: self.each.us as u64, is_shortened }
     }
--- a/decision/src/member.rs
+++ b/decision/src/member.rs
@@ -244,7 +244,7 @@
     /// Returns whether this incarnation of a VM may still run: no other incarnation of the VM is
     /// known to have replaced it, and it is not dead. A suspected VM counts as running.
     #[must_use]
-    pub fn runs(&self, vm: &VmIdentity) -> bool {
+    pub fn may_be_running(&self, vm: &VmIdentity) -> bool {
         let row = self.row(vm.vm.as_str());
         row.is_some_and(|row| row.identity() == vm && row.digest.state != MemberState::Dead)
     }
--- a/decision/src/order.rs
+++ b/decision/src/order.rs
@@ -345,7 +345,7 @@
 
     /// Ends orders that have had no result within the timeout, and repeats unfinished unloads and
     /// fencing orders.
-    pub(crate) fn settle_orders(
+    pub(crate) fn expire_orders(
         &mut self,
         now: TimePoint,
         rng: &mut dyn Rng,
--- a/decision/src/order_tracker.rs
+++ b/decision/src/order_tracker.rs
@@ -279,7 +279,7 @@
     }
 
     /// Changes the number of adapter slots after a change of configuration.
-    pub fn set_places(&mut self, slots: usize) {
+    pub fn set_slots(&mut self, slots: usize) {
         self.slots = slots;
     }
 
@@ -291,7 +291,7 @@
 
     /// Records a VM's request to load an adapter. Does nothing if this version or a later one is
     /// held or in flight.
-    pub fn wish(
+    pub fn request_load(
         &mut self,
         key: &AdapterKey,
         version: u64,
@@ -317,7 +317,7 @@
     }
 
     /// Records a VM's report about its requests for an adapter.
-    pub fn used(&mut self, key: &AdapterKey, reported: &ReportedUse<'_>, now: TimePoint) {
+    pub fn record_use(&mut self, key: &AdapterKey, reported: &ReportedUse<'_>, now: TimePoint) {
         let half_life = self.settings.half_life_us as f64;
         let Some(slot) = self.slot_mut(key) else { return };
         slot.decay_score(half_life, now);
@@ -332,7 +332,7 @@
 
     /// Records that the server rejected a request because it lacks the adapter; its state is then
     /// queried again.
-    pub fn missing(&mut self, key: &AdapterKey, now: TimePoint) {
+    pub fn record_missing(&mut self, key: &AdapterKey, now: TimePoint) {
         if self.version_of(key).is_some() {
             self.accepted = None;
             self.query_at = self.query_at.max(now.plus(self.settings.report_lag_us));
@@ -351,13 +351,13 @@
 
     /// Records that a request came too early for an adapter, and postpones the expected arrival by
     /// a fraction of the time since the load was ordered.
-    pub fn too_early(&mut self, key: &AdapterKey, now: TimePoint) {
+    pub fn record_too_early(&mut self, key: &AdapterKey, now: TimePoint) {
         let overdue = |load: OrderedLoad| {
             now.since(load.at) as f64 > load.expected_us as f64 * MAX_EXPECTED_RATIO
         };
         if self.ordered(key).is_some_and(overdue) {
             // The load was lost, probably by a restart of the server that is not known yet.
-            self.missing(key, now);
+            self.record_missing(key, now);
             return;
         }
         if let Some(slot) = self.slot_mut(key)
@@ -445,7 +445,7 @@
         }
         let holds_model = |request: &&LoadRequest| self.models.contains(&request.key.model);
         let cached = |request: &&LoadRequest| self.recently_held.contains(&request.key);
-        let allowed = |request: &&LoadRequest| !forecast.is_crowded() || cached(request);
+        let allowed = |request: &&LoadRequest| !forecast.is_saturated() || cached(request);
         let value = |load: &&LoadRequest| load.value(now.plus(forecast.expected_us(cached(load))));
         let first = |a: &&LoadRequest, b: &&LoadRequest| {
             value(b).total_cmp(&value(a)).then(a.since.cmp(&b.since))
@@ -703,7 +703,7 @@
 
     /// Returns whether load requests are pending; they may be delayed until others are done.
     #[must_use]
-    pub fn has_wishes(&self) -> bool {
+    pub fn has_load_requests(&self) -> bool {
         !self.load_requests.is_empty()
     }
 
--- a/decision/src/owner.rs
+++ b/decision/src/owner.rs
@@ -1,10 +1,10 @@
 //! Owner of a group: admits requests to the group's engines and orders loads and evictions there.
 //!
 //! The owner is a state machine without clock or I/O. Its process turns messages and timers into
-//! [`OwnerEvent`]s and executes the [`OwnerAction`]s. This module holds the reservations; `place`
-//! chooses slots, `plan` plans loads, `order` tracks load orders, `fleet` tracks the state of
-//! engines and VMs, and `topology` and `event` hold the plain types. See docs/PLACEMENT.md for the
-//! design.
+//! [`OwnerEvent`]s and executes the [`OwnerAction`]s. This module holds the reservations;
+//! `placement` chooses slots, `plan` plans loads, `order` tracks load orders, `fleet` tracks the
+//! state of engines and VMs, and `topology` and `event` hold the plain types. See docs/PLACEMENT.md
+//! for the design.
 //!
 //! ```
 //! use coltsfoothook_decision::id::{OwnerEpoch, TimePoint};
@@ -193,9 +193,11 @@
             OwnerEvent::IntentRead { number, valid } => {
                 self.intent_read(now, number, valid, actions);
             }
-            OwnerEvent::EarlierIntent { server, evict } => self.old_intent(now, &server, evict),
+            OwnerEvent::EarlierIntent { server, evict } => {
+                self.protect_from_old_intent(now, &server, evict)
+            }
             OwnerEvent::ListedVms { vms, majority } => self.vm_live(now, vms, majority, actions),
-            OwnerEvent::VmDead { vm } => self.vm_gone(now, &vm),
+            OwnerEvent::VmDead { vm } => self.vm_dead(now, &vm),
             OwnerEvent::GrantsReported { vm, grants } => self.held(now, &vm, grants, actions),
             OwnerEvent::ServerDraining { server, draining } => {
                 self.server_draining(now, &server, draining);
@@ -308,7 +310,7 @@
     ) {
         let decay = self.decay_micros();
         let adapter = self.adapters.intern(&spec.adapter);
-        self.adapters.get_mut(adapter).touch(now, decay);
+        self.adapters.get_mut(adapter).record_use(now, decay);
         if let Some(refusal) = self.refusal(now, adapter, &spec) {
             actions.push(OwnerAction::Refuse { ticket, refusal });
             return;
@@ -340,7 +342,7 @@
         if self.suspects.verdict(spec.fingerprint) == SuspectVerdict::Condemned {
             return refuse(RefusalReason::Condemned, self.settings.max_retry_ms as f64);
         }
-        if !self.engines.iter().any(EngineState::hopeful) {
+        if !self.engines.iter().any(EngineState::may_recover) {
             return refuse(RefusalReason::NoServer, NO_SERVER_RETRY_MS);
         }
         let state = self.adapters.get(adapter);
@@ -457,7 +459,7 @@
             GrantEnd::SlotMissing => {
                 let slot = &engine.slots[grant.choice.slot as usize];
                 if slot.phase == SlotPhase::Ready {
-                    self.lose_slot(now, grant.choice, actions);
+                    self.remove_lost_slot(now, grant.choice, actions);
                 }
             }
             // Counted as a failed report. Otherwise requests would be sent to an engine that is
@@ -536,7 +538,7 @@
         waited: WaitTimes,
     ) -> SlotGrant {
         let number = self.number();
-        let suspect = self.standing(spec.fingerprint) != SuspectVerdict::Clear;
+        let suspect = self.suspect_verdict(spec.fingerprint) != SuspectVerdict::Clear;
         self.check_grant(now, choice, spec, suspect);
         let engine = &mut self.engines[choice.server as usize];
         let slot = &mut engine.slots[choice.slot as usize];
@@ -608,7 +610,7 @@
 
     /// Refuses every queued request whose deadline has passed, and all of them if no engine can be
     /// expected to serve or the owner is deposed.
-    pub(crate) fn give_up(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
+    pub(crate) fn refuse_expired(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
         let late = |request: &WaitingRequest| request.deadline.is_some_and(|due| due <= now);
         while let Some(request) = self.queue.remove_first(late) {
             self.adapters.get_mut(request.adapter).waiting -= 1;
@@ -616,7 +618,7 @@
             let refusal = self.refuse(RefusalReason::DeadlinePassed, retry);
             actions.push(OwnerAction::Refuse { ticket: request.ticket, refusal });
         }
-        if !self.engines.iter().any(EngineState::hopeful) {
+        if !self.engines.iter().any(EngineState::may_recover) {
             self.refuse_all(RefusalReason::NoServer, NO_SERVER_RETRY_MS, actions);
         }
         if self.deposed {
--- a/decision/src/placement.rs
+++ b/decision/src/placement.rs
@@ -18,14 +18,14 @@
     /// Class of the request; urgent ones may use the reserve of the batch.
     pub class: RequestClass,
     /// Verdict on the request's fingerprint as a possible poison request.
-    pub standing: SuspectVerdict,
+    pub verdict: SuspectVerdict,
     /// Hash of the prompt's beginning.
     pub prefix: u64,
     /// Servers to use only if there is no other.
     pub avoid: &'spec [ServerName],
     /// Engines, by index at the owner, to which the choice is restricted; `None` for no
     /// restriction.
-    pub confined: Option<[u16; MAX_ENGINES_PER_REQUEST]>,
+    pub allowed_engines: Option<[u16; MAX_ENGINES_PER_REQUEST]>,
 }
 
 /// Number of engines on which the same request may run at a time. It bounds the engines that a
@@ -57,7 +57,8 @@
             if !usable || slot.at_risk_until > now {
                 continue;
             }
-            let excluded = query.confined.is_some_and(|allowed| !allowed.contains(&choice.server));
+            let excluded =
+                query.allowed_engines.is_some_and(|allowed| !allowed.contains(&choice.server));
             if excluded || !self.admits(engine, query) {
                 continue;
             }
@@ -75,18 +76,18 @@
         spec: &RequestSpec,
         adapter: u32,
     ) -> Option<SlotChoice> {
-        let standing = self.standing(spec.fingerprint);
+        let verdict = self.suspect_verdict(spec.fingerprint);
         let (engines, count) = self.engines_running(spec.fingerprint);
-        let alone = standing == SuspectVerdict::Clear || count == 0;
-        if standing == SuspectVerdict::Condemned || !alone {
+        let alone = verdict == SuspectVerdict::Clear || count == 0;
+        if verdict == SuspectVerdict::Condemned || !alone {
             return None;
         }
         let query = SlotQuery {
             class: spec.class,
-            standing,
+            verdict,
             prefix: spec.prefix,
             avoid: &spec.avoid,
-            confined: (count == MAX_ENGINES_PER_REQUEST).then_some(engines),
+            allowed_engines: (count == MAX_ENGINES_PER_REQUEST).then_some(engines),
         };
         self.choose(now, AdapterIndex(adapter), &query)
     }
@@ -111,7 +112,7 @@
     /// Returns the verdict on `fingerprint`, taking into account broken runs that may turn out to
     /// be crashes. One such run isolates it; a second one condemns it until the first is resolved,
     /// so that it can never reach a third server.
-    pub(crate) fn standing(&self, fingerprint: RequestFingerprint) -> SuspectVerdict {
+    pub(crate) fn suspect_verdict(&self, fingerprint: RequestFingerprint) -> SuspectVerdict {
         let broken = self
             .engines
             .iter()
@@ -128,12 +129,12 @@
         let urgent = query.class == RequestClass::Urgent;
         engine.usable()
             && engine.room_for(urgent, self.settings.urgent_reserve_percent) > 0
-            && (query.standing == SuspectVerdict::Clear || engine.suspects == 0)
+            && (query.verdict == SuspectVerdict::Clear || engine.suspects == 0)
     }
 
     fn score(&self, engine: &EngineState, slot: &SlotState, query: &SlotQuery<'_>) -> f64 {
         let fill = fill(engine);
-        let fill_weight = match query.standing {
+        let fill_weight = match query.verdict {
             SuspectVerdict::Clear => self.batching_weight() - self.stall_weight(),
             _ => -1.0,
         };
@@ -231,12 +232,12 @@
     fn loss(&self, now: TimePoint, server: usize, slot: &SlotState) -> f64 {
         let adapter = self.adapters.get(slot.adapter);
         let usage_score = adapter.usage_score(now, self.decay_micros());
-        let own = self.engines[server].warmth;
+        let own = self.engines[server].usage_score_sum;
         let served_elsewhere = adapter.copies.iter().any(|copy| {
             let engine = &self.engines[copy.server as usize];
             let ready = engine.slots[copy.slot as usize].phase == SlotPhase::Ready;
             let other_engine = copy.server as usize != server;
-            other_engine && ready && engine.usable() && engine.warmth >= own
+            other_engine && ready && engine.usable() && engine.usage_score_sum >= own
         });
         if served_elsewhere { usage_score * COPY_LOSS_FRACTION } else { usage_score }
     }
@@ -244,8 +245,8 @@
     /// Returns a frequently used adapter on an engine with a small batch, and a target on an engine
     /// with a larger one, where a much less used adapter can be evicted. Used only if full batches
     /// have weight.
-    pub(crate) fn gather_target(&self, now: TimePoint) -> Option<(LoadRequest, LoadTarget)> {
-        if self.batching_weight() < MIN_GATHER_WEIGHT {
+    pub(crate) fn consolidation_target(&self, now: TimePoint) -> Option<(LoadRequest, LoadTarget)> {
+        if self.batching_weight() < MIN_CONSOLIDATION_WEIGHT {
             return None;
         }
         let mut best: Option<(f64, LoadRequest, LoadTarget)> = None;
@@ -256,14 +257,16 @@
                     continue;
                 }
                 let score = adapter.usage_score(now, self.decay_micros());
-                if score < MIN_GATHER_SCORE
+                if score < MIN_CONSOLIDATION_SCORE
                     || best.as_ref().is_some_and(|(highest, ..)| score <= *highest)
                 {
                     continue;
                 }
-                let load = gather_request(now, slot.adapter);
-                let warmth = engine.warmth;
-                let Some(target) = self.find_busier(now, &load, warmth, score) else { continue };
+                let load = consolidation_request(now, slot.adapter);
+                let usage_score_sum = engine.usage_score_sum;
+                let Some(target) = self.find_busier(now, &load, usage_score_sum, score) else {
+                    continue;
+                };
                 best = Some((score, load, target));
             }
         }
@@ -271,7 +274,7 @@
     }
 
     /// Returns the sum of the usage scores of an engine's loaded adapters.
-    pub(crate) fn warmth(&self, now: TimePoint, engine: &EngineState) -> f64 {
+    pub(crate) fn usage_score_sum(&self, now: TimePoint, engine: &EngineState) -> f64 {
         let ready = engine.slots.iter().filter(|slot| slot.phase == SlotPhase::Ready);
         ready
             .map(|slot| self.adapters.get(slot.adapter).usage_score(now, self.decay_micros()))
@@ -282,7 +285,7 @@
         &self,
         now: TimePoint,
         request: &LoadRequest,
-        warmth: f64,
+        usage_score_sum: f64,
         usage_score: f64,
     ) -> Option<LoadTarget> {
         let mut best: Option<(f64, LoadTarget)> = None;
@@ -290,16 +293,16 @@
             if !engine.usable() || (!engine.info.checks_fencing && !self.log_writable) {
                 continue;
             }
-            let other = engine.warmth;
-            let too_full = fill(engine) > MAX_GATHER_FILL;
+            let other = engine.usage_score_sum;
+            let too_full = fill(engine) > MAX_CONSOLIDATION_FILL;
             if too_full
-                || other <= warmth
+                || other <= usage_score_sum
                 || best.as_ref().is_some_and(|(highest, _)| other <= *highest)
             {
                 continue;
             }
             let Some((evict, loss)) = self.make_room(now, server, request) else { continue };
-            if loss < usage_score * MAX_GATHER_LOSS {
+            if loss < usage_score * MAX_CONSOLIDATION_LOSS {
                 best = Some((other, LoadTarget { server, evict, loss }));
             }
         }
@@ -344,10 +347,10 @@
     }
 }
 
-fn gather_request(now: TimePoint, adapter: u32) -> LoadRequest {
+fn consolidation_request(now: TimePoint, adapter: u32) -> LoadRequest {
     LoadRequest {
         adapter,
-        priority: LoadPriority::Gather,
+        priority: LoadPriority::Consolidate,
         class: RequestClass::Audit,
         deadline: None,
         waiters: 0,
@@ -358,13 +361,13 @@
 }
 
 /// Minimum weight of full batches for moving frequently used adapters together.
-const MIN_GATHER_WEIGHT: f64 = 0.6;
+const MIN_CONSOLIDATION_WEIGHT: f64 = 0.6;
 /// Minimum usage score of an adapter for moving it.
-const MIN_GATHER_SCORE: f64 = 4.0;
+const MIN_CONSOLIDATION_SCORE: f64 = 4.0;
 /// Maximum loss by the eviction, as a fraction of the moved adapter's score.
-const MAX_GATHER_LOSS: f64 = 0.4;
+const MAX_CONSOLIDATION_LOSS: f64 = 0.4;
 /// Maximum fill of an engine to which adapters are moved.
-const MAX_GATHER_FILL: f64 = 0.6;
+const MAX_CONSOLIDATION_FILL: f64 = 0.6;
 /// Loss by evicting one of several copies, as a fraction of the adapter's score.
 const COPY_LOSS_FRACTION: f64 = 0.1;
 /// Cost of loading on an engine with an empty batch, in units of usage score.
--- a/decision/src/plan.rs
+++ b/decision/src/plan.rs
@@ -52,7 +52,7 @@
     }
 
     /// Reserves adapters whose schedule is near, and drops schedules that are past.
-    pub(crate) fn keep_scheduled(&mut self, now: TimePoint) {
+    pub(crate) fn reserve_scheduled(&mut self, now: TimePoint) {
         let grace = self.settings.schedule_grace_ms * MICROS_PER_MILLI;
         self.scheduled_loads.retain(|load| load.due.plus(grace) > now);
         for load in &self.scheduled_loads {
@@ -65,13 +65,13 @@
 
     /// Starts as many loads as the group's part of the weight store's capacity allows, by priority.
     pub(crate) fn plan_loads(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
-        if self.deposed || !self.budget.ready(self.loads_under_way(), now) {
+        if self.deposed || !self.budget.ready(self.loads_in_flight(), now) {
             return;
         }
         let mut load_requests = self.load_requests(now);
         load_requests.sort_unstable_by(LoadRequest::rank);
         for request in &load_requests {
-            if !self.budget.ready(self.loads_under_way(), now) {
+            if !self.budget.ready(self.loads_in_flight(), now) {
                 return;
             }
             let Some(target) = self.load_target(now, request) else { continue };
@@ -85,12 +85,12 @@
 
     /// Uses spare loads to move frequently used adapters to engines with larger batches, one at a
     /// time.
-    pub(crate) fn gather(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
+    pub(crate) fn consolidate(&mut self, now: TimePoint, actions: &mut Vec<OwnerAction>) {
         let idle = self.queue.is_empty() && self.orders.is_empty() && !self.deposed;
         if !idle || !self.budget.ready(0, now) || !self.budget.is_full() {
             return;
         }
-        if let Some((request, target)) = self.gather_target(now) {
+        if let Some((request, target)) = self.consolidation_target(now) {
             self.budget.spend();
             self.begin_load(now, &request, &target, actions);
         }
@@ -102,10 +102,10 @@
             .iter()
             .filter(|request| request.class <= class && !request.extra && !request.ahead)
             .count()
-            + self.loads_under_way()
+            + self.loads_in_flight()
     }
 
-    fn loads_under_way(&self) -> usize {
+    fn loads_in_flight(&self) -> usize {
         self.orders.iter().filter(|order| order.load.is_some()).count()
     }
 
--- a/decision/src/route.rs
+++ b/decision/src/route.rs
@@ -43,7 +43,7 @@
 impl GroupRoute {
     /// Returns the index in [`GroupMap::groups`].
     #[must_use]
-    pub fn place(self) -> usize {
+    pub fn index(self) -> usize {
         self.0 as usize
     }
 }
--- a/decision/src/routing.rs
+++ b/decision/src/routing.rs
@@ -197,7 +197,7 @@
     /// Returns the shortest pause between events that any stream at a service allows; `None` if it
     /// has no streams with a limit.
     #[must_use]
-    pub fn least_gap(&self, service: &ServiceName) -> Option<Duration> {
+    pub fn min_gap(&self, service: &ServiceName) -> Option<Duration> {
         let at = self.gaps.binary_search_by(|(known, _)| known.cmp(service)).ok()?;
         Some(self.gaps[at].1)
     }
@@ -293,7 +293,7 @@
     /// Returns after which time without data a caller gives up. For a plain answer that is its
     /// deadline.
     #[must_use]
-    pub fn silence(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         if !self.repeat.is_stream() {
             return self.timeout;
         }
--- a/decision/src/slot.rs
+++ b/decision/src/slot.rs
@@ -135,7 +135,7 @@
     pub(crate) running: u32,
     pub(crate) fence: FenceState,
     /// Sum of the usage scores of its adapters, as of the last tick.
-    pub(crate) warmth: f64,
+    pub(crate) usage_score_sum: f64,
     /// Number of runs of suspected poison requests on it.
     pub(crate) suspects: u32,
     pub(crate) slots: Vec<SlotState>,
@@ -161,7 +161,7 @@
             waiting: 0,
             running: 0,
             fence: FenceState::Needed,
-            warmth: 0.0,
+            usage_score_sum: 0.0,
             suspects: 0,
             slots: Vec::new(),
             removed: Vec::new(),
@@ -181,7 +181,7 @@
     }
 
     /// Returns whether it may become usable without a change of configuration.
-    pub(crate) fn hopeful(&self) -> bool {
+    pub(crate) fn may_recover(&self) -> bool {
         self.listed && !self.draining && !self.down
     }
 
@@ -208,7 +208,12 @@
     /// at most `lag` late; an incarnation that reports for longer has not ended. Without this
     /// limit, an owner that received the reports of two incarnations in the wrong order would
     /// ignore the engine for ever.
-    pub(crate) fn is_past(&self, now: TimePoint, incarnation: ServerIncarnation, lag: u64) -> bool {
+    pub(crate) fn is_past_incarnation(
+        &self,
+        now: TimePoint,
+        incarnation: ServerIncarnation,
+        lag: u64,
+    ) -> bool {
         let known = self.past.iter().find(|past| past.incarnation == incarnation);
         known.is_some_and(|past| now.since(past.ended) < lag)
     }
@@ -244,12 +249,12 @@
     }
 
     /// Returns whether `name` was unloaded so recently that a report with it is a late one.
-    pub(crate) fn recently_gone(&self, name: &SlotName, now: TimePoint) -> bool {
+    pub(crate) fn recently_removed(&self, name: &SlotName, now: TimePoint) -> bool {
         self.removed.iter().any(|removed| removed.name == *name && removed.until > now)
     }
 
     /// Records that a deposed owner may evict `name` until `until`, so that nothing new may use it.
-    pub(crate) fn doom(&mut self, name: SlotName, until: TimePoint) {
+    pub(crate) fn mark_at_risk(&mut self, name: SlotName, until: TimePoint) {
         if let Some(at) = self.slot(&name) {
             self.slots[at].at_risk_until = until;
         }
@@ -260,7 +265,7 @@
     }
 
     /// Returns until when a deposed owner may evict `name`; zero if none may.
-    pub(crate) fn doom_of(&self, name: &SlotName) -> TimePoint {
+    pub(crate) fn at_risk_until(&self, name: &SlotName) -> TimePoint {
         let found = self.at_risk.iter().filter(|slot| slot.name == *name);
         found.map(|slot| slot.until).max().unwrap_or_default()
     }
--- a/decision/src/takeover.rs
+++ b/decision/src/takeover.rs
@@ -129,9 +129,9 @@
         let waited = now.since(self.started) >= self.settings.settle_ms * MICROS_PER_MILLI;
         let settled = waited || members.all_members_seen();
         let region = members.own().place().region.as_str();
-        let eligible =
-            members.own().state() == MemberState::Alive && !control.vm_drains(members.own().name());
-        if !settled || !eligible || !control.whole() || !members.majority(region) {
+        let eligible = members.own().state() == MemberState::Alive
+            && !control.is_vm_draining(members.own().name());
+        if !settled || !eligible || !control.is_complete() || !members.majority(region) {
             self.pending.clear();
             return Vec::new();
         }
@@ -158,7 +158,7 @@
         let owner = &ownership.owner;
         let state = members.state_of(owner.vm.as_str());
         let live = matches!(state, Some(MemberState::Alive | MemberState::Suspect));
-        if !live || !members.runs(owner) || control.vm_drains(owner.vm.as_str()) {
+        if !live || !members.may_be_running(owner) || control.is_vm_draining(owner.vm.as_str()) {
             return Some(TakeoverReason::NoOwner);
         }
         let own = members.own().identity();
@@ -235,7 +235,7 @@
     let own = members.own();
     let region = &own.place().region;
     let eligible = members.live().filter(|row| row.place().region == *region);
-    let eligible = eligible.filter(|row| !control.vm_drains(row.name()));
+    let eligible = eligible.filter(|row| !control.is_vm_draining(row.name()));
     let own_weight = preference(group, own.name());
     let before = eligible.filter(|row| preference(group, row.name()) > own_weight).count();
     Some(before as u64)
--- a/decision/tests/suite/config_race.rs
+++ b/decision/tests/suite/config_race.rs
@@ -82,10 +82,10 @@
     let mut late = ConfigFold::default();
     late.retained_from(2);
     assert_eq!(late.fold(2, old), []);
-    assert!(!late.whole());
+    assert!(!late.is_complete());
     let new = fold.snapshot().expect("complete state");
     late.fold(3, new);
-    assert!(late.whole());
+    assert!(late.is_complete());
     assert_eq!(late.version(), ConfigVersion(2));
 }
 
@@ -93,7 +93,7 @@
 fn emptied_stream_is_no_new_one() {
     let mut fold = ConfigFold::default();
     fold.retained_from(7);
-    assert!(!fold.whole(), "everything before offset 7 was dropped");
+    assert!(!fold.is_complete(), "everything before offset 7 was dropped");
     let mut peer = ConfigFold::default();
     peer.fold(0, first());
     assert_eq!(
@@ -161,11 +161,11 @@
         }
         prop_assert_eq!(twice.in_force(), complete.in_force());
         prop_assert_eq!(twice.snapshot(), complete.snapshot());
-        if late.whole() {
+        if late.is_complete() {
             prop_assert_eq!(late.snapshot(), complete.snapshot());
         }
         prop_assert!(
-            late.adopt(complete.snapshot().expect("complete state")).is_some() || late.whole()
+            late.adopt(complete.snapshot().expect("complete state")).is_some() || late.is_complete()
         );
         prop_assert_eq!(late.in_force(), complete.in_force());
     }
--- a/decision/tests/suite/control_fold.rs
+++ b/decision/tests/suite/control_fold.rs
@@ -72,9 +72,9 @@
     let drain = |draining| ControlRecord::DrainServer { server: "engine".into(), draining };
     fold.fold(0, drain(true));
     fold.fold(1, drain(true));
-    assert!(fold.server_drains("engine"));
+    assert!(fold.is_server_draining("engine"));
     fold.fold(2, drain(false));
-    assert!(!fold.server_drains("engine"));
+    assert!(!fold.is_server_draining("engine"));
 }
 
 fn any_record() -> impl Strategy<Value = ControlRecord> {
--- a/decision/tests/suite/domain_updates.rs
+++ b/decision/tests/suite/domain_updates.rs
@@ -26,7 +26,7 @@
 fn table(servers: usize) -> BackendTable {
     let mut table = BackendTable::default();
     for number in 0..servers {
-        table.entry(entry(&format!("s{number:03}")), TimePoint(START));
+        table.apply_entry(entry(&format!("s{number:03}")), TimePoint(START));
     }
     table
 }
@@ -51,7 +51,7 @@
     };
     let owner =
         ServerOwner { vm: "owner".into(), incarnation: 1, fence: 7, at: TimePoint(now), free: 3 };
-    assert!(table.list(server, owner, revision, held.iter().map(holding).collect()));
+    assert!(table.apply_list(server, owner, revision, held.iter().map(holding).collect()));
 }
 
 fn holds(table: &BackendTable, server: &str) -> Vec<String> {
@@ -72,15 +72,15 @@
     let (mut aggregator, mut good, mut lossy) = (table(1), table(1), table(1));
     let mut writer = UpdateWriter::default();
     report_by_owner(&mut aggregator, "s000", 1, &[("a1", 0), ("a2", 0)], START);
-    let first = writer.changes(&aggregator, usize::MAX, TimePoint(START));
+    let first = writer.list_changes(&aggregator, usize::MAX, TimePoint(START));
     assert_eq!(first[0].base, None);
     apply(&mut good, &first, START);
     apply(&mut lossy, &first, START);
     let later = START + 200 * MILLI;
     report_by_owner(&mut aggregator, "s000", 2, &[("a2", 0)], later);
-    apply(&mut good, &writer.changes(&aggregator, usize::MAX, TimePoint(later)), later);
+    apply(&mut good, &writer.list_changes(&aggregator, usize::MAX, TimePoint(later)), later);
     report_by_owner(&mut aggregator, "s000", 3, &[("a2", 0), ("a3", later + 300 * MILLI)], later);
-    let third = writer.changes(&aggregator, usize::MAX, TimePoint(later));
+    let third = writer.list_changes(&aggregator, usize::MAX, TimePoint(later));
     assert_eq!((third[0].adapters.len(), third[0].dropped.len()), (1, 0));
     apply(&mut good, &third, later);
     apply(&mut lossy, &third, later);
@@ -91,7 +91,7 @@
     while now < later + 7 * SECOND {
         now += 150 * MILLI;
         report_by_owner(&mut aggregator, "s000", 3, &[("a2", 0), ("a3", later + 300 * MILLI)], now);
-        apply(&mut lossy, &writer.changes(&aggregator, usize::MAX, TimePoint(now)), now);
+        apply(&mut lossy, &writer.list_changes(&aggregator, usize::MAX, TimePoint(now)), now);
     }
     assert_eq!(holds(&lossy, "s000"), ["a2", "a3"]);
 }
@@ -118,7 +118,7 @@
             let borrowed: Vec<(&str, u64)> = held.iter().map(|(n, at)| (n.as_str(), *at)).collect();
             report_by_owner(&mut aggregator, &format!("s{number:03}"), *revision, &borrowed, now);
         }
-        let changes = writer.changes(&aggregator, usize::MAX, TimePoint(now));
+        let changes = writer.list_changes(&aggregator, usize::MAX, TimePoint(now));
         if !random.next_u64().is_multiple_of(10) {
             apply(&mut view, &changes, now);
         }
@@ -139,7 +139,7 @@
     let now = TimePoint(START);
     let (mut aggregator, mut view) = (table(1), table(1));
     view.sent("s000", 900, now);
-    view.told_loads();
+    view.mark_loads_reported();
     aggregator.peer_load(&"vm-1".into(), "s000", view.own_load("s000"), now);
     aggregator.peer_load(
         &"vm-2".into(),
@@ -150,7 +150,7 @@
     let mut writer = UpdateWriter::default();
     let other: Vec<(ServerName, LoadFigure)> =
         vec![("s000".into(), LoadFigure { running: 10, pending_prompt_tokens: 2_000 })];
-    writer.take_sums(&"vm-9".into(), other, now);
+    writer.set_sums(&"vm-9".into(), other, now);
     let fleet = writer.fleet_loads(&aggregator.member_loads(now), now);
     assert_eq!(fleet[0].1, LoadFigure { running: 15, pending_prompt_tokens: 3_000 });
     view.fleet_load("s000", fleet[0].1, now);
@@ -183,7 +183,7 @@
     for server in 0..860 {
         report_by_owner(&mut aggregator, &format!("s{server:03}"), 1, &held, START);
     }
-    let parts = split_lists(UpdateWriter::default().changes(&aggregator, usize::MAX, now));
+    let parts = split_lists(UpdateWriter::default().list_changes(&aggregator, usize::MAX, now));
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 860);
     for part in &parts {
         assert!(
@@ -207,7 +207,7 @@
     let (mut writer, mut listed_servers) = (UpdateWriter::default(), Vec::new());
     for round in 0..60 {
         let now = START + round * 150;
-        let changes = writer.changes(&aggregator, MAX_ENTRIES, TimePoint(now));
+        let changes = writer.list_changes(&aggregator, MAX_ENTRIES, TimePoint(now));
         let listed: usize = changes.iter().map(|change| 1 + change.adapters.len()).sum();
         assert!(listed < MAX_ENTRIES + 20, "{listed} entries in one update");
         listed_servers.extend(changes.into_iter().map(|change| change.server));
@@ -231,13 +231,13 @@
         (0..300).map(load).collect::<Vec<_>>()
     };
     let mut writer = UpdateWriter::default();
-    assert!(writer.news_loads(fleet(&[]), usize::MAX).is_empty());
-    assert_eq!(writer.news_loads(fleet(&[(7, 1), (9, 2)]), usize::MAX).len(), 2);
+    assert!(writer.loads_to_send(fleet(&[]), usize::MAX).is_empty());
+    assert_eq!(writer.loads_to_send(fleet(&[(7, 1), (9, 2)]), usize::MAX).len(), 2);
     // The drop to zero is sent several times, since a message may be lost, and then no more.
     let counts: Vec<usize> =
-        (0..5).map(|_| writer.news_loads(fleet(&[(9, 2)]), usize::MAX).len()).collect();
+        (0..5).map(|_| writer.loads_to_send(fleet(&[(9, 2)]), usize::MAX).len()).collect();
     assert_eq!(counts, [2, 2, 2, 1, 1]);
-    let first = writer.news_loads(fleet(&[(9, 2), (11, 5), (12, 1)]), 2);
+    let first = writer.loads_to_send(fleet(&[(9, 2), (11, 5), (12, 1)]), 2);
     assert_eq!(first[0].1, figure(5));
     assert_eq!(first.len(), 2);
 }
--- a/decision/tests/suite/fleet_limits.rs
+++ b/decision/tests/suite/fleet_limits.rs
@@ -32,7 +32,7 @@
 enum Report {
     Member(UsageReport),
     Domain(UsageReport),
-    Standings(Vec<BucketState>),
+    States(Vec<BucketState>),
 }
 
 struct Sent {
@@ -161,9 +161,13 @@
             let vm = &mut self.vms[sent.to];
             vm.last_seen[sent.from] = now;
             match sent.report {
-                Report::Member(uses) => vm.limiter.member_use(TimePoint(now), &name, &uses),
-                Report::Domain(uses) => vm.limiter.domain_use(TimePoint(now), &name, &uses),
-                Report::Standings(standings) => vm.limiter.stand(TimePoint(now), &standings),
+                Report::Member(uses) => {
+                    vm.limiter.apply_member_report(TimePoint(now), &name, &uses)
+                }
+                Report::Domain(uses) => {
+                    vm.limiter.apply_domain_report(TimePoint(now), &name, &uses)
+                }
+                Report::States(states) => vm.limiter.set_bucket_states(TimePoint(now), &states),
             }
         }
     }
@@ -175,7 +179,7 @@
         for vm in &mut self.vms {
             let last = vm.last_seen.iter().copied().max().unwrap_or(0);
             let reachable = if now - last.min(now) > ISOLATED_US { 1 } else { all };
-            vm.limiter.in_touch(TimePoint(now), reachable, VMS);
+            vm.limiter.set_reachable(TimePoint(now), reachable, VMS);
         }
     }
 
@@ -186,7 +190,7 @@
             let own = aggregators[vm % DOMAINS];
             if own != vm && step % REPORT_STEPS == vm as u64 % REPORT_STEPS {
                 let incarnation = self.vms[vm].incarnation;
-                let uses = self.vms[vm].limiter.tell(TimePoint(now), incarnation);
+                let uses = self.vms[vm].limiter.report(TimePoint(now), incarnation);
                 self.send(vm, own, now, Report::Member(uses));
             }
         }
@@ -194,13 +198,13 @@
             return;
         }
         for (domain, &from) in aggregators.iter().enumerate() {
-            let standings = self.vms[from].limiter.standings(TimePoint(now));
+            let states = self.vms[from].limiter.bucket_states(TimePoint(now));
             if !std::mem::replace(&mut self.vms[from].aggregates, true) {
-                self.vms[from].limiter.begin_sums(TimePoint(now));
+                self.vms[from].limiter.start_aggregating(TimePoint(now));
             }
             let sums = self.vms[from].limiter.sums(TimePoint(now));
             for member in (domain..VMS).step_by(DOMAINS) {
-                self.send(from, member, now, Report::Standings(standings.clone()));
+                self.send(from, member, now, Report::States(states.clone()));
             }
             for &other in &aggregators {
                 self.send(from, other, now, Report::Domain(sums.clone()));
@@ -328,7 +332,7 @@
 #[test]
 fn short_retry_delay_after_start() {
     let mut limiter = limiter(0);
-    limiter.in_touch(TimePoint(0), VMS, VMS);
+    limiter.set_reachable(TimePoint(0), VMS, VMS);
     let refused = limiter.admit(TimePoint(0), CUSTOMER, 9_000.0);
     let wait = refused.expect_err("the bucket starts overdrawn").retry_after_ms;
     assert!((1..=1_000).contains(&wait), "{wait} ms");
--- a/decision/tests/suite/group_routes.rs
+++ b/decision/tests/suite/group_routes.rs
@@ -56,7 +56,7 @@
     let mut counts = vec![0u32; map.groups().len()];
     for number in 0..9_000 {
         let ranked = map.route(&format!("a{number:05}"), "r").expect("a known adapter");
-        counts[ranked[0].place()] += 1;
+        counts[ranked[0].index()] += 1;
         assert_eq!(ranked.len(), 4);
     }
     assert!(counts.iter().all(|&count| (850..1_150).contains(&count)), "{counts:?}");
--- a/decision/tests/suite/job_results.rs
+++ b/decision/tests/suite/job_results.rs
@@ -146,7 +146,7 @@
         .fold(TimePoint(0), 4, JobRecord::Submitted(entry(2)))
         .expect("record not folded before");
     runner.note(&again);
-    fold.caught_up();
+    fold.set_caught_up();
     let actions = runner.plan(TimePoint(1), &mut fold, &single_member());
     assert_eq!(actions, [JobAction::Append(forgotten)]);
 }
@@ -154,7 +154,7 @@
 #[test]
 fn runs_behind_its_own_start() {
     let (mut fold, _) = fold_all(0, &[JobRecord::Submitted(entry(0))]);
-    fold.caught_up();
+    fold.set_caught_up();
     let members = single_member();
     let mut runner = JobRunner::new(JobSettings::default());
     let request = runner.plan(TimePoint(1), &mut fold, &members);
@@ -195,7 +195,7 @@
     members.handle(TimePoint(0), list, &mut Pcg64::seed_from_u64(1), &mut Vec::new());
     assert!(!members.majority("r"));
     let (mut fold, _) = fold_all(0, &[JobRecord::Submitted(entry(0))]);
-    fold.caught_up();
+    fold.set_caught_up();
     let settings = JobSettings { rewrite_ms: 1_000, ..Default::default() };
     let mut runner = JobRunner::new(settings);
     assert_eq!(runner.plan(TimePoint(1), &mut fold, &members), [], "it may run elsewhere");
@@ -207,7 +207,7 @@
 #[test]
 fn kept_ahead_of_retention() {
     let (mut fold, _) = fold_all(0, &[JobRecord::Submitted(entry(0)), finished("x", false)]);
-    fold.caught_up();
+    fold.set_caught_up();
     let settings = JobSettings { rewrite_ms: 1_000, ..Default::default() };
     let mut runner = JobRunner::new(settings);
     let members = single_member();
--- a/decision/tests/suite/load_recovery.rs
+++ b/decision/tests/suite/load_recovery.rs
@@ -51,7 +51,7 @@
         let mut times = LoadTimes::default();
         let (alone, each) = (ALONE as f64 * factor, ALONE as f64 / FULL_SPEED as f64 * factor);
         for _ in 0..800 {
-            times.heard(report(alone as u64, each as u64));
+            times.apply_report(report(alone as u64, each as u64));
         }
         let random = Pcg64::seed_from_u64(seed);
         Self { vms: vec![times; vms], running: Vec::new(), update_us, random }
@@ -84,7 +84,7 @@
         {
             load.is_received = true;
             for times in &mut self.vms {
-                times.heard(load.report);
+                times.apply_report(load.report);
             }
         }
     }
@@ -95,12 +95,12 @@
             let times = &mut self.vms[load.by];
             if load.done > now {
                 let elapsed = now - load.load.at.0;
-                times.too_early(load.load, elapsed);
+                times.record_too_early(load.load, elapsed);
                 let expected = load.load.at.0 + load.load.expected_us;
                 load.check_at = expected.max(now + (elapsed / 4).max(MIN_RETRY_DELAY));
                 load.load.check_us = 0;
             } else {
-                times.in_time(load.load);
+                times.record_hit(load.load);
                 load.check_at = u64::MAX;
             }
         }
@@ -115,10 +115,10 @@
         let mut others = self.running.iter().filter(|load| load.done > now).count() as u64;
         while own < (TRANSFERS / self.vms.len()).max(1) {
             let forecast = self.vms[vm].forecast(known);
-            if forecast.is_crowded() {
+            if forecast.is_saturated() {
                 return;
             }
-            let load = self.vms[vm].early_look(forecast).load(TimePoint(now), false);
+            let load = self.vms[vm].early_check(forecast).load(TimePoint(now), false);
             others += 1;
             known += 1;
             own += 1;
@@ -128,7 +128,7 @@
                 load,
                 done: now + ALONE.max(ALONE * others / FULL_SPEED),
                 check_at: now + load.check_us,
-                report: self.vms[vm].told(),
+                report: self.vms[vm].take_report(),
                 received_at,
                 is_received: false,
             });
@@ -177,7 +177,7 @@
 fn one_wrong_estimate() {
     let mut fleet = Fleet::new(24, 1.0, 100 * MILLI, 7);
     for _ in 0..800 {
-        fleet.vms[5].heard(report(10 * ALONE, 10 * ALONE / FULL_SPEED));
+        fleet.vms[5].apply_report(report(10 * ALONE, 10 * ALONE / FULL_SPEED));
     }
     let store = FULL_SPEED as f64 * SECOND as f64 / ALONE as f64;
     let fraction = fleet.rate(2 * SECOND, 6 * SECOND) / store;
@@ -193,17 +193,17 @@
     for number in 0..1_000u64 {
         let others = random.random_range(0..30);
         let forecast = times.forecast(others);
-        let load = times.early_look(forecast).load(TimePoint(0), false);
+        let load = times.early_check(forecast).load(TimePoint(0), false);
         let takes = ALONE.max(ALONE * u64::from(load.in_flight) / FULL_SPEED);
         let mut elapsed = load.check_us;
         let mut first = load;
         while elapsed < takes {
-            times.too_early(first, elapsed);
+            times.record_too_early(first, elapsed);
             first.check_us = 0;
             refused += u32::from(number >= 200);
             elapsed = (elapsed + (elapsed / 4).max(MIN_RETRY_DELAY)).max(load.expected_us);
         }
-        times.in_time(first);
+        times.record_hit(first);
         sent += u32::from(number >= 200);
     }
     // About one send in five needs a load: one failed check per ten loads is one per fifty sends.
--- a/decision/tests/suite/load_times.rs
+++ b/decision/tests/suite/load_times.rs
@@ -16,7 +16,7 @@
 
 fn ordered(times: &mut LoadTimes, others: usize) -> OrderedLoad {
     let forecast = times.forecast(others);
-    times.early_look(forecast).load(TimePoint(0), false)
+    times.early_check(forecast).load(TimePoint(0), false)
 }
 
 /// Waits for a load as a request does: it checks at the expected time, and after an early attempt
@@ -26,12 +26,12 @@
     let mut elapsed = load.check_us;
     let mut refused = 0;
     while elapsed < takes(load.in_flight) {
-        times.too_early(load, elapsed);
+        times.record_too_early(load, elapsed);
         refused += 1;
         elapsed = (elapsed + (elapsed / 4).max(45 * MILLI)).max(load.expected_us);
     }
     if refused == 0 {
-        times.in_time(load);
+        times.record_hit(load);
     }
     refused
 }
@@ -58,10 +58,10 @@
 #[test]
 fn large_fleet() {
     let mut times = LoadTimes::default();
-    assert!(times.forecast(40).is_crowded());
+    assert!(times.forecast(40).is_saturated());
     times.expect_fleet(60);
-    assert!(!times.forecast(40).is_crowded());
-    assert!(times.forecast(90).is_crowded());
+    assert!(!times.forecast(40).is_saturated());
+    assert!(times.forecast(90).is_saturated());
 }
 
 /// The estimate decreases again after the store was slow for some time.
@@ -70,13 +70,13 @@
     let mut times = LoadTimes::default();
     for _ in 0..40 {
         let load = ordered(&mut times, 0);
-        times.too_early(load, 900 * MILLI);
+        times.record_too_early(load, 900 * MILLI);
     }
     let slow = times.forecast(0).expected_us(false);
     assert!((700 * MILLI..=1_050 * MILLI).contains(&slow), "{slow}");
     for _ in 0..200 {
         let load = ordered(&mut times, 0);
-        times.in_time(load);
+        times.record_hit(load);
     }
     let quick = times.forecast(0).expected_us(false);
     assert!(quick < 250 * MILLI, "{quick}");
@@ -96,7 +96,7 @@
     let lost: Vec<OrderedLoad> = (0..20).map(|others| ordered(&mut times, 30 + others)).collect();
     for late in 1..10 {
         for load in &lost {
-            times.too_early(*load, load.expected_us + late * 100 * MILLI);
+            times.record_too_early(*load, load.expected_us + late * 100 * MILLI);
         }
     }
     let after = times.forecast(40).expected_us(false);
--- a/decision/tests/suite/member_probes.rs
+++ b/decision/tests/suite/member_probes.rs
@@ -253,7 +253,10 @@
         );
     }
     for at in 0..5 {
-        assert!(!fleet.table(at).runs(&old), "VM {at} considers the earlier incarnation running");
+        assert!(
+            !fleet.table(at).may_be_running(&old),
+            "VM {at} considers the earlier incarnation running"
+        );
         assert_eq!(fleet.seen_live(at), 5);
     }
 }
--- a/decision/tests/suite/order_lease.rs
+++ b/decision/tests/suite/order_lease.rs
@@ -3,7 +3,7 @@
 use coltsfoothook_decision::id::{ServerName, TimePoint};
 use coltsfoothook_decision::lease::{
     FleetPartition, GainedSince, LeaseRecord, LeaseSettings, OrderLease, StoreOutage, StoreWitness,
-    judge_outage,
+    assess_outage,
 };
 
 const SECOND: u64 = 1_000_000;
@@ -137,11 +137,11 @@
     let unreached = StoreWitness { last_seen: now, reached_at: at(95) };
     let reached = StoreWitness { last_seen: now, reached_at: at(100) };
     let unresponsive = StoreWitness { last_seen: at(95), reached_at: at(95) };
-    assert_eq!(judge_outage(&[unreached, unreached, unresponsive], now), StoreOutage::ForAll);
-    assert_eq!(judge_outage(&[unreached, reached, unreached], now), StoreOutage::Unconfirmed);
+    assert_eq!(assess_outage(&[unreached, unreached, unresponsive], now), StoreOutage::ForAll);
+    assert_eq!(assess_outage(&[unreached, reached, unreached], now), StoreOutage::Unconfirmed);
     assert_eq!(
-        judge_outage(&[unreached, unresponsive, unresponsive], now),
+        assess_outage(&[unreached, unresponsive, unresponsive], now),
         StoreOutage::Unconfirmed
     );
-    assert_eq!(judge_outage(&[], now), StoreOutage::Unconfirmed);
+    assert_eq!(assess_outage(&[], now), StoreOutage::Unconfirmed);
 }
--- a/decision/tests/suite/order_tracker.rs
+++ b/decision/tests/suite/order_tracker.rs
@@ -58,11 +58,11 @@
     let vm = VmName::from("a");
     let begin = TimePoint(0);
     let mut tracker = known_tracker(&["a1", "a2", "a3"], begin);
-    tracker.used(&key("a3"), &report_use(&vm, 50, 0), begin);
+    tracker.record_use(&key("a3"), &report_use(&vm, 50, 0), begin);
     let now = begin.plus(500 * MILLI);
-    tracker.used(&key("a1"), &report_use(&vm, 1, 1), now);
-    tracker.used(&key("a2"), &report_use(&vm, 1, 1), now);
-    tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    tracker.record_use(&key("a1"), &report_use(&vm, 1, 1), now);
+    tracker.record_use(&key("a2"), &report_use(&vm, 1, 1), now);
+    tracker.request_load(&key("a4"), 1, WaitingRequests::default(), now);
     let order = next_order(&mut tracker, now).expect("an idle adapter is evicted");
     assert_eq!(order.action, OrderAction::UnloadAdapter { key: key("a3") });
 }
@@ -74,9 +74,9 @@
     let now = TimePoint(500 * MILLI);
     let mut tracker = known_tracker(&["a1", "a2", "a3"], TimePoint(0));
     for name in ["a1", "a2", "a3"] {
-        tracker.used(&key(name), &report_use(&vm, 1, 1), now);
+        tracker.record_use(&key(name), &report_use(&vm, 1, 1), now);
     }
-    tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    tracker.request_load(&key("a4"), 1, WaitingRequests::default(), now);
     assert_eq!(next_order(&mut tracker, now), None);
     assert_eq!(tracker.free(now), 0);
 }
@@ -87,11 +87,11 @@
 fn awaited_not_evicted() {
     let now = TimePoint(0);
     let mut tracker = known_tracker(&["a1", "a2"], now);
-    tracker.wish(&key("a3"), 1, WaitingRequests::default(), now);
+    tracker.request_load(&key("a3"), 1, WaitingRequests::default(), now);
     let order = next_order(&mut tracker, now).expect("a slot is free");
     tracker.replied(&order, OrderReply::Accepted, &forecast(), now);
     let loaded = now.plus(forecast().expected_us(false) + 100 * MILLI);
-    tracker.wish(&key("a4"), 1, WaitingRequests::default(), loaded);
+    tracker.request_load(&key("a4"), 1, WaitingRequests::default(), loaded);
     let order = next_order(&mut tracker, loaded).expect("another adapter is evicted");
     assert_ne!(order.action, OrderAction::UnloadAdapter { key: key("a3") });
 }
@@ -102,7 +102,7 @@
 fn lost_order() {
     let now = TimePoint(0);
     let mut tracker = known_tracker(&["a1"], now);
-    tracker.wish(&key("a2"), 1, WaitingRequests::default(), now);
+    tracker.request_load(&key("a2"), 1, WaitingRequests::default(), now);
     let lost = next_order(&mut tracker, now).expect("a slot is free");
     tracker.replied(&lost, OrderReply::Lost, &forecast(), now);
     let second = next_order(&mut tracker, now).expect("the next order follows at once");
@@ -117,7 +117,7 @@
     for (reply, orders) in [(OrderReply::Lost, 3), (OrderReply::Unsent, 1)] {
         let now = TimePoint(0);
         let mut tracker = known_tracker(&["a1"], now);
-        tracker.wish(&key("a2"), 1, WaitingRequests::default(), now);
+        tracker.request_load(&key("a2"), 1, WaitingRequests::default(), now);
         assert!(tracker.free(now) > 0);
         for _ in 0..orders {
             let order =
@@ -132,7 +132,7 @@
         let back = now.plus(700 * MILLI);
         assert_eq!(tracker.next(None, &forecast(), back), Some(TrackerAction::Query));
         tracker.reported(Some(&report(0, &["a1"])), &forecast(), back);
-        tracker.wish(&key("a2"), 1, WaitingRequests::default(), back);
+        tracker.request_load(&key("a2"), 1, WaitingRequests::default(), back);
         assert!(next_order(&mut tracker, back).is_some());
     }
 }
@@ -143,15 +143,15 @@
 fn slow_unload() {
     let now = TimePoint(500 * MILLI);
     let mut tracker = known_tracker(&["a1", "a2", "a3"], TimePoint(0));
-    tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    tracker.request_load(&key("a4"), 1, WaitingRequests::default(), now);
     let unload = next_order(&mut tracker, now).expect("an idle adapter is evicted");
     tracker.replied(&unload, OrderReply::Accepted, &forecast(), now);
-    tracker.wish(&key("a5"), 1, WaitingRequests::default(), now);
+    tracker.request_load(&key("a5"), 1, WaitingRequests::default(), now);
     assert_eq!(next_order(&mut tracker, now), None);
     let later = now.plus(450 * MILLI);
     assert_eq!(tracker.next(None, &forecast(), later), Some(TrackerAction::Query));
     tracker.reported(Some(&report(1, &["a2", "a3"])), &forecast(), later);
-    tracker.wish(&key("a4"), 1, WaitingRequests::default(), later);
+    tracker.request_load(&key("a4"), 1, WaitingRequests::default(), later);
     let load = next_order(&mut tracker, later).expect("a slot is free");
     assert_eq!(load.action, OrderAction::LoadAdapter { key: key("a4"), version: 1 });
 }
@@ -231,7 +231,7 @@
         let mut now = TimePoint(0);
         for _ in 0..1_000 {
             now = now.plus(u64::from(random.next_u32() % 200) * MILLI);
-            tracker.wish(
+            tracker.request_load(
                 &key(&format!("a{}", random.next_u32() % 9)),
                 1,
                 WaitingRequests::default(),
@@ -266,7 +266,7 @@
     let now = TimePoint(10_000 * MILLI);
     let mut tracker = known_tracker(&["a1", "a2", "a3"], now);
     let now = now.plus(500 * MILLI);
-    tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+    tracker.request_load(&key("a4"), 1, WaitingRequests::default(), now);
     let unload = next_order(&mut tracker, now).unwrap();
     tracker.replied(&unload, OrderReply::Done, &forecast(), now);
     let load = next_order(&mut tracker, now).unwrap();
@@ -275,7 +275,7 @@
     let later = now.plus(1_000 * MILLI);
     assert_eq!(tracker.next(None, &forecast(), later), Some(TrackerAction::Query));
     tracker.reported(Some(&report(0, &["a2", "a3"])), &forecast(), later);
-    tracker.wish(&key("a4"), 1, WaitingRequests::default(), later);
+    tracker.request_load(&key("a4"), 1, WaitingRequests::default(), later);
     assert_eq!(next_order(&mut tracker, later).unwrap().expected, 0);
 }
 
@@ -293,11 +293,11 @@
     let mut tracker = known_tracker(&[], now);
     let soon = now.plus(700 * MILLI);
     let request_loads = |tracker: &mut OrderTracker| {
-        tracker.wish(&key("a1"), 1, waiting("x", 1, soon), now);
-        tracker.wish(&key("a2"), 1, waiting("x", 2, TimePoint(0)), now);
-        tracker.wish(&key("a3"), 1, waiting("x", 1, soon), now);
-        tracker.wish(&key("a3"), 1, waiting("y", 1, soon), now);
-        tracker.wish(&key("a4"), 1, WaitingRequests::default(), now);
+        tracker.request_load(&key("a1"), 1, waiting("x", 1, soon), now);
+        tracker.request_load(&key("a2"), 1, waiting("x", 2, TimePoint(0)), now);
+        tracker.request_load(&key("a3"), 1, waiting("x", 1, soon), now);
+        tracker.request_load(&key("a3"), 1, waiting("y", 1, soon), now);
+        tracker.request_load(&key("a4"), 1, WaitingRequests::default(), now);
     };
     request_loads(&mut tracker);
     assert_eq!(tracker.next(None, &crowded, now), None);
--- a/decision/tests/suite/prefill_rate.rs
+++ b/decision/tests/suite/prefill_rate.rs
@@ -29,7 +29,7 @@
     let mut table = BackendTable::default();
     for (number, score) in scores.iter().enumerate() {
         let server = format!("s{number}");
-        table.entry(BackendEntry { slots: 48, ..engine_entry(&server) }, now);
+        table.apply_entry(BackendEntry { slots: 48, ..engine_entry(&server) }, now);
         let holding = |name: &str, usage_score| AdapterHolding {
             key: key(name),
             version: 1,
@@ -39,10 +39,10 @@
         let mut holdings = vec![holding("other", 5)];
         holdings.extend(score.map(|score| holding("a1", score)));
         let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
-        assert!(table.list(&server, owner, 1, holdings));
+        assert!(table.apply_list(&server, owner, 1, holdings));
     }
     table.sent("s0", 1_900, now);
-    table.read("s0", 1_900, Some(1_900_000 / TOKENS_PER_MS));
+    table.prompt_processed("s0", 1_900, Some(1_900_000 / TOKENS_PER_MS));
     table.ended("s0", 0);
     // Every fourth stream pauses for 350 ms.
     for number in 0..100 {
@@ -64,7 +64,7 @@
         service: &service,
         model: Some(&model),
         adapter: Some((&key, 1)),
-        not: &[],
+        excluded: &[],
         domain: &domain,
         shared: SharedPrompt::default(),
         prompt,
--- a/decision/tests/suite/removed_keys.rs
+++ b/decision/tests/suite/removed_keys.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfoothook_decision::admission::{KeyVerdict, WrongKeys, judge_key};
+use coltsfoothook_decision::admission::{KeyVerdict, WrongKeys, check_key};
 use coltsfoothook_decision::credential::CredentialHash;
 use coltsfoothook_decision::customer::{CustomerPlan, CustomerTable};
 use coltsfoothook_decision::freshness::{ConfigConfirmation, ConfirmationNeed, RemovalPromise};
@@ -56,7 +56,7 @@
     }
     let key = key.map(CredentialHash::of);
     let route = table.find("a.example", path).unwrap();
-    match judge_key(table, route, key.as_ref(), &confirmation, TimePoint(10 * SECOND)) {
+    match check_key(table, route, key.as_ref(), &confirmation, TimePoint(10 * SECOND)) {
         KeyVerdict::Admitted(plan) => plan.map_or("anybody", |plan| plan.name.as_str()).to_owned(),
         KeyVerdict::Unknown => "unknown".to_owned(),
         KeyVerdict::Unconfirmed => "unconfirmed".to_owned(),
@@ -97,10 +97,10 @@
 fn wrong_keys_are_cached() {
     let mut wrong = WrongKeys::default();
     let (first, second) = (table(1, &["k1", "k2"]), table(2, &["k2"]));
-    wrong.replaced(&first, &second);
+    wrong.apply_config(&first, &second);
     let key = CredentialHash::of;
     assert!(wrong.contains(&key("k1")) && !wrong.contains(&key("k2")));
-    wrong.replaced(&second, &first);
+    wrong.apply_config(&second, &first);
     assert!(!wrong.contains(&key("k1")));
     for number in 0..5_000 {
         wrong.insert(key(&number.to_string()));
@@ -113,11 +113,11 @@
 fn old_answer() {
     let mut confirmation = ConfigConfirmation::new(PROMISE);
     let (sent_at, now) = (TimePoint(SECOND), TimePoint(7 * SECOND));
-    confirmation.told(sent_at, Duration::from_millis(300), now);
+    confirmation.confirmed_by_peer(sent_at, Duration::from_millis(300), now);
     assert!(!confirmation.is_valid(now));
     assert_eq!(confirmation.need(now), ConfirmationNeed::Urgent);
     // A send time in the future is not this VM's and is ignored.
-    confirmation.told(TimePoint(9 * SECOND), Duration::ZERO, now);
+    confirmation.confirmed_by_peer(TimePoint(9 * SECOND), Duration::ZERO, now);
     assert!(!confirmation.is_valid(now));
     confirmation.confirmed(TimePoint(6 * SECOND));
     assert!(confirmation.is_valid(now));
@@ -206,7 +206,11 @@
                     vm.version = answer.version;
                 }
                 if answer.version == vm.version {
-                    vm.confirmation.told(TimePoint(answer.sent_at), answer.age, TimePoint(now));
+                    vm.confirmation.confirmed_by_peer(
+                        TimePoint(answer.sent_at),
+                        answer.age,
+                        TimePoint(now),
+                    );
                 }
             }
             let accepts = vms[at].version < 2 && vms[at].confirmation.is_valid(TimePoint(now));
--- a/decision/tests/suite/repeat_budget.rs
+++ b/decision/tests/suite/repeat_budget.rs
@@ -7,7 +7,7 @@
 
 fn count_allowed(budget: &mut RepeatBudget, vms: usize, now: TimePoint) -> usize {
     let service = ServiceName::from("engines");
-    (0..1_000).take_while(|_| budget.again(&service, vms, now)).count()
+    (0..1_000).take_while(|_| budget.try_repeat(&service, vms, now)).count()
 }
 
 /// When servers fail, six VMs that would each resend all their requests must together stay within
@@ -19,7 +19,7 @@
     for _ in 0..6 {
         let mut budget = RepeatBudget::new(bounds);
         for request in 0..100 {
-            budget.first(&ServiceName::from("engines"), TimePoint(request * SECOND / 10));
+            budget.record_first(&ServiceName::from("engines"), TimePoint(request * SECOND / 10));
         }
         repeats += count_allowed(&mut budget, 6, TimePoint(10 * SECOND));
     }
@@ -44,5 +44,5 @@
     let mut budget = RepeatBudget::new(RepeatBounds { slack: 10.0, ..RepeatBounds::default() });
     let now = TimePoint(20 * SECOND);
     assert!(count_allowed(&mut budget, 1, now) > 0);
-    assert!(budget.again(&ServiceName::from("plain"), 1, now));
+    assert!(budget.try_repeat(&ServiceName::from("plain"), 1, now));
 }
--- a/decision/tests/suite/route_table.rs
+++ b/decision/tests/suite/route_table.rs
@@ -79,9 +79,9 @@
 fn stream_idle_timeout() {
     let mut stream = route("stream", "a.example", "/");
     stream.repeat = RetryRule::StreamOnce;
-    assert_eq!(stream.silence(), Duration::from_secs(2));
+    assert_eq!(stream.idle_timeout(), Duration::from_secs(2));
     stream.target = Duration::from_millis(800);
-    assert_eq!(stream.silence(), Duration::from_millis(3_200));
+    assert_eq!(stream.idle_timeout(), Duration::from_millis(3_200));
     stream.target_gap = Some(Duration::from_millis(500));
-    assert_eq!(stream.silence(), Duration::from_secs(4));
+    assert_eq!(stream.idle_timeout(), Duration::from_secs(4));
 }
--- a/decision/tests/suite/server_choice.rs
+++ b/decision/tests/suite/server_choice.rs
@@ -27,7 +27,7 @@
     let mut table = BackendTable::default();
     for number in 0..count {
         let server = format!("s{number}");
-        table.entry(entry(&server, 1), now);
+        table.apply_entry(entry(&server, 1), now);
         list(&mut table, &server, &held(number), now);
     }
     table
@@ -36,7 +36,7 @@
 fn list(table: &mut BackendTable, server: &str, adapters: &[&str], now: TimePoint) {
     let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
     let holdings = adapters.iter().map(|name| holding(name, 0)).collect();
-    assert!(table.list(server, owner, now.0, holdings));
+    assert!(table.apply_list(server, owner, now.0, holdings));
 }
 
 fn holding(adapter: &str, usage_score: u32) -> AdapterHolding {
@@ -49,7 +49,7 @@
     model: ModelName,
     key: AdapterKey,
     domain: DomainName,
-    not: Vec<ServerName>,
+    excluded: Vec<ServerName>,
     shared: SharedPrompt,
     prompt: u64,
     gap: Option<Duration>,
@@ -62,7 +62,7 @@
             model: "base".into(),
             key: key(adapter),
             domain: "d1".into(),
-            not: Vec::new(),
+            excluded: Vec::new(),
             shared: SharedPrompt::default(),
             prompt: 1_000,
             gap: None,
@@ -74,7 +74,7 @@
             service: &self.service,
             model: Some(&self.model),
             adapter: Some((&self.key, 1)),
-            not: &self.not,
+            excluded: &self.excluded,
             domain: &self.domain,
             shared: self.shared,
             prompt: self.prompt,
@@ -140,7 +140,7 @@
     // One copy in flight is enough.
     let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
     let in_flight = AdapterHolding { usable_from: now.plus(SECOND), ..holding("a1", 0) };
-    table.list("s3", owner, now.0 + 1, vec![in_flight]);
+    table.apply_list("s3", owner, now.0 + 1, vec![in_flight]);
     let choice = Need::new("a1").choose(&table, 1, now);
     assert_eq!(choice, ServerChoice::Send { server: "s0".into(), copy: None });
 }
@@ -153,9 +153,9 @@
     let mut table = table(4, |_| vec![], now);
     let owner = ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free: 4 };
     let mixed = vec![holding("a1", 50), holding("a2", 1)];
-    assert!(table.list("s0", owner.clone(), now.0 + 1, mixed));
+    assert!(table.apply_list("s0", owner.clone(), now.0 + 1, mixed));
     for server in ["s1", "s2", "s3"] {
-        assert!(table.list(server, owner.clone(), now.0 + 1, vec![holding("a3", 20)]));
+        assert!(table.apply_list(server, owner.clone(), now.0 + 1, vec![holding("a3", 20)]));
     }
     table.peer_load(
         &"b".into(),
@@ -178,13 +178,13 @@
     let now = TimePoint(SECOND);
     let mut table = table(3, |number| if number == 0 { vec!["a1"] } else { vec![] }, now);
     let need = Need::new("a1");
-    table.full("s0", now);
+    table.mark_full("s0", now);
     let ServerChoice::Wait { until } = need.choose(&table, 1, now) else { panic!("does not wait") };
     assert!(until.since(now) < SECOND / 5);
     assert_eq!(sent_to(&need.choose(&table, 1, until)), "s0");
-    table.unreachable("s0", now);
+    table.mark_unreachable("s0", now);
     assert!(matches!(need.choose(&table, 1, now), ServerChoice::Wait { .. }));
-    table.unreachable("s0", now);
+    table.mark_unreachable("s0", now);
     assert!(matches!(need.choose(&table, 1, now), ServerChoice::Load { .. }));
 }
 
@@ -205,7 +205,7 @@
             if held.contains(&server) {
                 holdings.push(holding("a1", usage_score));
             }
-            assert!(table.list(&server, owner.clone(), now.0 + round, holdings));
+            assert!(table.apply_list(&server, owner.clone(), now.0 + round, holdings));
         }
         let choice = |draw| match Need::new("a1").choose(&table, draw, now) {
             ServerChoice::Send { copy, .. } => copy,
@@ -228,7 +228,7 @@
     let other = ServerChoice::Load { server: "s1".into() };
     let owner = |free| ServerOwner { vm: "a".into(), incarnation: 0, fence: 1, at: now, free };
     assert_eq!(table.load_elsewhere("s0".into(), &other, now).as_str(), "s1");
-    assert!(table.list("s1", owner(0), now.0 + 1, vec![]));
+    assert!(table.apply_list("s1", owner(0), now.0 + 1, vec![]));
     assert_eq!(table.load_elsewhere("s0".into(), &other, now).as_str(), "s0");
     assert_eq!(table.load_elsewhere("s0".into(), &ServerChoice::Unavailable, now).as_str(), "s0");
     let expired = now.plus(5 * SECOND);
@@ -244,9 +244,9 @@
     let holdings = vec![holding("a2", 0)];
     let owner =
         |vm: &str, fence| ServerOwner { vm: vm.into(), incarnation: 0, fence, at: now, free: 0 };
-    assert!(!table.list("s0", owner("a", 1), 3, holdings.clone()));
-    assert!(table.list("s0", owner("b", 2), 1, holdings.clone()));
-    assert!(!table.list("s0", owner("a", 1), u64::MAX, holdings));
+    assert!(!table.apply_list("s0", owner("a", 1), 3, holdings.clone()));
+    assert!(table.apply_list("s0", owner("b", 2), 1, holdings.clone()));
+    assert!(!table.apply_list("s0", owner("a", 1), u64::MAX, holdings));
     assert_eq!(sent_to(&Need::new("a2").choose(&table, 1, now)), "s0");
 }
 
@@ -257,12 +257,12 @@
     let now = TimePoint(SECOND);
     let mut table = table(1, |_| vec!["a1"], now);
     let leaving = BackendEntry { ready: false, ..entry("s0", 5) };
-    assert_eq!(table.entry(leaving, now), EntryChange::Leaving);
-    assert_eq!(table.entry(entry("s0", 4), now), EntryChange::Unchanged);
-    assert_eq!(table.entry(entry("s0", 6), now), EntryChange::Unchanged);
+    assert_eq!(table.apply_entry(leaving, now), EntryChange::Leaving);
+    assert_eq!(table.apply_entry(entry("s0", 4), now), EntryChange::Unchanged);
+    assert_eq!(table.apply_entry(entry("s0", 6), now), EntryChange::Unchanged);
     assert_eq!(Need::new("a1").choose(&table, 1, now), ServerChoice::Unavailable);
     assert_eq!(table.remove("s0", 9), EntryChange::Removed);
-    assert_eq!(table.entry(entry("s0", 6), now), EntryChange::Unchanged);
+    assert_eq!(table.apply_entry(entry("s0", 6), now), EntryChange::Unchanged);
     assert!(table.get("s0").is_none());
 }
 
@@ -275,11 +275,11 @@
     let mut table = table(1, |_| vec!["a1"], now);
     assert_eq!(table.remove("s0", 20), EntryChange::Removed);
     for heartbeat in 10..20 {
-        assert_eq!(table.entry(entry("s0", heartbeat), now), EntryChange::Unchanged);
+        assert_eq!(table.apply_entry(entry("s0", heartbeat), now), EntryChange::Unchanged);
     }
     let late = BackendEntry { position: 25, ..entry("s0", 19) };
-    assert_eq!(table.entry(late, now), EntryChange::Unchanged);
-    assert_eq!(table.entry(entry("s0", 30), now), EntryChange::Appeared);
+    assert_eq!(table.apply_entry(late, now), EntryChange::Unchanged);
+    assert_eq!(table.apply_entry(entry("s0", 30), now), EntryChange::Appeared);
     assert_eq!(
         table.remove("s0", 20),
         EntryChange::Unchanged,
@@ -294,10 +294,10 @@
     let now = TimePoint(SECOND);
     let mut table = table(2, |_| vec!["a1"], now);
     let need = Need::new("a1");
-    table.unreachable("s0", now);
+    table.mark_unreachable("s0", now);
     assert_eq!(sent_to(&need.choose(&table, 1, now)), "s1");
-    table.unreachable("s1", now);
-    let only = Need { not: vec!["s1".into()], ..Need::new("a1") };
+    table.mark_unreachable("s1", now);
+    let only = Need { excluded: vec!["s1".into()], ..Need::new("a1") };
     assert_eq!(sent_to(&only.choose(&table, 1, now)), "s0");
 }
 
--- a/decision/tests/suite/server_lives.rs
+++ b/decision/tests/suite/server_lives.rs
@@ -26,7 +26,7 @@
         usage_score: 1,
         ..AdapterHolding::default()
     };
-    table.list("s0", owner, revision, adapters.iter().map(holding).collect())
+    table.apply_list("s0", owner, revision, adapters.iter().map(holding).collect())
 }
 
 fn held(table: &BackendTable) -> Vec<&str> {
@@ -40,20 +40,20 @@
 #[test]
 fn later_entry() {
     let mut table = BackendTable::default();
-    table.entry(entry(100, 70, 1), NOW);
+    table.apply_entry(entry(100, 70, 1), NOW);
     assert!(list(&mut table, 100, 40, &["a1", "a2"]));
     let leaving = BackendEntry { ready: false, ..entry(100, 71, 2) };
-    assert_eq!(table.entry(leaving, NOW), EntryChange::Leaving);
-    table.unreachable("s0", NOW);
-    assert_eq!(table.entry(entry(200, 1, 3), NOW), EntryChange::Restarted);
+    assert_eq!(table.apply_entry(leaving, NOW), EntryChange::Leaving);
+    table.mark_unreachable("s0", NOW);
+    assert_eq!(table.apply_entry(entry(200, 1, 3), NOW), EntryChange::Restarted);
     assert!(!table.get("s0").unwrap().leaving);
     assert!(!table.get("s0").unwrap().is_avoided(NOW));
     assert_eq!(held(&table), [""; 0]);
-    assert!(table.is_life("s0", 200) && !table.is_life("s0", 100));
+    assert!(table.is_current_incarnation("s0", 200) && !table.is_current_incarnation("s0", 100));
     let late = BackendEntry { ready: false, ..entry(100, 72, 4) };
-    assert_eq!(table.entry(late, NOW), EntryChange::Unchanged);
+    assert_eq!(table.apply_entry(late, NOW), EntryChange::Unchanged);
     assert!(!table.get("s0").unwrap().leaving);
-    assert_eq!(table.entry(entry(200, 2, 5), NOW), EntryChange::Unchanged);
+    assert_eq!(table.apply_entry(entry(200, 2, 5), NOW), EntryChange::Unchanged);
 }
 
 /// A list belongs to one incarnation. A late list of an earlier incarnation is ignored although its
@@ -62,14 +62,14 @@
 #[test]
 fn lists_of_incarnations() {
     let mut table = BackendTable::default();
-    table.entry(entry(100, 70, 1), NOW);
+    table.apply_entry(entry(100, 70, 1), NOW);
     assert!(list(&mut table, 100, 40, &["a1"]));
     assert!(list(&mut table, 200, 1, &["a3"]));
     assert_eq!(held(&table), ["a3"]);
     assert!(!list(&mut table, 100, 41, &["a1"]));
     assert_eq!(held(&table), ["a3"]);
     // The entry of the new incarnation is read last, and is not another restart.
-    assert_eq!(table.entry(entry(200, 1, 2), NOW), EntryChange::Models);
+    assert_eq!(table.apply_entry(entry(200, 1, 2), NOW), EntryChange::Models);
     assert!(list(&mut table, 200, 2, &["a3", "a4"]));
 }
 
@@ -78,22 +78,22 @@
 #[test]
 fn back_after_removal() {
     let mut table = BackendTable::default();
-    table.entry(entry(100, 70, 10), NOW);
+    table.apply_entry(entry(100, 70, 10), NOW);
     assert_eq!(table.remove("s0", 20), EntryChange::Removed);
-    assert_eq!(table.entry(entry(100, 69, 25), NOW), EntryChange::Unchanged);
-    assert_eq!(table.entry(entry(200, 1, 26), NOW), EntryChange::Appeared);
-    assert_eq!(table.entry(entry(100, 90, 27), NOW), EntryChange::Unchanged);
+    assert_eq!(table.apply_entry(entry(100, 69, 25), NOW), EntryChange::Unchanged);
+    assert_eq!(table.apply_entry(entry(200, 1, 26), NOW), EntryChange::Appeared);
+    assert_eq!(table.apply_entry(entry(100, 90, 27), NOW), EntryChange::Unchanged);
 }
 
 /// A report shows a later incarnation before its entry is read. Reported twice, it is one restart.
 #[test]
 fn known_by_report() {
     let mut table = BackendTable::default();
-    table.entry(entry(100, 70, 1), NOW);
+    table.apply_entry(entry(100, 70, 1), NOW);
     assert!(list(&mut table, 100, 40, &["a1"]));
-    assert!(table.reborn("s0", 200, &[], NOW));
-    assert!(!table.reborn("s0", 200, &[], NOW));
-    assert!(!table.reborn("s0", 150, &[], NOW));
+    assert!(table.start_incarnation("s0", 200, &[], NOW));
+    assert!(!table.start_incarnation("s0", 200, &[], NOW));
+    assert!(!table.start_incarnation("s0", 150, &[], NOW));
     assert_eq!(held(&table), [""; 0]);
     assert!(!list(&mut table, 100, 41, &["a1"]));
 }
--- a/decision/tests/suite/tenant_limits.rs
+++ b/decision/tests/suite/tenant_limits.rs
@@ -65,7 +65,7 @@
                 let event = MemberEvent::Probe { call: 1, message };
                 tables[at].handle(start, event, &mut rng, &mut Vec::new());
             }
-            limiters[at].hear_members(start, &tables[at]);
+            limiters[at].apply_digests(start, &tables[at]);
             for n in 0..load[at] {
                 let now = start.plus(n * 1_000_000 / load[at]);
                 let is_admitted = limiters[at].admit(now, "flood", 1.0).is_ok();
--- a/decision/tests/suite/topic_coverage.rs
+++ b/decision/tests/suite/topic_coverage.rs
@@ -47,19 +47,19 @@
                 }
                 TopicStep::Read { reader, arrives } => {
                     let from = readers[reader].span().up_to;
-                    readers[reader].look(end, (from..end).collect::<Vec<u64>>());
+                    readers[reader].add_read(end, (from..end).collect::<Vec<u64>>());
                     if !arrives {
                         continue;
                     }
                     let sent: Vec<u64> = readers[reader].changes().flatten().copied().collect();
                     sent.iter().for_each(|position| received[*position as usize] = true);
-                    if coverage.told(readers[reader].span()) {
+                    if coverage.apply_report(readers[reader].span()) {
                         prop_assert!(received.iter().all(|known| *known));
                     }
                 }
-                TopicStep::Snapshot { reader } => readers[reader].untold(end),
+                TopicStep::Snapshot { reader } => readers[reader].restart(end),
                 TopicStep::OwnRead => {
-                    coverage.looked(end);
+                    coverage.record_read(end);
                     received.iter_mut().for_each(|known| *known = true);
                 }
             }
@@ -71,8 +71,8 @@
 #[test]
 fn never_read() {
     let mut reader = ReportHistory::new(REPEATS);
-    reader.look(7, ());
-    assert!(!TopicCoverage::default().told(reader.span()));
+    reader.add_read(7, ());
+    assert!(!TopicCoverage::default().apply_report(reader.span()));
 }
 
 /// Two messages are lost and the third one repeats their changes.
@@ -80,13 +80,13 @@
 fn repeated() {
     let mut reader = ReportHistory::new(REPEATS);
     let mut coverage = TopicCoverage::default();
-    coverage.looked(0);
-    reader.look(4, ());
-    reader.look(5, ());
-    reader.look(9, ());
-    assert!(coverage.told(reader.span()));
+    coverage.record_read(0);
+    reader.add_read(4, ());
+    reader.add_read(5, ());
+    reader.add_read(9, ());
+    assert!(coverage.apply_report(reader.span()));
     for end in 10..14 {
-        reader.look(end, ());
+        reader.add_read(end, ());
     }
-    assert!(!coverage.told(reader.span()), "the changes up to 9 are not repeated any more");
+    assert!(!coverage.apply_report(reader.span()), "the changes up to 9 are not repeated any more");
 }
--- a/entry/src/claims.rs
+++ b/entry/src/claims.rs
@@ -189,14 +189,14 @@
     let runs =
         lock(&core.members).row(holder.vm.as_str()).is_some_and(|row| row.identity() == holder);
     let target = core.target(holder.vm.as_str()).filter(|_| runs);
-    let Some(target) = target else { return ClaimTable::revoked(None) };
+    let Some(target) = target else { return ClaimTable::answer_after_revocation(None) };
     let call = RevokeCall {
         tenant: request.tenant.clone(),
         key: request.key.clone(),
         fingerprint: request.fingerprint,
     };
     let reply = core.clients.peers.revoke(&target, call, REVOKE_TIMEOUT).await;
-    ClaimTable::revoked(reply.ok())
+    ClaimTable::answer_after_revocation(reply.ok())
 }
 
 /// Folds a claim record and wakes the requests that wait for its claims.
--- a/entry/src/core.rs
+++ b/entry/src/core.rs
@@ -123,7 +123,7 @@
         if self.view().version.0 == 0 {
             return Err("no configuration in force");
         }
-        if !read(&self.control).whole() {
+        if !read(&self.control).is_complete() {
             return Err("state of ownership not known yet");
         }
         if self.health.is_isolated(self.clock.now(), self.settings.stale_ms) {
--- a/entry/src/faces.rs
+++ b/entry/src/faces.rs
@@ -108,7 +108,7 @@
     members
         .live()
         .filter(|row| row.place().region.as_str() == region)
-        .filter(|row| !control.vm_drains(row.name()) && row.facts().weight > 0)
+        .filter(|row| !control.is_vm_draining(row.name()) && row.facts().weight > 0)
         .filter(|row| row.place().caller.port() != 0)
         .map(|row| EntryAddress {
             vm: row.identity().vm.clone(),
--- a/entry/src/follow.rs
+++ b/entry/src/follow.rs
@@ -279,7 +279,7 @@
     let view = core.view();
     for server in &view.manifest.servers {
         let server = server.name.clone();
-        let draining = read(&core.control).server_drains(server.as_str());
+        let draining = read(&core.control).is_server_draining(server.as_str());
         drive_all(core, &OwnerEvent::ServerDraining { server, draining });
     }
 }
--- a/entry/src/jobs.rs
+++ b/entry/src/jobs.rs
@@ -112,7 +112,7 @@
     pub(crate) fn caught_up(&self) {
         let mut fold = lock(&self.fold);
         if !fold.is_caught_up() {
-            fold.caught_up();
+            fold.set_caught_up();
         }
     }
 
--- a/entry/src/limits.rs
+++ b/entry/src/limits.rs
@@ -39,9 +39,9 @@
     }
 
     /// Updates the limiter with the usage that other VMs reported.
-    pub(crate) fn hear_members(&self, core: &EntryCore) {
+    pub(crate) fn apply_digests(&self, core: &EntryCore) {
         let members = lock(&core.members);
-        lock(&self.limiter).hear_members(core.clock.now(), &members);
+        lock(&self.limiter).apply_digests(core.clock.now(), &members);
     }
 
     /// Returns the usage on this VM, which is reported to other VMs.
--- a/entry/src/operate.rs
+++ b/entry/src/operate.rs
@@ -127,8 +127,8 @@
         write_control(core, &record, move |core| {
             let control = read(&core.control);
             let drains = match kind {
-                DrainKind::Vm => control.vm_drains(&name),
-                DrainKind::Server => control.server_drains(&name),
+                DrainKind::Vm => control.is_vm_draining(&name),
+                DrainKind::Server => control.is_server_draining(&name),
             };
             drains == draining
         })
@@ -188,7 +188,7 @@
 /// The verdict is matched by the publication's id, not by the append's answer. If that answer is
 /// lost, the record is still found, or the append is repeated and the fold detects the duplicate.
 async fn publish(core: &Arc<EntryCore>, call: PublishCall) -> PublishAnswer {
-    if !lock(&core.config).whole() {
+    if !lock(&core.config).is_complete() {
         return PublishAnswer::NotReady;
     }
     let in_force = lock(&core.config).in_force();
--- a/entry/src/own.rs
+++ b/entry/src/own.rs
@@ -169,7 +169,7 @@
             ServerStatus {
                 server: engine.server.clone(),
                 up: state.owner.engine_up(engine.server.as_str()),
-                draining: read(&core.control).server_drains(engine.server.as_str()),
+                draining: read(&core.control).is_server_draining(engine.server.as_str()),
                 running: own.clone().map(|slot| slot.grants).sum(),
                 slots: own
                     .filter_map(|slot| {
@@ -486,7 +486,8 @@
     }));
     let view = core.view();
     if let Some(group) = view.groups.find_group(group.as_str()) {
-        let draining = group.servers.iter().filter(|name| control.server_drains(name.as_str()));
+        let draining =
+            group.servers.iter().filter(|name| control.is_server_draining(name.as_str()));
         events.extend(
             draining.map(|server| OwnerEvent::ServerDraining {
                 server: server.clone(),
--- a/entry/src/process.rs
+++ b/entry/src/process.rs
@@ -344,7 +344,7 @@
 /// Updates the limiter periodically with the usage that other VMs reported.
 async fn update_limits(core: Arc<EntryCore>) {
     while !core.closing.is_cancelled() {
-        core.limits.hear_members(&core);
+        core.limits.apply_digests(&core);
         sleep(LIMIT_INTERVAL).await;
     }
 }
--- a/entry/src/reserve.rs
+++ b/entry/src/reserve.rs
@@ -96,7 +96,7 @@
         let Some(shard) = core.shard(group.as_str()) else { return OwnerReply::NoOwner };
         shard.reserve(core, core.me.clone(), spec.clone()).await
     } else {
-        let runs = lock(&core.members).runs(&owner);
+        let runs = lock(&core.members).may_be_running(&owner);
         let Some(target) = core.target(owner.vm.as_str()).filter(|_| runs) else {
             return OwnerReply::NoOwner;
         };
@@ -152,7 +152,7 @@
     loop {
         sleep(OWNER_POLL_INTERVAL).await;
         let owned = read(&core.control).owner(group.as_str()).map(|owned| owned.owner.clone());
-        if owned.as_ref() != Some(owner) || !lock(&core.members).runs(owner) {
+        if owned.as_ref() != Some(owner) || !lock(&core.members).may_be_running(owner) {
             return;
         }
     }
@@ -210,7 +210,7 @@
     let servers = view.groups.find_group(group.as_str())?.servers.clone();
     let mut best: Option<(u32, SlotGrant)> = None;
     for server in servers {
-        let drains = read(&core.control).server_drains(server.as_str());
+        let drains = read(&core.control).is_server_draining(server.as_str());
         let Some((entry, _)) = view.engine(server.as_str()).filter(|_| !drains) else { continue };
         let Ok(report) = core.clients.engines.report(entry.address).await else { continue };
         let slot = report
--- a/entry/src/roster.rs
+++ b/entry/src/roster.rs
@@ -191,7 +191,7 @@
 fn own_facts(core: &EntryCore) -> MemberFacts {
     let (control, drains) = {
         let control = read(&core.control);
-        (control.next(), control.vm_drains(core.me.vm.as_str()))
+        (control.next(), control.is_vm_draining(core.me.vm.as_str()))
     };
     let takes = !drains && core.own_state() == MemberState::Alive;
     MemberFacts {
@@ -277,9 +277,9 @@
     let config = core.view().version;
     let (control, whole) = {
         let control = read(&core.control);
-        (control.next(), control.whole())
+        (control.next(), control.is_complete())
     };
-    let whole = whole && lock(&core.config).whole();
+    let whole = whole && lock(&core.config).is_complete();
     if whole && core.health.readable(now) {
         return None;
     }
--- a/entry/src/services.rs
+++ b/entry/src/services.rs
@@ -177,7 +177,7 @@
     let region = run.core.settings.region.as_str();
     let mut servers: Vec<_> = view
         .service_servers(run.call.service.as_str())
-        .filter(|entry| !control.server_drains(entry.name.as_str()))
+        .filter(|entry| !control.is_server_draining(entry.name.as_str()))
         .collect();
     if servers.iter().any(|entry| entry.region.as_str() == region) {
         servers.retain(|entry| entry.region.as_str() == region);
--- a/gateway/src/admit.rs
+++ b/gateway/src/admit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfoothook_decision::admission::{KeyVerdict, judge_key};
+use coltsfoothook_decision::admission::{KeyVerdict, check_key};
 use coltsfoothook_decision::credential::CredentialHash;
 use coltsfoothook_decision::id::{CustomerName, TimePoint};
 use coltsfoothook_decision::routing::{RouteTable, ServingRoute};
@@ -124,7 +124,7 @@
     let config = table.version.0;
     let route =
         find(&table).ok_or_else(|| Refusal::new(StatusCode::NOT_FOUND, "no_route", config))?;
-    Ok(match judge_key(&table, &route, key, &confirmation, clock::now()) {
+    Ok(match check_key(&table, &route, key, &confirmation, clock::now()) {
         KeyVerdict::Admitted(plan) => Judgement::Admitted(AdmittedRequest {
             customer: plan.map(|plan| plan.name.clone()),
             rank: table.rank(&route, plan),
--- a/gateway/src/aggregate.rs
+++ b/gateway/src/aggregate.rs
@@ -180,7 +180,7 @@
     let changes = aggregates != beliefs.domain.aggregates;
     beliefs.domain.aggregates = aggregates;
     if changes && aggregates {
-        beliefs.limiter.begin_sums(now);
+        beliefs.limiter.start_aggregating(now);
     }
     drop(beliefs);
     if changes {
@@ -199,16 +199,17 @@
     for (server, figure) in &fleet {
         beliefs.backends.fleet_load(server.as_str(), *figure, now);
     }
-    beliefs.backends.told_loads();
+    beliefs.backends.mark_loads_reported();
     let members = beliefs.roster.in_domain(&gateway.settings.domain, now);
     let bytes = update_bytes(gateway.settings.capacity.link_mbps, members.len());
-    let lists = beliefs.domain.writer.changes(&beliefs.backends, bytes / 2 / LISTED_BYTES, now);
-    let fleet = beliefs.domain.writer.news_loads(fleet, bytes / 2 / LOAD_BYTES);
-    let times = beliefs.times.told();
+    let lists =
+        beliefs.domain.writer.list_changes(&beliefs.backends, bytes / 2 / LISTED_BYTES, now);
+    let fleet = beliefs.domain.writer.loads_to_send(fleet, bytes / 2 / LOAD_BYTES);
+    let times = beliefs.times.take_report();
     let is_shortened = times.is_shortened | std::mem::take(&mut beliefs.domain.shorter);
     let times = ReportedTimes { is_shortened, ..times };
     let vm = gateway.settings.vm.clone();
-    let standings = beliefs.limiter.standings(now);
+    let standings = beliefs.limiter.bucket_states(now);
     let uses = beliefs.limiter.sums(now);
     let in_domain = beliefs.reporting_members(&gateway.settings, now);
     let in_touch = in_domain + beliefs.domain.reporting_elsewhere(now);
@@ -248,7 +249,7 @@
             beliefs.backends.fleet_load(load.server.as_str(), load.figure(), now);
         }
         beliefs.domain.reporting = Some((update.in_touch, now));
-        beliefs.limiter.stand(now, &update.standings);
+        beliefs.limiter.set_bucket_states(now, &update.standings);
     }
     drop(beliefs);
     peer::apply_lists(gateway, update.lists);
@@ -261,7 +262,7 @@
     let mut beliefs = gateway.beliefs();
     beliefs.roster.record_aggregator(&sums.vm);
     let loads = sums.loads.iter().map(|load| (load.server.clone(), load.figure())).collect();
-    beliefs.domain.writer.take_sums(&sums.vm, loads, now);
+    beliefs.domain.writer.set_sums(&sums.vm, loads, now);
     beliefs.domain.record_domain(&sums.vm, sums.members, now);
-    beliefs.limiter.domain_use(now, &sums.vm, &sums.uses);
+    beliefs.limiter.apply_domain_report(now, &sums.vm, &sums.uses);
 }
--- a/gateway/src/charge.rs
+++ b/gateway/src/charge.rs
@@ -67,7 +67,7 @@
     /// Returns the charge to the limit. Only for a request that certainly did not run.
     pub(crate) fn refund(&self, gateway: &Gateway) {
         let mut view = gateway.beliefs();
-        view.limiter.give_back(clock::now(), self.customer.as_str(), self.cost);
+        view.limiter.refund(clock::now(), self.customer.as_str(), self.cost);
         view.untold_uses = true;
     }
 }
--- a/gateway/src/confirm.rs
+++ b/gateway/src/confirm.rs
@@ -96,7 +96,7 @@
     let own = beliefs.table.as_ref().map_or(0, |table| table.version.0);
     if answer.config == own {
         let age = Duration::from_millis(answer.age_ms);
-        beliefs.confirmation.told(answer.question.asked, age, now);
+        beliefs.confirmation.confirmed_by_peer(answer.question.asked, age, now);
     }
     drop(beliefs);
     if answer.config > own {
--- a/gateway/src/find.rs
+++ b/gateway/src/find.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfoothook_decision::choice::{ServerChoice, ServerRequirements, longest_wait};
+use coltsfoothook_decision::choice::{ServerChoice, ServerRequirements, max_wait};
 use coltsfoothook_decision::id::{ServerName, TimePoint};
 use coltsfoothook_decision::routing::{AdapterKey, ModelNeed};
 use coltsfoothook_telemetry::event;
@@ -40,7 +40,7 @@
 pub(crate) async fn find_server(run: &mut RequestRun) -> Result<ServerName, &'static str> {
     let gateway = Arc::clone(&run.gateway);
     let from = clock::now();
-    let max_wait = longest_wait(run.left().min(run.request.route.silence()));
+    let max_wait = max_wait(run.left().min(run.request.route.idle_timeout()));
     let max_hold = run.request.route.target.mul_f64(MAX_HOLD_FRACTION);
     let (held_before, mut unserved_from) = (run.held, None);
     // Counts the request among those that wait for its adapter until a server is found.
@@ -143,20 +143,20 @@
     let need = run.request.head.need.as_ref();
     let key = need.and_then(|need| need.adapter.as_ref());
     let (oldest, newest) = key.map_or((0, 0), |key| view.usable_versions(run, key, now));
-    let not = run.avoided.clone();
+    let excluded = run.avoided.clone();
     let domain = &run.gateway.settings.domain;
-    let gap = view.table.as_ref().and_then(|table| table.least_gap(&run.request.service));
-    let server_need = |not, version| ServerRequirements {
+    let gap = view.table.as_ref().and_then(|table| table.min_gap(&run.request.service));
+    let server_need = |excluded, version| ServerRequirements {
         service: &run.request.service,
         model: need.map(|need| &need.model),
         adapter: key.map(|key| (key, version)),
-        not,
+        excluded,
         domain,
         shared: need.map(ModelNeed::shared).unwrap_or_default(),
         prompt: run.prompt_tokens(),
         gap: gap.filter(|_| may_hold),
     };
-    let choice = view.backends.choose(&server_need(&not, oldest), draw, now);
+    let choice = view.backends.choose(&server_need(&excluded, oldest), draw, now);
     let Some(key) = key else { return (choice, None) };
     match &choice {
         ServerChoice::Send { copy: Some(server), .. }
@@ -166,7 +166,7 @@
         }
         ServerChoice::Send { copy: None, .. } if oldest < newest => {
             // The request runs on the previous version while the new one is loaded at another server.
-            let newer_choice = view.backends.choose(&server_need(&not, newest), draw, now);
+            let newer_choice = view.backends.choose(&server_need(&excluded, newest), draw, now);
             let load_request = match newer_choice {
                 ServerChoice::Load { server } => Some((key.clone(), newest, server)),
                 _ => None,
@@ -176,10 +176,10 @@
         ServerChoice::Load { server } => {
             let mut server = server.clone();
             // While the store is crowded, a load request queues there whichever server it names: no other is tried.
-            if !view.forecast(now).is_crowded()
+            if !view.forecast(now).is_saturated()
                 && let Some(slow) = view.wishes.overdue(key, now)
             {
-                let excluded = [not.as_slice(), std::slice::from_ref(&slow)].concat();
+                let excluded = [excluded.as_slice(), std::slice::from_ref(&slow)].concat();
                 let other = view.backends.choose(&server_need(&excluded, oldest), draw, now);
                 server = view.backends.load_elsewhere(slow, &other, now);
             }
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -204,7 +204,7 @@
     }
     event!(ConfigInForce, version = table.version, before? = before, routes = table.route_count(),);
     if let Some(before) = beliefs.table.clone() {
-        beliefs.wrong_keys.replaced(&before, &table);
+        beliefs.wrong_keys.apply_config(&before, &table);
     }
     let limits = table.customers().plans().iter();
     let limits = limits.filter_map(|plan| Some((plan.name.clone(), plan.limit?)));
@@ -387,17 +387,17 @@
     /// Records an own read of the entries up to an offset. `reported` are the changes to report if
     /// this VM reads for others, `None` if they are not to be reported.
     fn record_entry_read(&mut self, up_to: u64, reported: Option<EntryChanges>) {
-        self.coverage.looked(up_to);
+        self.coverage.record_read(up_to);
         self.missed_entries = false;
         match reported {
-            Some(changes) => self.entry_history.look(up_to, changes),
-            None => self.entry_history.untold(up_to),
+            Some(changes) => self.entry_history.add_read(up_to, changes),
+            None => self.entry_history.restart(up_to),
         }
     }
 
     /// Applies an entry and returns whether it changes where requests can go.
     pub(crate) fn apply_entry(&mut self, entry: &BackendEntry, now: TimePoint) -> bool {
-        match self.backends.entry(entry.clone(), now) {
+        match self.backends.apply_entry(entry.clone(), now) {
             EntryChange::Appeared => {
                 event!(
                     ServerSeen,
--- a/gateway/src/news.rs
+++ b/gateway/src/news.rs
@@ -95,7 +95,7 @@
     let mut beliefs = gateway.beliefs();
     let known_at = |age_ms: u32| TimePoint(now.0.saturating_sub(u64::from(age_ms) * 1_000));
     beliefs.operators_known_at = beliefs.operators_known_at.max(known_at(update.operators_age_ms));
-    if beliefs.coverage.told(update.span) {
+    if beliefs.coverage.apply_report(update.span) {
         beliefs.entries_known_at = beliefs.entries_known_at.max(known_at(update.servers_age_ms));
     } else if !reads && !beliefs.missed_entries {
         // Without an own read this VM would go on sending to a removed server.
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -90,7 +90,7 @@
         let entry = &mut self.trackers[at];
         entry.requesters.retain(|(vm, _)| *vm != waiting.vm);
         entry.requesters.push((waiting.vm.clone(), now));
-        entry.tracker.wish(key, version, waiting, now);
+        entry.tracker.request_load(key, version, waiting, now);
     }
 
     /// Returns the tracker of a server, if it is for the incarnation `incarnation`.
@@ -132,13 +132,13 @@
             at
         });
         self.trackers[at].fence = fence;
-        self.trackers[at].tracker.set_places(slots);
+        self.trackers[at].tracker.set_slots(slots);
         at
     }
 
     /// Returns the servers at which adapter loads are requested.
     fn with_load_requests(&self) -> Vec<ServerName> {
-        let requested = self.trackers.iter().filter(|entry| entry.tracker.has_wishes());
+        let requested = self.trackers.iter().filter(|entry| entry.tracker.has_load_requests());
         requested.map(|entry| entry.server.clone()).collect()
     }
 
@@ -282,7 +282,7 @@
 
     /// Returns the expected duration of a load that is ordered now.
     pub(crate) fn forecast(&self, now: TimePoint) -> LoadForecast {
-        self.times.forecast(self.backends.loads_under_way(now))
+        self.times.forecast(self.backends.loads_in_flight(now))
     }
 
     /// Returns the parameters for ordering a server, `None` if this VM may not order it now.
@@ -330,7 +330,7 @@
         if !due || !entry.tracker.is_known() {
             return None;
         }
-        let times = self.times.told();
+        let times = self.times.take_report();
         let requesters = if changed { entry.requesters(now) } else { Vec::new() };
         entry.reported_revision = entry.tracker.revision();
         entry.reported_at = now;
@@ -354,7 +354,7 @@
             at: now,
             free,
         };
-        self.backends.list(change.server.as_str(), owner, change.revision, holdings);
+        self.backends.apply_list(change.server.as_str(), owner, change.revision, holdings);
         Some(DueList { lists: server_lists(vec![change], times), requesters })
     }
 }
@@ -413,7 +413,12 @@
             let mut beliefs = gateway.beliefs();
             let forecast = beliefs.forecast(now);
             if let Some(report) = &report
-                && beliefs.backends.reborn(server.as_str(), report.incarnation, &report.models, now)
+                && beliefs.backends.start_incarnation(
+                    server.as_str(),
+                    report.incarnation,
+                    &report.models,
+                    now,
+                )
             {
                 event!(
                     ServerRestarted,
@@ -468,15 +473,15 @@
     let mut beliefs = gateway.beliefs();
     let mut forecast = beliefs.forecast(now);
     if reply == OrderReply::Accepted && matches!(order.action, OrderAction::LoadAdapter { .. }) {
-        forecast = beliefs.times.early_look(forecast);
+        forecast = beliefs.times.early_check(forecast);
     }
     if reply == OrderReply::Fenced {
         beliefs.tenure.refused(fence);
     }
     if matches!(reply, OrderReply::Lost | OrderReply::Unsent)
-        && beliefs.backends.is_life(server.as_str(), incarnation)
+        && beliefs.backends.is_current_incarnation(server.as_str(), incarnation)
     {
-        beliefs.backends.unreachable(server.as_str(), now);
+        beliefs.backends.mark_unreachable(server.as_str(), now);
     }
     let Some(tracker) = beliefs.books.of_incarnation(server, incarnation) else { return };
     tracker.replied(order, reply, &forecast, now);
@@ -508,7 +513,7 @@
 fn may_send(gateway: &Gateway, server: &ServerName, incarnation: u64, order: &ServerOrder) -> bool {
     // The count of accepted orders that the order states belongs to one incarnation. Another one
     // may have reached the same count.
-    if !gateway.beliefs().backends.is_life(server.as_str(), incarnation) {
+    if !gateway.beliefs().backends.is_current_incarnation(server.as_str(), incarnation) {
         return false;
     }
     // The lease may have ended since the decision, for example while the VM was suspended.
@@ -557,18 +562,20 @@
             continue;
         };
         let report = ReportedUse { vm, begun: used.count, running: used.running };
-        tracker.used(&used.key, &report, now);
+        tracker.record_use(&used.key, &report, now);
         let ordered = tracker.ordered(&used.key);
         if used.too_early {
-            tracker.too_early(&used.key, now);
+            tracker.record_too_early(&used.key, now);
         }
         match ordered {
-            Some(load) if used.too_early => beliefs.times.too_early(load, now.since(load.at)),
-            Some(load) if used.in_time => beliefs.times.in_time(load),
+            Some(load) if used.too_early => {
+                beliefs.times.record_too_early(load, now.since(load.at))
+            }
+            Some(load) if used.in_time => beliefs.times.record_hit(load),
             _ => {}
         }
         if used.missing {
-            tracker.missing(&used.key, now);
+            tracker.record_missing(&used.key, now);
         }
     }
     // An adapter that is idle now may be evicted in favour of a requested one.
--- a/gateway/src/outcome.rs
+++ b/gateway/src/outcome.rs
@@ -69,7 +69,7 @@
         let mut view = run.gateway.beliefs();
         let good = !failed && body.is_ok();
         let latency_us = good.then_some(latency.as_micros() as f64);
-        if view.backends.is_life(server.as_str(), run.incarnation) {
+        if view.backends.is_current_incarnation(server.as_str(), run.incarnation) {
             view.backends.answered(server.as_str(), good, latency_us);
         }
     }
@@ -116,7 +116,7 @@
         usable_ms? = usable_from.map(|from| now.since(from) / 1_000),
         known = head.id.is_some(),
     );
-    if !view.backends.is_life(server.as_str(), run.incarnation) {
+    if !view.backends.is_current_incarnation(server.as_str(), run.incarnation) {
         // The server has restarted since. The refusal says nothing about its present incarnation.
         return NextStep::Retry(Duration::ZERO);
     }
@@ -125,7 +125,7 @@
         return misdirected(run, server, key.as_ref(), usable_from);
     }
     // The server is full or is replacing the adapter's version; it may accept requests again shortly.
-    view.backends.full(server.as_str(), now);
+    view.backends.mark_full(server.as_str(), now);
     drop(view);
     if key.is_none() {
         run.avoided.push(server.clone());
@@ -158,7 +158,7 @@
         view.uses.met(server, run.incarnation, key, |used| used.missing = true);
         return NextStep::Retry(Duration::ZERO);
     }
-    view.backends.unreachable(server.as_str(), now);
+    view.backends.mark_unreachable(server.as_str(), now);
     drop(view);
     run.avoided.push(server.clone());
     NextStep::Retry(Duration::ZERO)
--- a/gateway/src/peer.rs
+++ b/gateway/src/peer.rs
@@ -198,7 +198,7 @@
         return;
     }
     let uses =
-        if untold_uses { Some(beliefs.limiter.tell(now, gateway.incarnation)) } else { None };
+        if untold_uses { Some(beliefs.limiter.report(now, gateway.incarnation)) } else { None };
     let load = |server: ServerName| {
         let figure = beliefs.backends.own_load(server.as_str());
         ServerLoad::of((server, figure))
@@ -206,7 +206,7 @@
     let loads: Vec<ServerLoad> = servers.into_iter().map(load).collect();
     let to = if beliefs.roster.is_large(now) {
         for load in &loads {
-            beliefs.backends.told_load(load.server.as_str());
+            beliefs.backends.mark_load_reported(load.server.as_str());
         }
         beliefs.own_aggregator(&gateway.settings, now).into_iter().collect()
     } else {
@@ -233,7 +233,7 @@
         beliefs.backends.peer_load(&update.vm, load.server.as_str(), load.figure(), now);
     }
     if let Some(uses) = &update.uses {
-        beliefs.limiter.member_use(now, &update.vm, uses);
+        beliefs.limiter.apply_member_report(now, &update.vm, uses);
     }
     drop(beliefs);
     gateway.others_read.notify_waiters();
@@ -247,7 +247,7 @@
     beliefs.roster.drop_expired(now);
     beliefs.wishes.drop_expired(now);
     let (seen, known) = beliefs.reporting_counts(gateway, now);
-    beliefs.limiter.in_touch(now, seen, known);
+    beliefs.limiter.set_reachable(now, seen, known);
     let mut to = beliefs.roster.live(now);
     let others = sample(&to, SHARED_PEERS, &mut beliefs.random);
     let large = to.len() > SMALL_FLEET;
@@ -269,14 +269,14 @@
         beliefs.backends.own_loads().into_iter().map(ServerLoad::of).collect();
     if !large {
         state.loads = Some(loads);
-        state.uses = Some(beliefs.limiter.tell(now, gateway.incarnation));
+        state.uses = Some(beliefs.limiter.report(now, gateway.incarnation));
         drop(beliefs);
         gateway.peers.send(&PeerMessage::State(state), &to);
         return;
     }
     let aggregator = beliefs.own_aggregator(&gateway.settings, now);
-    beliefs.backends.told_loads();
-    let uses = aggregator.map(|_| beliefs.limiter.tell(now, gateway.incarnation));
+    beliefs.backends.mark_loads_reported();
+    let uses = aggregator.map(|_| beliefs.limiter.report(now, gateway.incarnation));
     drop(beliefs);
     to.retain(|address| Some(*address) != aggregator);
     gateway.peers.send(&PeerMessage::State(state.clone()), &to);
@@ -365,13 +365,13 @@
     }
     if let Some(loads) = &state.loads {
         // The VM has no requests at servers that are not named.
-        beliefs.backends.peer_gone(&state.vm);
+        beliefs.backends.remove_peer(&state.vm);
         for load in loads {
             beliefs.backends.peer_load(&state.vm, load.server.as_str(), load.figure(), now);
         }
     }
     if let Some(uses) = &state.uses {
-        beliefs.limiter.member_use(now, &state.vm, uses);
+        beliefs.limiter.apply_member_report(now, &state.vm, uses);
     }
     let own = beliefs.table.as_ref().map_or(0, |table| table.version.0);
     drop(beliefs);
@@ -394,7 +394,7 @@
     for change in lists.lists {
         let open = change.adapters.iter().any(|adapter| beliefs.wishes.is_open(&adapter.key));
         let (server, incarnation) = (change.server.clone(), change.incarnation);
-        if beliefs.backends.reborn(server.as_str(), incarnation, &[], now) {
+        if beliefs.backends.start_incarnation(server.as_str(), incarnation, &[], now) {
             event!(ServerRestarted, server = server, born = incarnation, told_by = "vm");
         }
         if beliefs.backends.change(change, now) {
@@ -404,7 +404,7 @@
     }
     if changed {
         beliefs.domain.shorter |= lists.shorter;
-        beliefs.times.heard(ReportedTimes {
+        beliefs.times.apply_report(ReportedTimes {
             alone_us: u64::from(lists.load_us),
             each_us: u64::from(lists.each_us),
             is_shortened: lists.shorter,
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -163,7 +163,7 @@
     /// Records whether the server works and how long it paused, unless it has restarted since.
     fn record_answer(&self, good: bool, pause_us: Option<f64>) {
         let mut view = self.run.gateway.beliefs();
-        if view.backends.is_life(self.server.as_str(), self.run.incarnation) {
+        if view.backends.is_current_incarnation(self.server.as_str(), self.run.incarnation) {
             view.backends.answered(self.server.as_str(), good, pause_us);
         }
     }
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -91,7 +91,7 @@
         let limit = request.head.deadline.unwrap_or(Duration::MAX).min(request.route.timeout);
         let due = request.started.plus(limit.as_micros().try_into().unwrap_or(u64::MAX));
         gateway.open.fetch_add(1, Ordering::Relaxed);
-        gateway.beliefs().budget.first(&request.service, clock::now());
+        gateway.beliefs().budget.record_first(&request.service, clock::now());
         Self {
             gateway,
             request,
@@ -171,7 +171,7 @@
         let now = clock::now();
         let mut view = self.gateway.beliefs();
         let vms = view.vm_count(now);
-        view.budget.again(&self.request.service, vms, now)
+        view.budget.try_repeat(&self.request.service, vms, now)
     }
 
     /// Returns whether a server may have begun to run it: one may have, or a send has no result yet.
--- a/gateway/src/send.rs
+++ b/gateway/src/send.rs
@@ -135,7 +135,7 @@
     let route = &run.request.route;
     let may_go_on = route.repeat == RetryRule::StreamResumable;
     let more_servers = run.ran + 1 < route.max_servers;
-    if may_go_on && more_servers { route.silence().min(whole) } else { whole }
+    if may_go_on && more_servers { route.idle_timeout().min(whole) } else { whole }
 }
 
 /// Classifies an answer or error. An answer counts only with the request's id and the server's seal, not encoded.
@@ -181,9 +181,9 @@
     let mut view = run.gateway.beliefs();
     match end {
         SendEnd::Unsent(_) | SendEnd::Unknown(_)
-            if view.backends.is_life(server.as_str(), run.incarnation) =>
+            if view.backends.is_current_incarnation(server.as_str(), run.incarnation) =>
         {
-            view.backends.unreachable(server.as_str(), now);
+            view.backends.mark_unreachable(server.as_str(), now);
         }
         _ => {}
     }
--- a/gateway/src/sent.rs
+++ b/gateway/src/sent.rs
@@ -67,7 +67,11 @@
         }
         let waited_us = clock::now().since(self.sent_at);
         let mut view = self.gateway.beliefs();
-        view.backends.read(self.server.as_str(), tokens, (self.ahead == 0).then_some(waited_us));
+        view.backends.prompt_processed(
+            self.server.as_str(),
+            tokens,
+            (self.ahead == 0).then_some(waited_us),
+        );
         view.load_changed(&self.server);
         drop(view);
         self.gateway.loads_changed.notify_one();
--- a/gateway/src/share.rs
+++ b/gateway/src/share.rs
@@ -106,7 +106,7 @@
     }
     let entries = state.entries.len();
     for entry in state.entries {
-        beliefs.backends.entry(entry, now);
+        beliefs.backends.apply_entry(entry, now);
     }
     beliefs.entries_read |= entries > 0;
     beliefs.expect_fleet();
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -10,7 +10,7 @@
 use coltsfoothook_decision::domain_update::UPDATE_INTERVAL_US;
 use coltsfoothook_decision::freshness::ConfigConfirmation;
 use coltsfoothook_decision::id::{ServerName, TimePoint, stable_hash};
-use coltsfoothook_decision::lease::{LeaseSettings, OrderLease, judge_outage};
+use coltsfoothook_decision::lease::{LeaseSettings, OrderLease, assess_outage};
 use coltsfoothook_decision::limit::CustomerLimiter;
 use coltsfoothook_decision::loadtime::LoadTimes;
 use coltsfoothook_decision::routing::{AdapterKey, RouteTable};
@@ -340,7 +340,7 @@
         // partitioned from this VM may still reach the server.
         let by_lists = settings.promises.servers_check_fences;
         let other = self.backends.other_owner_at(server.as_str(), &settings.vm);
-        let outage = judge_outage(&self.roster.witnesses(now), now);
+        let outage = assess_outage(&self.roster.witnesses(now), now);
         self.tenure.fence(server, other.filter(|_| by_lists), outage, now)
     }
 
--- a/gateway/tests/unit/told_records.rs
+++ b/gateway/tests/unit/told_records.rs
@@ -42,7 +42,7 @@
     let table = RouteTable::new(ConfigVersion(1), limits, vec![], vec![]);
     gateway.beliefs().table = Some(Arc::new(table));
     gateway.beliefs().roster = fleet(own);
-    gateway.beliefs().coverage.looked(0);
+    gateway.beliefs().coverage.record_read(0);
     gateway
 }
 
--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -423,7 +423,7 @@
                     self.end_call(call, answer.outcome, out);
                 }
                 CallPhase::Revoking { asked } if now.since(asked) > ASK_MS * MICROS_PER_MILLI => {
-                    let answer = ClaimTable::revoked(None);
+                    let answer = ClaimTable::answer_after_revocation(None);
                     self.end_call(call, answer.outcome, out);
                 }
                 CallPhase::Serving if late => {
@@ -533,7 +533,7 @@
             .position(|call| call.id == id && matches!(call.phase, CallPhase::Revoking { .. }));
         let Some(at) = waits else { return };
         let call = self.calls.swap_remove(at);
-        self.end_call(call, ClaimTable::revoked(Some(reply)).outcome, out);
+        self.end_call(call, ClaimTable::answer_after_revocation(Some(reply)).outcome, out);
     }
 
     /// The service answered; an error after it ran has the outcome "unknown".
--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -130,14 +130,14 @@
 /// One decision: the entry VM's choice of group, then its owner's choice of engine and slot.
 fn decide(fleet: &RouteFleet, adapter: &AdapterVersion) -> bool {
     let Ok(groups) = fleet.map.route(adapter.adapter.as_str(), REGION) else { return false };
-    let owner = &fleet.owners[groups[0].place()];
+    let owner = &fleet.owners[groups[0].index()];
     let Some(number) = owner.adapter_index(adapter) else { return false };
     let query = SlotQuery {
         class: RequestClass::Urgent,
-        standing: SuspectVerdict::Clear,
+        verdict: SuspectVerdict::Clear,
         prefix: 0,
         avoid: &[],
-        confined: None,
+        allowed_engines: None,
     };
     std::hint::black_box(owner.choose(TimePoint(1), number, &query)).is_some()
 }
--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -56,7 +56,7 @@
         let mut wanted: Vec<Vec<AdapterVersion>> = vec![Vec::new(); self.owners.len()];
         for (number, entry) in manifest.adapters.iter().enumerate() {
             let Ok(groups) = self.map.route(entry.name.as_str(), REGION) else { continue };
-            wanted[groups[0].place()].push(Self::adapter(number as u32));
+            wanted[groups[0].index()].push(Self::adapter(number as u32));
         }
         let mut rng = Pcg64::seed_from_u64(1);
         for (at, adapters) in wanted.iter().enumerate() {
--- a/load/src/ownership.rs
+++ b/load/src/ownership.rs
@@ -89,7 +89,7 @@
         out: &mut Vec<VmOutput>,
     ) {
         for server in &group.servers {
-            let draining = self.control.server_drains(server.as_str());
+            let draining = self.control.is_server_draining(server.as_str());
             let event = OwnerEvent::ServerDraining { server: server.clone(), draining };
             self.owner(now, &group.name, epoch, event, rng, out);
         }
--- a/load/src/vm.rs
+++ b/load/src/vm.rs
@@ -293,7 +293,7 @@
             self.fold(now, offset, record, rng, out);
         }
         if stream == LogStream::Jobs && end {
-            self.jobs.caught_up();
+            self.jobs.set_caught_up();
         }
         if !end {
             self.reading[stream as usize] = true;
@@ -442,7 +442,7 @@
     }
 
     fn ask_catch_up(&mut self, now: TimePoint, rng: &mut dyn Rng, out: &mut Vec<VmOutput>) {
-        let behind = !self.log_up || !self.config.whole() || !self.control.whole();
+        let behind = !self.log_up || !self.config.is_complete() || !self.control.is_complete();
         if !behind || now.since(self.caught_up) < CATCH_UP_MS * MICROS_PER_MILLI {
             return;
         }
--- a/operator/src/face.rs
+++ b/operator/src/face.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coltsfoothook_decision::check::{NAME_RULE, is_good_name};
+use coltsfoothook_decision::check::{NAME_RULE, is_valid_name};
 use coltsfoothook_decision::id::{RequestFingerprint, RequestId};
 use coltsfoothook_telemetry::event;
 use dropshot::Body;
@@ -174,7 +174,7 @@
         // would do it here has streams to serve.
         let parsed = tokio::task::spawn_blocking(move || parse_json::<PublishCall>(&body)).await;
         let call = parsed.map_err(|_| internal("the body could not be parsed"))??;
-        if !is_good_name(&call.publish_id) {
+        if !is_valid_name(&call.publish_id) {
             let detail = format!("publish_id: it is not allowed; allowed: {NAME_RULE}");
             return Err(OperatorProblem::new(ProblemReason::MalformedRequest, detail));
         }
@@ -188,7 +188,7 @@
         name: &str,
         request: Request<Body>,
     ) -> Result<Response<Body>, OperatorProblem> {
-        if !is_good_name(name) {
+        if !is_valid_name(name) {
             return Err(OperatorProblem::new(ProblemReason::MalformedRequest, NAME_RULE));
         }
         let call: DrainCall = parse_json(&self.read_body(request).await?)?;
--- a/settings/src/value.rs
+++ b/settings/src/value.rs
@@ -5,7 +5,7 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-use coltsfoothook_decision::check::{NAME_RULE, is_good_name};
+use coltsfoothook_decision::check::{NAME_RULE, is_valid_name};
 use coltsfoothook_decision::id::{DomainName, RegionName, VmName};
 
 use crate::document::join_path;
@@ -186,7 +186,7 @@
             }
 
             fn check_value(&self, key: &str, faults: &mut FaultList) {
-                if !self.is_unset() && !is_good_name(self.as_str()) {
+                if !self.is_unset() && !is_valid_name(self.as_str()) {
                     faults.add(key, "the name is not allowed", NAME_RULE);
                 }
             }
