--- a/gateway/src/admit.rs
+++ b/gateway/src/admit.rs
@@ -78,7 +78,7 @@
         Judgement::Admitted(request) => Ok(request),
         Judgement::Unconfirmed(refusal) => Err(refusal),
         Judgement::Unknown => {
-            let mut view = gateway.beliefs();
+            let mut view = gateway.view();
             let config = view.table.as_ref().map_or(0, |table| table.version.0);
             if let Some(key) = key.filter(|_| confirmed) {
                 view.wrong_keys.insert(*key);
@@ -97,7 +97,7 @@
 fn is_wrong(gateway: &Gateway, key: Option<&CredentialHash>) -> bool {
     let due =
         Duration::from_millis(gateway.settings.promises.config_ms).mul_f64(WRONG_KEY_FRACTION);
-    let view = gateway.beliefs();
+    let view = gateway.view();
     let age = view.confirmation.age(clock::now());
     age.is_some_and(|age| age < due) && key.is_none_or(|key| view.wrong_keys.contains(key))
 }
@@ -115,7 +115,7 @@
     key: Option<&CredentialHash>,
     find: &impl Fn(&RouteTable) -> Option<ServingRoute>,
 ) -> Result<Judgement, Refusal> {
-    let view = gateway.beliefs();
+    let view = gateway.view();
     let Some(table) = view.table.clone() else {
         return Err(try_another_vm("no_configuration", 0));
     };
--- a/gateway/src/aggregate.rs
+++ b/gateway/src/aggregate.rs
@@ -22,7 +22,7 @@
 use crate::peer;
 use crate::roster::SMALL_FLEET;
 use crate::settings::{CapacitySettings, GatewaySettings};
-use crate::state::{Beliefs, Gateway};
+use crate::state::{Gateway, SystemView};
 
 /// How long an aggregator counts as active after its last update, in microseconds: two updates may
 /// be lost.
@@ -111,7 +111,7 @@
     }
 }
 
-impl Beliefs {
+impl SystemView {
     /// Returns how many VMs currently report their customers' use to each other, this one included,
     /// and how many are known.
     pub(crate) fn reporting_counts(&self, gateway: &Gateway, now: TimePoint) -> (usize, usize) {
@@ -158,7 +158,7 @@
 }
 
 /// Runs for ever, sending updates to the domain while this VM aggregates.
-pub(crate) async fn tell(gateway: Arc<Gateway>) {
+pub(crate) async fn run_aggregator(gateway: Arc<Gateway>) {
     loop {
         sleep(Duration::from_micros(UPDATE_INTERVAL_US)).await;
         if update_role(&gateway) {
@@ -170,19 +170,18 @@
 /// Determines whether this VM aggregates, and reports changes of that to the others.
 fn update_role(gateway: &Arc<Gateway>) -> bool {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let large = beliefs.roster.is_large(now);
+    let mut view = gateway.view();
+    let large = view.roster.is_large(now);
     if !large {
-        beliefs.large_since = now;
+        view.large_since = now;
     }
-    let aggregates =
-        large && !gateway.leaving() && beliefs.should_aggregate(&gateway.settings, now);
-    let changes = aggregates != beliefs.domain.aggregates;
-    beliefs.domain.aggregates = aggregates;
+    let aggregates = large && !gateway.leaving() && view.should_aggregate(&gateway.settings, now);
+    let changes = aggregates != view.domain.aggregates;
+    view.domain.aggregates = aggregates;
     if changes && aggregates {
-        beliefs.limiter.start_aggregating(now);
+        view.limiter.start_aggregating(now);
     }
-    drop(beliefs);
+    drop(view);
     if changes {
         event!(DomainAggregated, domain = gateway.settings.domain, aggregates = aggregates);
         peer::report_to_all(gateway);
@@ -192,40 +191,39 @@
 
 fn send_updates(gateway: &Arc<Gateway>) {
     let now = clock::now();
-    let mut guard = gateway.beliefs();
-    let beliefs = &mut *guard;
-    let domain = beliefs.backends.member_loads(now);
-    let fleet = beliefs.domain.writer.fleet_loads(&domain, now);
+    let mut guard = gateway.view();
+    let view = &mut *guard;
+    let domain = view.backends.member_loads(now);
+    let fleet = view.domain.writer.fleet_loads(&domain, now);
     for (server, figure) in &fleet {
-        beliefs.backends.fleet_load(server.as_str(), *figure, now);
+        view.backends.fleet_load(server.as_str(), *figure, now);
     }
-    beliefs.backends.mark_loads_reported();
-    let members = beliefs.roster.in_domain(&gateway.settings.domain, now);
+    view.backends.mark_loads_reported();
+    let members = view.roster.in_domain(&gateway.settings.domain, now);
     let bytes = update_bytes(gateway.settings.capacity.link_mbps, members.len());
-    let lists =
-        beliefs.domain.writer.list_changes(&beliefs.backends, bytes / 2 / LISTED_BYTES, now);
-    let fleet = beliefs.domain.writer.loads_to_send(fleet, bytes / 2 / LOAD_BYTES);
-    let times = beliefs.times.take_report();
-    let is_shortened = times.is_shortened | std::mem::take(&mut beliefs.domain.shorter);
+    let lists = view.domain.writer.list_changes(&view.backends, bytes / 2 / LISTED_BYTES, now);
+    let fleet = view.domain.writer.loads_to_send(fleet, bytes / 2 / LOAD_BYTES);
+    let times = view.times.take_report();
+    let is_shortened = times.is_shortened | std::mem::take(&mut view.domain.shorter);
     let times = ReportedTimes { is_shortened, ..times };
     let vm = gateway.settings.vm.clone();
-    let standings = beliefs.limiter.bucket_states(now);
-    let uses = beliefs.limiter.sums(now);
-    let in_domain = beliefs.reporting_members(&gateway.settings, now);
-    let in_touch = in_domain + beliefs.domain.reporting_elsewhere(now);
-    let aggregators = beliefs.roster.aggregators(now);
+    let bucket_states = view.limiter.bucket_states(now);
+    let uses = view.limiter.sums(now);
+    let in_domain = view.reporting_members(&gateway.settings, now);
+    let reachable_vms = in_domain + view.domain.reporting_elsewhere(now);
+    let aggregators = view.roster.aggregators(now);
     drop(guard);
     let mut loads = server_loads(fleet);
     for part in split_lists(lists) {
         let (loads, lists) = (std::mem::take(&mut loads), server_lists(part, times));
-        let standings = standings.clone();
-        let update = DomainUpdate { vm: vm.clone(), loads, lists, standings, in_touch };
+        let bucket_states = bucket_states.clone();
+        let update = DomainUpdate { vm: vm.clone(), loads, lists, bucket_states, reachable_vms };
         gateway.peers.send(&PeerMessage::Domain(update), &members);
     }
     let busy = domain.into_iter().filter(|(_, figure)| *figure != LoadFigure::default());
     let sums = DomainSums { vm, loads: server_loads(busy.collect()), uses, members: in_domain };
     gateway.peers.send(&PeerMessage::Sums(sums), &aggregators);
-    gateway.others_read.notify_waiters();
+    gateway.peer_loads_changed.notify_waiters();
 }
 
 /// Returns the bytes that one update may use for each of `members` VMs.
@@ -241,28 +239,28 @@
 /// Applies an update from an aggregator of this domain.
 pub(crate) fn apply_update(gateway: &Arc<Gateway>, update: DomainUpdate) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    beliefs.domain.record_update(&update.vm, now);
-    beliefs.roster.record_aggregator(&update.vm);
-    if !beliefs.domain.aggregates {
+    let mut view = gateway.view();
+    view.domain.record_update(&update.vm, now);
+    view.roster.record_aggregator(&update.vm);
+    if !view.domain.aggregates {
         for load in &update.loads {
-            beliefs.backends.fleet_load(load.server.as_str(), load.figure(), now);
+            view.backends.fleet_load(load.server.as_str(), load.figure(), now);
         }
-        beliefs.domain.reporting = Some((update.in_touch, now));
-        beliefs.limiter.set_bucket_states(now, &update.standings);
+        view.domain.reporting = Some((update.reachable_vms, now));
+        view.limiter.set_bucket_states(now, &update.bucket_states);
     }
-    drop(beliefs);
+    drop(view);
     peer::apply_lists(gateway, update.lists);
-    gateway.others_read.notify_waiters();
+    gateway.peer_loads_changed.notify_waiters();
 }
 
 /// Applies the sums of another domain.
 pub(crate) fn apply_sums(gateway: &Arc<Gateway>, sums: &DomainSums) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    beliefs.roster.record_aggregator(&sums.vm);
+    let mut view = gateway.view();
+    view.roster.record_aggregator(&sums.vm);
     let loads = sums.loads.iter().map(|load| (load.server.clone(), load.figure())).collect();
-    beliefs.domain.writer.set_sums(&sums.vm, loads, now);
-    beliefs.domain.record_domain(&sums.vm, sums.members, now);
-    beliefs.limiter.apply_domain_report(now, &sums.vm, &sums.uses);
+    view.domain.writer.set_sums(&sums.vm, loads, now);
+    view.domain.record_domain(&sums.vm, sums.members, now);
+    view.limiter.apply_domain_report(now, &sums.vm, &sums.uses);
 }
--- a/gateway/src/charge.rs
+++ b/gateway/src/charge.rs
@@ -39,11 +39,11 @@
     ) -> Result<Option<Self>, Refusal> {
         let Some(customer) = customer.cloned() else { return Ok(None) };
         let now = clock::now();
-        let mut view = gateway.beliefs();
+        let mut view = gateway.view();
         let Some(cost) = view.limiter.cost(customer.as_str(), need) else { return Ok(None) };
         let admitted = view.limiter.admit(now, customer.as_str(), cost);
-        view.untold_uses = true;
-        let random = view.draw();
+        view.uses_changed = true;
+        let random = view.random();
         drop(view);
         gateway.loads_changed.notify_one();
         let Err(refusal) = admitted else { return Ok(Some(Self { customer, cost })) };
@@ -59,15 +59,15 @@
 
     /// Charges the request again, for a further run.
     pub(crate) fn charge_again(&self, gateway: &Gateway) {
-        let mut view = gateway.beliefs();
+        let mut view = gateway.view();
         view.limiter.charge(clock::now(), self.customer.as_str(), self.cost);
-        view.untold_uses = true;
+        view.uses_changed = true;
     }
 
     /// Returns the charge to the limit. Only for a request that certainly did not run.
     pub(crate) fn refund(&self, gateway: &Gateway) {
-        let mut view = gateway.beliefs();
+        let mut view = gateway.view();
         view.limiter.refund(clock::now(), self.customer.as_str(), self.cost);
-        view.untold_uses = true;
+        view.uses_changed = true;
     }
 }
--- a/gateway/src/confirm.rs
+++ b/gateway/src/confirm.rs
@@ -32,17 +32,17 @@
 const UNKNOWN_KEY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Runs for ever, querying other VMs whenever the last confirmation gets old.
-pub(crate) async fn keep(gateway: Arc<Gateway>) {
+pub(crate) async fn keep_confirmed(gateway: Arc<Gateway>) {
     let mut valid = true;
     loop {
         sleep(CHECK_INTERVAL).await;
         let now = clock::now();
         query_peers(&gateway, now);
-        let beliefs = gateway.beliefs();
-        let is_valid = beliefs.confirmation.is_valid(now);
-        let age_ms = beliefs.confirmation.age(now).map(|age| age.as_millis());
-        let needed = beliefs.has_customers();
-        drop(beliefs);
+        let view = gateway.view();
+        let is_valid = view.confirmation.is_valid(now);
+        let age_ms = view.confirmation.age(now).map(|age| age.as_millis());
+        let needed = view.has_customers();
+        drop(view);
         if needed && is_valid != valid {
             event!(ConfigConfirmed, valid = is_valid, age_ms? = age_ms);
         }
@@ -51,24 +51,24 @@
 }
 
 fn query_peers(gateway: &Gateway, now: TimePoint) {
-    let mut beliefs = gateway.beliefs();
-    let need = beliefs.confirmation.need(now);
-    if !beliefs.has_customers() || need == ConfirmationNeed::None {
+    let mut view = gateway.view();
+    let need = view.confirmation.need(now);
+    if !view.has_customers() || need == ConfirmationNeed::None {
         return;
     }
-    let readers = beliefs.roster.readers(READERS, now);
+    let readers = view.roster.readers(READERS, now);
     let mut to: Vec<SocketAddr> = match need {
         ConfirmationNeed::Urgent => readers,
-        _ => readers.choose(&mut beliefs.random).copied().into_iter().collect(),
+        _ => readers.choose(&mut view.rng).copied().into_iter().collect(),
     };
     if need == ConfirmationNeed::Urgent {
-        let mut others = beliefs.roster.live(now);
-        others.shuffle(&mut beliefs.random);
+        let mut others = view.roster.live(now);
+        others.shuffle(&mut view.rng);
         to.extend(others.into_iter().take(URGENT_QUERIED));
         to.sort_unstable();
         to.dedup();
     }
-    drop(beliefs);
+    drop(view);
     let question = ConfirmationQuestion { incarnation: gateway.incarnation, asked: now };
     gateway.peers.send(&PeerMessage::Question(question), &to);
 }
@@ -76,10 +76,10 @@
 /// Answers another VM's query with this VM's configuration version and the age of its confirmation;
 /// sends nothing if it was never confirmed.
 pub(crate) fn answer_question(gateway: &Gateway, question: ConfirmationQuestion, from: SocketAddr) {
-    let beliefs = gateway.beliefs();
-    let Some(age) = beliefs.confirmation.age(clock::now()) else { return };
-    let config = beliefs.table.as_ref().map_or(0, |table| table.version.0);
-    drop(beliefs);
+    let view = gateway.view();
+    let Some(age) = view.confirmation.age(clock::now()) else { return };
+    let config = view.table.as_ref().map_or(0, |table| table.version.0);
+    drop(view);
     // Rounded up: a confirmation must not get younger by being forwarded.
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX).saturating_add(1);
     let answer = ConfirmationAnswer { question, config, age_ms };
@@ -92,13 +92,13 @@
     if answer.question.incarnation != gateway.incarnation {
         return;
     }
-    let mut beliefs = gateway.beliefs();
-    let own = beliefs.table.as_ref().map_or(0, |table| table.version.0);
+    let mut view = gateway.view();
+    let own = view.table.as_ref().map_or(0, |table| table.version.0);
     if answer.config == own {
         let age = Duration::from_millis(answer.age_ms);
-        beliefs.confirmation.confirmed_by_peer(answer.question.asked, age, now);
+        view.confirmation.confirmed_by_peer(answer.question.asked, age, now);
     }
-    drop(beliefs);
+    drop(view);
     if answer.config > own {
         gateway.config_behind.notify_waiters();
     } else {
@@ -113,7 +113,7 @@
     let wait = async {
         loop {
             let confirmed = gateway.confirmed.notified();
-            if gateway.beliefs().confirmation.covers(moment) {
+            if gateway.view().confirmation.covers(moment) {
                 return;
             }
             let pause = request_query(gateway, clock::now());
@@ -126,13 +126,13 @@
 /// Requests a query to the store, unless one was requested within [`UNKNOWN_KEY_INTERVAL`]. Returns
 /// the time until the next may be requested.
 fn request_query(gateway: &Gateway, now: TimePoint) -> Duration {
-    let mut beliefs = gateway.beliefs();
-    let since = beliefs.unknown_key_queried_at.map(|at| Duration::from_micros(now.since(at)));
+    let mut view = gateway.view();
+    let since = view.unknown_key_queried_at.map(|at| Duration::from_micros(now.since(at)));
     if let Some(since) = since.filter(|since| *since < UNKNOWN_KEY_INTERVAL) {
         return UNKNOWN_KEY_INTERVAL - since;
     }
-    beliefs.unknown_key_queried_at = Some(now);
-    drop(beliefs);
+    view.unknown_key_queried_at = Some(now);
+    drop(view);
     gateway.unknown_key_seen.notify_one();
     UNKNOWN_KEY_INTERVAL
 }
--- a/gateway/src/face.rs
+++ b/gateway/src/face.rs
@@ -22,7 +22,7 @@
 use crate::clock;
 use crate::forward;
 use crate::link::StoreCall;
-use crate::share::{SHARED_PATH, TABLE_QUERY, shared_body};
+use crate::record_exchange::{SHARED_PATH, TABLE_QUERY, shared_body};
 use crate::state::Gateway;
 
 /// Connections that the kernel queues until they are accepted. In a burst beyond it SYN packets are dropped, and
@@ -103,7 +103,7 @@
 
 /// Returns the request addresses of the VMs that are ready, this one among them.
 fn addresses(gateway: &Gateway) -> Vec<SocketAddr> {
-    let mut addresses = gateway.beliefs().roster.ready(clock::now());
+    let mut addresses = gateway.view().roster.ready(clock::now());
     if gateway.ready() {
         addresses.push(gateway.settings.listen.requests);
     }
@@ -121,11 +121,11 @@
         let gateway = &self.0;
         let now = clock::now();
         {
-            let view = gateway.beliefs();
+            let view = gateway.view();
             gateway.metrics.set("servers", view.backends.servers().len());
             gateway.metrics.set("vms", view.vm_count(now));
-            gateway.metrics.set("shares", view.tenure.held());
-            gateway.metrics.set("ordered_servers", view.books.servers().len());
+            gateway.metrics.set("shares", view.lease.held());
+            gateway.metrics.set("ordered_servers", view.order_trackers.servers().len());
             let version = view.table.as_ref().map_or(0, |table| table.version.0);
             gateway.metrics.set("configuration", usize::try_from(version).unwrap_or(usize::MAX));
             for (kind, bytes) in gateway.peers.sent_bytes() {
@@ -238,7 +238,7 @@
         event!(AcceptFailed, cause = error);
         return;
     }
-    let table = gateway.beliefs().table.clone();
+    let table = gateway.view().table.clone();
     let idle =
         table.as_ref().map_or(INITIAL_IDLE_TIME, |table| table.limits.idle_time + IDLE_MARGIN);
     let head = table.as_ref().map_or(MIN_HEAD_BYTES * 2, |table| table.limits.head_bytes * 2);
--- a/gateway/src/find.rs
+++ b/gateway/src/find.rs
@@ -11,12 +11,12 @@
 use tokio::time::{sleep, timeout};
 
 use crate::clock;
-use crate::message::{AdapterWish, PeerMessage};
+use crate::load_request::RequestStep;
+use crate::message::{LoadRequest, PeerMessage};
 use crate::order;
 use crate::run::RequestRun;
-use crate::state::{Beliefs, Gateway};
-use crate::waits::WaitNote;
-use crate::wish::WishStep;
+use crate::state::{Gateway, SystemView};
+use crate::waits::WaitGuard;
 
 /// With less time left than this a request is not sent: the time would be used up in transit.
 pub(crate) const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
@@ -47,7 +47,8 @@
     let mut waiting = None;
     let found = loop {
         let changed = gateway.changed.notified();
-        let (own_read, others_read) = (gateway.own_read.notified(), gateway.others_read.notified());
+        let (own_prompt_read, peer_loads_changed) =
+            (gateway.own_prompt_read.notified(), gateway.peer_loads_changed.notified());
         let now = clock::now();
         let waited = Duration::from_micros(now.since(from));
         if run.left() < MIN_TIME_LEFT {
@@ -56,14 +57,14 @@
         let (choice, load_request) = choose(run, waited < max_hold, now);
         if let Some((key, version, server)) = load_request {
             if matches!(choice, ServerChoice::Load { .. }) {
-                waiting.get_or_insert_with(|| WaitNote::new(&gateway, &key, run.in_time_until()));
+                waiting.get_or_insert_with(|| WaitGuard::new(&gateway, &key, run.in_time_until()));
             }
             request_load(&gateway, &key, version, &server, now);
         }
         let delay = match choice {
             ServerChoice::Send { server, .. } => break Ok(server),
             ServerChoice::Hold { until, .. } => {
-                hold(run, until, own_read, others_read).await;
+                hold(run, until, own_prompt_read, peer_loads_changed).await;
                 continue;
             }
             ServerChoice::Wait { until } => Duration::from_micros(until.since(now)),
@@ -97,7 +98,7 @@
 /// so the time goes into `Retry-After`: callers that retry earlier would be refused again.
 fn time_until_orders(run: &RequestRun, now: TimePoint) -> Option<Duration> {
     run.request.head.need.as_ref()?.adapter.as_ref()?;
-    let first = run.gateway.beliefs().tenure.first_active(now)?;
+    let first = run.gateway.view().lease.first_active(now)?;
     Some(Duration::from_micros(first.since(now)))
 }
 
@@ -115,8 +116,8 @@
 async fn hold(
     run: &mut RequestRun,
     until: TimePoint,
-    own_read: Notified<'_>,
-    others_read: Notified<'_>,
+    own_prompt_read: Notified<'_>,
+    peer_loads_changed: Notified<'_>,
 ) {
     let from = clock::now();
     if run.held.is_zero() {
@@ -124,10 +125,10 @@
         event!(RequestHeld, request_id = run.request.head.id, wait_ms = wait_ms);
     }
     let delay = Duration::from_micros(until.since(from)).min(RECHECK_INTERVAL);
-    let jitter = Duration::from_micros(run.gateway.beliefs().draw() % HOLD_JITTER_US);
+    let jitter = Duration::from_micros(run.gateway.view().random() % HOLD_JITTER_US);
     tokio::select! {
-        _ = timeout(delay + Duration::from_millis(1), others_read) => sleep(jitter).await,
-        () = own_read => {}
+        _ = timeout(delay + Duration::from_millis(1), peer_loads_changed) => sleep(jitter).await,
+        () = own_prompt_read => {}
     }
     run.held += Duration::from_micros(clock::now().since(from));
 }
@@ -138,8 +139,8 @@
     may_hold: bool,
     now: TimePoint,
 ) -> (ServerChoice, Option<(AdapterKey, u64, ServerName)>) {
-    let mut view = run.gateway.beliefs();
-    let draw = view.draw();
+    let mut view = run.gateway.view();
+    let draw = view.random();
     let need = run.request.head.need.as_ref();
     let key = need.and_then(|need| need.adapter.as_ref());
     let (oldest, newest) = key.map_or((0, 0), |key| view.usable_versions(run, key, now));
@@ -177,7 +178,7 @@
             let mut server = server.clone();
             // While the store is crowded, a load request queues there whichever server it names: no other is tried.
             if !view.forecast(now).is_saturated()
-                && let Some(slow) = view.wishes.overdue(key, now)
+                && let Some(slow) = view.load_requests.overdue(key, now)
             {
                 let excluded = [excluded.as_slice(), std::slice::from_ref(&slow)].concat();
                 let other = view.backends.choose(&server_need(&excluded, oldest), draw, now);
@@ -192,14 +193,14 @@
 /// The fraction of the promised time for a new version (`version_ms`) during which the previous one is still used.
 const OLD_VERSION_FRACTION: f64 = 0.5;
 
-impl Beliefs {
+impl SystemView {
     /// Returns the oldest version of an adapter that a request may run on, and the newest that operators named.
     /// Both are 1 if none was named.
     fn usable_versions(&self, run: &RequestRun, key: &AdapterKey, now: TimePoint) -> (u64, u64) {
         let Some(named) = self.named(key) else { return (1, 1) };
         let allowed = run.gateway.settings.promises.version_ms as f64 * OLD_VERSION_FRACTION;
         let recent = now.since(named.at) < (allowed * 1_000.0) as u64;
-        let oldest = if recent && named.before > 0 { named.before } else { named.version };
+        let oldest = if recent && named.previous > 0 { named.previous } else { named.version };
         (oldest, named.version)
     }
 }
@@ -213,15 +214,15 @@
     server: &ServerName,
     now: TimePoint,
 ) {
-    let mut view = gateway.beliefs();
-    let step = view.wishes.ask(key, server, now);
-    let WishStep::Send(server) = step else { return };
+    let mut view = gateway.view();
+    let step = view.load_requests.request(key, server, now);
+    let RequestStep::Send(server) = step else { return };
     let Some(owner) = view.backends.owner(server.as_str(), now).cloned() else { return };
     let own = owner.vm == gateway.settings.vm;
     let waiting = view.waits.of(&gateway.settings.vm, key);
     let address = view.roster.address(&owner.vm);
     if own {
-        view.books.wish(&server, key, version, waiting.clone(), now);
+        view.order_trackers.request_load(&server, key, version, waiting.clone(), now);
     }
     drop(view);
     event!(
@@ -232,10 +233,10 @@
         owner = owner.vm
     );
     if own {
-        order::drive(gateway, &server);
+        order::send_next_order(gateway, &server);
     } else if let Some(address) = address {
         let in_time_ms = (waiting.in_time_until.since(now) / 1_000) as u32;
-        let load_request = AdapterWish {
+        let load_request = LoadRequest {
             server,
             key: key.clone(),
             version,
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -18,8 +18,8 @@
 use crate::clock;
 use crate::link::{StoreCall, StoreLink};
 use crate::message::RemovedServer;
-use crate::news::{self, EntryChanges};
-use crate::state::{Beliefs, Gateway, LapsedServer};
+use crate::record_updates::{self, EntryChanges};
+use crate::state::{Gateway, LapsedServer, SystemView};
 
 /// Interval of a reader's polls of the servers' entries. A leaving server gets no new work after
 /// this and one answer of the store, which is about a third of the two seconds that operators
@@ -125,15 +125,15 @@
 /// while the store answers the readers for these records; answers for the servers' entries do not
 /// count, since with only the queries for records lost, all VMs would keep an old configuration.
 /// Otherwise the held queries of every VM would be most of the calls to the store.
-pub(crate) fn has_record_readers(beliefs: &Beliefs, gateway: &Gateway, now: TimePoint) -> bool {
-    beliefs.table.is_some()
-        && beliefs.roster.is_large(now)
-        && beliefs.roster.hash_rank(&gateway.settings.vm, now) >= READERS
+pub(crate) fn has_record_readers(view: &SystemView, gateway: &Gateway, now: TimePoint) -> bool {
+    view.table.is_some()
+        && view.roster.is_large(now)
+        && view.roster.hash_rank(&gateway.settings.vm, now) >= READERS
         && is_current(
-            Duration::from_micros(now.since(beliefs.operators_known_at)),
+            Duration::from_micros(now.since(view.operators_known_at)),
             config_limit(gateway),
         )
-        && (!beliefs.has_customers() || beliefs.confirmation.need(now) < ConfirmationNeed::Urgent)
+        && (!view.has_customers() || view.confirmation.need(now) < ConfirmationNeed::Urgent)
 }
 
 /// Outcome of [`wait_while_covered`].
@@ -153,7 +153,7 @@
     let mut waited = false;
     loop {
         let now = clock::now();
-        let is_covered = has_record_readers(&gateway.beliefs(), gateway, now);
+        let is_covered = has_record_readers(&gateway.view(), gateway, now);
         if !is_covered || now.since(from) > LARGE_OTHERS_POLL_INTERVAL_US {
             return if waited { ReaderWait::Over } else { ReaderWait::NoReaders };
         }
@@ -166,7 +166,7 @@
 
 /// Applies the answer to a query that was sent at `sent_at`, and returns the next offset to read.
 fn apply_operators(gateway: &Arc<Gateway>, page: &RecordPage, sent_at: TimePoint) -> u64 {
-    let before = gateway.beliefs().table.as_ref().map(|table| table.version);
+    let before = gateway.view().table.as_ref().map(|table| table.version);
     let reads = reads_for_others(gateway);
     let (mut named, mut understood) = (false, page.whole);
     for record in &page.records {
@@ -174,7 +174,7 @@
         match read_operator_record(&record.key, value) {
             Ok(OperatorRecord::Configuration(table)) => put_in_force(gateway, *table),
             Ok(OperatorRecord::Adapter { key, version }) => {
-                named |= news::record_version(gateway, key, version, reads);
+                named |= record_updates::record_version(gateway, key, version, reads);
             }
             Ok(OperatorRecord::Other) => {}
             Err(error) => {
@@ -184,12 +184,12 @@
         }
     }
     if understood {
-        gateway.beliefs().confirmation.confirmed(sent_at);
+        gateway.view().confirmation.confirmed(sent_at);
         gateway.confirmed.notify_waiters();
     }
-    let changed = gateway.beliefs().table.as_ref().map(|table| table.version) != before;
+    let changed = gateway.view().table.as_ref().map(|table| table.version) != before;
     if (named || changed) && reads {
-        news::report(gateway);
+        record_updates::report(gateway);
     }
     page.next
 }
@@ -197,21 +197,21 @@
 /// Puts a configuration into force unless the present one is as new. Older ones come from stale
 /// reads and from records that are read twice; applying them would revert what callers have seen.
 pub(crate) fn put_in_force(gateway: &Arc<Gateway>, table: RouteTable) {
-    let mut beliefs = gateway.beliefs();
-    let before = beliefs.table.as_ref().map(|table| table.version);
+    let mut view = gateway.view();
+    let before = view.table.as_ref().map(|table| table.version);
     if before.is_some_and(|before| before >= table.version) {
         return;
     }
     event!(ConfigInForce, version = table.version, before? = before, routes = table.route_count(),);
-    if let Some(before) = beliefs.table.clone() {
-        beliefs.wrong_keys.apply_config(&before, &table);
+    if let Some(before) = view.table.clone() {
+        view.wrong_keys.apply_config(&before, &table);
     }
     let limits = table.customers().plans().iter();
     let limits = limits.filter_map(|plan| Some((plan.name.clone(), plan.limit?)));
     let now = clock::now();
-    beliefs.limiter.configure(now, limits.collect());
-    beliefs.table = Some(Arc::new(table));
-    drop(beliefs);
+    view.limiter.configure(now, limits.collect());
+    view.table = Some(Arc::new(table));
+    drop(view);
     gateway.changed.notify_waiters();
 }
 
@@ -224,7 +224,7 @@
             Ok(page) => {
                 let after_outage = link.record_answer(&gateway);
                 apply_snapshot(&gateway, &page, after_outage);
-                gateway.beliefs().record_entry_read(page.next, None);
+                gateway.view().record_entry_read(page.next, None);
                 page.next
             }
             Err(error) => {
@@ -251,11 +251,11 @@
                     let changes = apply_servers(&gateway, &page.records, after_outage);
                     next = page.next;
                     // Each VM determines by its own reads which entries return after an outage.
-                    let few = changes.entries.len() <= news::MAX_REPORTED_ENTRIES;
+                    let few = changes.entries.len() <= record_updates::MAX_REPORTED_ENTRIES;
                     let reported = (!after_outage && few).then_some(changes);
-                    gateway.beliefs().record_entry_read(next, reported);
+                    gateway.view().record_entry_read(next, reported);
                     if reads {
-                        news::report(&gateway);
+                        record_updates::report(&gateway);
                     }
                 }
                 Err(MetadataError::Compacted { first }) => {
@@ -278,10 +278,10 @@
 /// removed.
 fn apply_snapshot(gateway: &Arc<Gateway>, page: &RecordPage, after_outage: bool) {
     apply_servers(gateway, &page.records, after_outage);
-    let mut beliefs = gateway.beliefs();
-    beliefs.entries_read = true;
+    let mut view = gateway.view();
+    view.entries_read = true;
     let now = clock::now();
-    let removed: Vec<String> = beliefs
+    let removed: Vec<String> = view
         .backends
         .servers()
         .iter()
@@ -289,9 +289,9 @@
         .filter(|name| !page.records.iter().any(|record| record.key == *name))
         .collect();
     for server in removed {
-        beliefs.lapse(&server, page.next, after_outage, now);
+        view.lapse(&server, page.next, after_outage, now);
     }
-    drop(beliefs);
+    drop(view);
     remove_lapsed(gateway);
 }
 
@@ -304,10 +304,10 @@
 ) -> EntryChanges {
     let now = clock::now();
     let mut changes = EntryChanges::default();
-    let mut beliefs = gateway.beliefs();
+    let mut view = gateway.view();
     for record in records {
         let Some(value) = &record.value else {
-            beliefs.lapse(&record.key, record.position, after_outage, now);
+            view.lapse(&record.key, record.position, after_outage, now);
             let (server, position) = (record.key.as_str().into(), record.position);
             changes.removed.push(RemovedServer { server, position });
             continue;
@@ -315,25 +315,25 @@
         let entry = match read_registration(&record.key, value, record.position) {
             Ok(entry) => entry,
             Err(error) => {
-                if beliefs.skipped.record(&record.key) {
+                if view.skipped.record(&record.key) {
                     event!(RecordSkipped, topic = "servers", cause = error);
                 }
                 continue;
             }
         };
-        beliefs.skipped.clear(&record.key);
+        view.skipped.clear(&record.key);
         // Each reader reports a leaving server, even if another reader reported it first. With only
         // the first reader's report, a VM that this reader had lost for three seconds, but that
         // received the other readers' reports, kept sending to the server for more than four
         // seconds.
         let leaves = !entry.ready;
-        if beliefs.apply_entry(&entry, now) || leaves {
-            changes.entries.push(news::without_adapters(entry));
+        if view.apply_entry(&entry, now) || leaves {
+            changes.entries.push(record_updates::without_adapters(entry));
         }
-        beliefs.unlapse(&record.key, record.position);
+        view.unlapse(&record.key, record.position);
     }
-    beliefs.expect_fleet();
-    drop(beliefs);
+    view.expect_fleet();
+    drop(view);
     remove_lapsed(gateway);
     changes.wake(gateway);
     changes
@@ -342,7 +342,7 @@
 /// Waits until a failed call that started at `sent_at` may be retried.
 async fn wait_for_retry(gateway: &Gateway, sent_at: TimePoint) {
     let now = clock::now();
-    let large = gateway.beliefs().roster.is_large(now);
+    let large = gateway.view().roster.is_large(now);
     let pause =
         if large && !reads_for_others(gateway) { LARGE_RETRY_INTERVAL } else { RETRY_INTERVAL };
     sleep(pause.saturating_sub(Duration::from_micros(now.since(sent_at)))).await;
@@ -351,20 +351,20 @@
 /// Returns whether this VM reads the store for all: it is among the first live VMs in an order that
 /// is independent of failure domains.
 pub(crate) fn reads_for_others(gateway: &Gateway) -> bool {
-    let beliefs = gateway.beliefs();
-    !gateway.leaving() && beliefs.roster.hash_rank(&gateway.settings.vm, clock::now()) < READERS
+    let view = gateway.view();
+    !gateway.leaving() && view.roster.hash_rank(&gateway.settings.vm, clock::now()) < READERS
 }
 
 /// Returns whether readers keep this VM up to date, so that it need not poll the entries itself
 /// yet.
 pub(crate) fn has_entry_readers(gateway: &Gateway, read_at: TimePoint) -> bool {
     let now = clock::now();
-    let beliefs = gateway.beliefs();
+    let view = gateway.view();
     // Readers do not report an entry that is written again after it lapsed as a change. Relying on
     // their reports, this VM would drop a server that came back in time.
-    let complete = !beliefs.missed_entries && beliefs.lapsed.is_empty();
-    let up_to_date = complete && now.since(beliefs.entries_known_at) < READER_TTL_US;
-    let large = beliefs.roster.is_large(now);
+    let complete = !view.missed_entries && view.lapsed.is_empty();
+    let up_to_date = complete && now.since(view.entries_known_at) < READER_TTL_US;
+    let large = view.roster.is_large(now);
     let pause_us = if large { LARGE_OTHERS_POLL_INTERVAL_US } else { OTHERS_POLL_INTERVAL_US };
     up_to_date && now.since(read_at) < pause_us
 }
@@ -372,18 +372,18 @@
 /// Removes servers whose entry was removed and not written again in time.
 pub(crate) fn remove_lapsed(gateway: &Arc<Gateway>) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let lapsed = std::mem::take(&mut beliefs.lapsed);
+    let mut view = gateway.view();
+    let lapsed = std::mem::take(&mut view.lapsed);
     let (due, later) = lapsed.into_iter().partition(|lapsed: &LapsedServer| now >= lapsed.until);
-    beliefs.lapsed = later;
+    view.lapsed = later;
     for lapsed in due {
-        if beliefs.backends.remove(&lapsed.server, lapsed.position) == EntryChange::Removed {
+        if view.backends.remove(&lapsed.server, lapsed.position) == EntryChange::Removed {
             event!(ServerGone, server = lapsed.server, position = lapsed.position);
         }
     }
 }
 
-impl Beliefs {
+impl SystemView {
     /// Records an own read of the entries up to an offset. `reported` are the changes to report if
     /// this VM reads for others, `None` if they are not to be reported.
     fn record_entry_read(&mut self, up_to: u64, reported: Option<EntryChanges>) {
--- a/gateway/src/forward.rs
+++ b/gateway/src/forward.rs
@@ -61,7 +61,7 @@
     mut request: Request<Incoming>,
     started: TimePoint,
 ) -> Result<RequestRun, Refusal> {
-    let table = gateway.beliefs().table.clone();
+    let table = gateway.view().table.clone();
     let Some(table) = table else {
         let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no_configuration", 0);
         return Err(Refusal { retry_s: Some(STARTUP_RETRY_S), ..refusal });
--- a/gateway/src/group.rs
+++ b/gateway/src/group.rs
@@ -44,7 +44,7 @@
 const LISTEN_US: u64 = 1_200_000;
 
 /// Runs for ever, keeping this VM in the group.
-pub(crate) async fn keep(gateway: Arc<Gateway>) {
+pub(crate) async fn keep_membership(gateway: Arc<Gateway>) {
     let mut link = StoreLink::new(StoreCall::Group);
     let mut since = gained_since(&gateway, &mut link).await;
     if !matches!(since, GainedSince::Restart(_)) {
@@ -52,7 +52,7 @@
         // The wait may outlast the period of a first start.
         since = gained_later(&gateway);
     }
-    gateway.beliefs().calls_store = true;
+    gateway.view().calls_store = true;
     let lifetime =
         Duration::from_millis(gateway.settings.store.least_lifetime_ms * RENEWALS_PER_LIFETIME);
     let mut members_at: Option<TimePoint> = None;
@@ -64,7 +64,7 @@
             member: member_name(&gateway),
             topics: PARTITION_TOPICS,
             lifetime,
-            generation: gateway.beliefs().tenure.generation(),
+            generation: gateway.view().lease.generation(),
         };
         match gateway.store.join(&member).await {
             Ok(membership) => {
@@ -76,7 +76,7 @@
         }
         // While VMs join and leave, the generation changes with each. Only a record that is stable
         // for one round is worth a write.
-        let record = gateway.beliefs().tenure.record(clock::now());
+        let record = gateway.view().lease.record(clock::now());
         if record == seen {
             write_record(&gateway, &record, &mut written, &mut link).await;
         }
@@ -162,12 +162,12 @@
         sleep(JOIN_CHECK_INTERVAL).await;
         let now = clock::now();
         let age = now.since(gateway.started);
-        let beliefs = gateway.beliefs();
-        let known = beliefs.roster.live_count(now);
+        let view = gateway.view();
+        let known = view.roster.live_count(now);
         if age < LISTEN_US || (!growth.is_settled(known, now) && age < MAX_LISTEN_US) {
             continue;
         }
-        if beliefs.roster.hash_rank(&gateway.settings.vm, now) >= ORDERERS {
+        if view.roster.hash_rank(&gateway.settings.vm, now) >= ORDERERS {
             continue;
         }
         // The first configuration may arrive just before the first requests, too late to wait for
@@ -175,9 +175,9 @@
         if *since == GainedSince::FirstStart {
             return;
         }
-        let Some(table) = &beliefs.table else { continue };
+        let Some(table) = &view.table else { continue };
         let engines = table.services().iter().filter(|plan| plan.engine.is_some());
-        let lacks_owner = |service| beliefs.backends.any_without_owner(service, now);
+        let lacks_owner = |service| view.backends.any_without_owner(service, now);
         let lacks_owner = engines.map(|plan| &plan.service).any(lacks_owner);
         if lacks_owner || age > LATE_JOIN_DELAY_US {
             return;
@@ -198,15 +198,15 @@
     since: &GainedSince,
 ) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let before = (beliefs.tenure.generation(), beliefs.tenure.held());
-    beliefs.tenure.renewed(sent, now, membership.generation, membership.shares, since);
-    let after = (beliefs.tenure.generation(), beliefs.tenure.held());
-    drop(beliefs);
+    let mut view = gateway.view();
+    let before = (view.lease.generation(), view.lease.held());
+    view.lease.renewed(sent, now, membership.generation, membership.shares, since);
+    let after = (view.lease.generation(), view.lease.held());
+    drop(view);
     if before != after {
         event!(SharesDealt, generation = after.0, shares = after.1, before = before.1);
     }
-    order::drive_all(gateway);
+    order::send_next_orders(gateway);
 }
 
 /// Stores the partitions that this VM holds for certain, for the next incarnation of its process.
@@ -239,11 +239,11 @@
 
 fn hint_members(gateway: &Arc<Gateway>, members: &[String]) {
     let port = gateway.settings.listen.peers.port();
-    let mut beliefs = gateway.beliefs();
+    let mut view = gateway.view();
     for member in members {
         let ip = member.rsplit_once(MEMBER_SEPARATOR).and_then(|(_, ip)| ip.parse::<IpAddr>().ok());
         if let Some(ip) = ip {
-            beliefs.roster.hint(SocketAddr::new(ip, port));
+            view.roster.hint(SocketAddr::new(ip, port));
         }
     }
 }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -28,13 +28,15 @@
 mod forward;
 mod group;
 mod link;
+mod load_request;
 mod message;
 mod metrics;
-mod news;
 mod order;
 mod outcome;
 mod peer;
 mod process;
+mod record_exchange;
+mod record_updates;
 mod refusal;
 mod relay;
 mod roster;
@@ -42,16 +44,14 @@
 mod send;
 mod sent;
 mod settings;
-mod share;
 mod skipped;
 mod state;
 mod uses;
 mod waits;
-mod wish;
 
 #[cfg(test)]
-#[path = "../tests/unit/aggregator_turns.rs"]
-mod aggregator_turns;
+#[path = "../tests/unit/aggregator_takeover.rs"]
+mod aggregator_takeover;
 #[cfg(test)]
 #[path = "../tests/unit/encoded_names.rs"]
 mod encoded_names;
@@ -65,11 +65,11 @@
 #[path = "../tests/unit/metrics_page.rs"]
 mod metrics_page;
 #[cfg(test)]
-#[path = "../tests/unit/told_records.rs"]
-mod told_records;
+#[path = "../tests/unit/queued_datagrams.rs"]
+mod queued_datagrams;
 #[cfg(test)]
-#[path = "../tests/unit/waiting_datagrams.rs"]
-mod waiting_datagrams;
+#[path = "../tests/unit/reader_reports.rs"]
+mod reader_reports;
 
 pub use process::{GatewayError, GatewayProcess, run_gateway};
 pub use settings::{
--- a/gateway/src/link.rs
+++ b/gateway/src/link.rs
@@ -71,9 +71,9 @@
     pub(crate) fn record_answer(&mut self, gateway: &Gateway) -> bool {
         gateway.metrics.store_call(self.call.name(), "ok");
         let now = clock::now();
-        let mut beliefs = gateway.beliefs();
-        beliefs.answers.answered(self.call, now);
-        drop(beliefs);
+        let mut view = gateway.view();
+        view.answers.answered(self.call, now);
+        drop(view);
         let Some(since) = self.down_since.take() else { return false };
         event!(LogUp, topic = self.call.name(), away_ms = now.since(since) / 1_000);
         true
--- a/gateway/src/wish.rs
+++ b/gateway/src/load_request.rs
@@ -28,7 +28,7 @@
 
 /// What to do about a load request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum WishStep {
+pub(crate) enum RequestStep {
     /// Send it to the owner of that server.
     Send(ServerName),
     /// Nothing: it was sent recently.
@@ -52,12 +52,12 @@
 
     /// Adds a request for a load at `server`. If another request's choice of server is still open,
     /// that one is kept.
-    pub(crate) fn ask(
+    pub(crate) fn request(
         &mut self,
         key: &AdapterKey,
         server: &ServerName,
         now: TimePoint,
-    ) -> WishStep {
+    ) -> RequestStep {
         let at = match self.requests.binary_search_by(|request| request.key.cmp(key)) {
             Ok(at) => at,
             Err(at) => {
@@ -68,7 +68,7 @@
                     sent_at: now,
                 };
                 self.requests.insert(at, request);
-                return WishStep::Send(server.clone());
+                return RequestStep::Send(server.clone());
             }
         };
         let request = &mut self.requests[at];
@@ -78,10 +78,10 @@
             request.server = server.clone();
             request.since = now;
         } else if now.since(request.sent_at) < RESEND_US {
-            return WishStep::Sent;
+            return RequestStep::Sent;
         }
         request.sent_at = now;
-        WishStep::Send(request.server.clone())
+        RequestStep::Send(request.server.clone())
     }
 
     /// Drops load requests that no request has renewed recently.
--- a/gateway/src/message.rs
+++ b/gateway/src/message.rs
@@ -43,7 +43,8 @@
         /// Its failure domain.
         pub domain: DomainName,
         /// Whether it has the processor and the link to be eligible to aggregate for its domain.
-        pub strong: bool,
+        #[serde(rename = "strong")]
+        pub can_aggregate: bool,
         /// Whether it aggregates now.
         pub aggregates: bool,
         /// Its requests at servers. `None` in large fleets if the receiver does not aggregate them.
@@ -99,9 +100,11 @@
         /// Changes of what servers hold.
         pub lists: ServerLists,
         /// Bucket states of the customers that have little left of their limits.
-        pub standings: Vec<BucketState>,
+        #[serde(rename = "standings")]
+        pub bucket_states: Vec<BucketState>,
         /// How many VMs of all domains reported their customers' use recently.
-        pub in_touch: usize,
+        #[serde(rename = "in_touch")]
+        pub reachable_vms: usize,
     }
 
     /// Sums over the VMs of a failure domain, from its aggregator to those of the other domains.
@@ -134,7 +137,7 @@
     }
 
     /// A request to load an adapter at a server, sent to the VM that orders it.
-    pub(crate) struct AdapterWish {
+    pub(crate) struct LoadRequest {
         pub server: ServerName,
         pub key: AdapterKey,
         /// The version to load.
@@ -216,7 +219,7 @@
         /// What servers hold.
         Lists(ServerLists),
         /// A load request for an adapter.
-        Wish(AdapterWish),
+        Wish(LoadRequest),
         /// Adapter use by the requests of the VM.
         Uses(VmName, Vec<AdapterUse>),
         /// Changes of records.
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -18,7 +18,7 @@
 
 use crate::clock;
 use crate::message::{AdapterUse, PeerMessage, ServerLists};
-use crate::state::{Beliefs, Gateway};
+use crate::state::{Gateway, SystemView};
 
 /// Interval at which an unchanged list of a server is sent again, in microseconds. It reaches VMs
 /// that missed a datagram or started since, and shows that the server has an owner.
@@ -78,7 +78,7 @@
     }
 
     /// Records a load request for an adapter at a server; ignored if this VM does not order it.
-    pub(crate) fn wish(
+    pub(crate) fn request_load(
         &mut self,
         server: &ServerName,
         key: &AdapterKey,
@@ -174,22 +174,22 @@
 }
 
 /// Sends the next order to every server that this VM may order.
-pub(crate) fn drive_all(gateway: &Arc<Gateway>) {
+pub(crate) fn send_next_orders(gateway: &Arc<Gateway>) {
     {
         // Most VMs of a large fleet order no server.
-        let beliefs = gateway.beliefs();
-        if beliefs.tenure.held() == 0 && beliefs.books.trackers.is_empty() {
+        let view = gateway.view();
+        if view.lease.held() == 0 && view.order_trackers.trackers.is_empty() {
             return;
         }
     }
     let servers: Vec<ServerName> = {
-        let beliefs = gateway.beliefs();
-        let names = beliefs.backends.servers().iter().map(|state| state.entry.server.clone());
+        let view = gateway.view();
+        let names = view.backends.servers().iter().map(|state| state.entry.server.clone());
         names.collect()
     };
-    let known = gateway.beliefs().books.servers();
+    let known = gateway.view().order_trackers.servers();
     for server in known.iter().chain(servers.iter().filter(|server| !known.contains(server))) {
-        drive(gateway, server);
+        send_next_order(gateway, server);
     }
 }
 
@@ -203,13 +203,13 @@
 ///
 /// Every VM receives the lists with all loads and computes the same finish times. Without a random
 /// delay all would order their next load at the same time.
-pub(crate) async fn take_turns(gateway: Arc<Gateway>) {
+pub(crate) async fn order_waiting_loads(gateway: Arc<Gateway>) {
     loop {
         let pause = next_load_delay(&gateway).unwrap_or(LOAD_CHECK_INTERVAL);
         tokio::time::sleep(pause).await;
-        let waits = gateway.beliefs().books.with_load_requests();
+        let waits = gateway.view().order_trackers.with_load_requests();
         for server in &waits {
-            drive(&gateway, server);
+            send_next_order(&gateway, server);
         }
     }
 }
@@ -218,16 +218,16 @@
 /// no load is under way.
 fn next_load_delay(gateway: &Gateway) -> Option<Duration> {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    if beliefs.books.with_load_requests().is_empty() {
+    let mut view = gateway.view();
+    if view.order_trackers.with_load_requests().is_empty() {
         return None;
     }
-    let done = beliefs.backends.next_load_done(now)?;
-    Some(Duration::from_micros(done.since(now) + beliefs.draw() % LOAD_JITTER_US))
+    let done = view.backends.next_load_done(now)?;
+    Some(Duration::from_micros(done.since(now) + view.random() % LOAD_JITTER_US))
 }
 
 /// Sends a server its next order, if there is one, and reports changes of its list.
-pub(crate) fn drive(gateway: &Arc<Gateway>, server: &ServerName) {
+pub(crate) fn send_next_order(gateway: &Arc<Gateway>, server: &ServerName) {
     if let Some(call) = next_call(gateway, server) {
         let (gateway, server) = (Arc::clone(gateway), server.clone());
         tokio::spawn(async move {
@@ -242,16 +242,16 @@
 
 fn next_call(gateway: &Arc<Gateway>, server: &ServerName) -> Option<ServerCall> {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let (call, list) = beliefs.next_call(gateway, server, now)?;
-    drop(beliefs);
+    let mut view = gateway.view();
+    let (call, list) = view.next_call(gateway, server, now)?;
+    drop(view);
     if let Some(list) = list {
         send_list(gateway, list);
     }
     call
 }
 
-impl Beliefs {
+impl SystemView {
     fn next_call(
         &mut self,
         gateway: &Gateway,
@@ -259,21 +259,21 @@
         now: TimePoint,
     ) -> Option<(Option<ServerCall>, Option<DueList>)> {
         let Some(terms) = self.order_terms(gateway, server, now) else {
-            if self.books.close(server) {
+            if self.order_trackers.close(server) {
                 event!(OwnerLost, server = server);
             }
             return None;
         };
-        let at = self.books.open(server, &terms, now);
+        let at = self.order_trackers.open(server, &terms, now);
         let OrderTerms { address, incarnation, fence, model, .. } = terms;
         let forecast = self.forecast(now);
-        let may_load = model.is_some() && self.books.trackers[at].tracker.is_empty();
-        let entry = &mut self.books.trackers[at];
+        let may_load = model.is_some() && self.order_trackers.trackers[at].tracker.is_empty();
+        let entry = &mut self.order_trackers.trackers[at];
         let action = entry.tracker.next(model.as_ref().filter(|_| may_load), &forecast, now);
         if let Some(TrackerAction::Order(order)) = &action
             && matches!(order.action, OrderAction::LoadModel { .. })
         {
-            self.books.model_load_at = Some(now);
+            self.order_trackers.model_load_at = Some(now);
         }
         let call = action.map(|action| ServerCall { address, incarnation, fence, action });
         let list = self.due_list(gateway, at, now);
@@ -308,7 +308,7 @@
         let rate = plan.loads_per_second.max(0.01);
         let pause_s = MODEL_LOAD_MARGIN * self.vm_count(now) as f64 / rate;
         let pause_us = (pause_s * 1e6) as u64;
-        if self.books.model_load_at.is_some_and(|at| now.since(at) < pause_us) {
+        if self.order_trackers.model_load_at.is_some_and(|at| now.since(at) < pause_us) {
             return None;
         }
         let fits = |weights: f64| weights <= plan.weights_mb;
@@ -322,7 +322,7 @@
     fn due_list(&mut self, gateway: &Gateway, at: usize, now: TimePoint) -> Option<DueList> {
         let large = self.roster.is_large(now);
         let repeat_us = if large { LARGE_LIST_REPEAT_INTERVAL_US } else { LIST_REPEAT_INTERVAL_US };
-        let entry = &mut self.books.trackers[at];
+        let entry = &mut self.order_trackers.trackers[at];
         let free = entry.tracker.free(now) as u32;
         let changed = entry.tracker.revision() != entry.reported_revision
             || (free == 0) != (entry.reported_free == 0);
@@ -389,15 +389,15 @@
 fn send_list(gateway: &Arc<Gateway>, list: DueList) {
     let now = clock::now();
     let peers = {
-        let beliefs = gateway.beliefs();
-        if beliefs.roster.is_large(now) {
-            let mut to = beliefs.roster.aggregators(now);
-            to.extend(list.requesters.iter().filter_map(|vm| beliefs.roster.address(vm)));
+        let view = gateway.view();
+        if view.roster.is_large(now) {
+            let mut to = view.roster.aggregators(now);
+            to.extend(list.requesters.iter().filter_map(|vm| view.roster.address(vm)));
             to.sort_unstable();
             to.dedup();
             to
         } else {
-            beliefs.roster.live(now)
+            view.roster.live(now)
         }
     };
     gateway.peers.send(&PeerMessage::Lists(list.lists), &peers);
@@ -410,10 +410,10 @@
             let report = gateway.servers.report(call.address, server).await;
             gateway.metrics.server_call("report", if report.is_some() { "ok" } else { "lost" });
             let now = clock::now();
-            let mut beliefs = gateway.beliefs();
-            let forecast = beliefs.forecast(now);
+            let mut view = gateway.view();
+            let forecast = view.forecast(now);
             if let Some(report) = &report
-                && beliefs.backends.start_incarnation(
+                && view.backends.start_incarnation(
                     server.as_str(),
                     report.incarnation,
                     &report.models,
@@ -428,7 +428,7 @@
                 );
             }
             // The report of another incarnation says nothing about this one.
-            if let Some(tracker) = beliefs.books.of_incarnation(server, call.incarnation) {
+            if let Some(tracker) = view.order_trackers.of_incarnation(server, call.incarnation) {
                 let own_report =
                     report.as_ref().filter(|report| report.incarnation == call.incarnation);
                 tracker.reported(own_report, &forecast, now);
@@ -453,9 +453,9 @@
         // Nothing was sent. With a conflict the tracker polls the server instead of waiting for a
         // reply.
         let now = clock::now();
-        let mut beliefs = gateway.beliefs();
-        let forecast = beliefs.forecast(now);
-        if let Some(tracker) = beliefs.books.of_incarnation(server, incarnation) {
+        let mut view = gateway.view();
+        let forecast = view.forecast(now);
+        if let Some(tracker) = view.order_trackers.of_incarnation(server, incarnation) {
             tracker.replied(order, OrderReply::Conflict, &forecast, now);
         }
         return;
@@ -470,20 +470,20 @@
     };
     gateway.metrics.server_call(kind, reply_name(reply));
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let mut forecast = beliefs.forecast(now);
+    let mut view = gateway.view();
+    let mut forecast = view.forecast(now);
     if reply == OrderReply::Accepted && matches!(order.action, OrderAction::LoadAdapter { .. }) {
-        forecast = beliefs.times.early_check(forecast);
+        forecast = view.times.early_check(forecast);
     }
     if reply == OrderReply::Fenced {
-        beliefs.tenure.refused(fence);
+        view.lease.refused(fence);
     }
     if matches!(reply, OrderReply::Lost | OrderReply::Unsent)
-        && beliefs.backends.is_current_incarnation(server.as_str(), incarnation)
+        && view.backends.is_current_incarnation(server.as_str(), incarnation)
     {
-        beliefs.backends.mark_unreachable(server.as_str(), now);
+        view.backends.mark_unreachable(server.as_str(), now);
     }
-    let Some(tracker) = beliefs.books.of_incarnation(server, incarnation) else { return };
+    let Some(tracker) = view.order_trackers.of_incarnation(server, incarnation) else { return };
     tracker.replied(order, reply, &forecast, now);
     let load = match &order.action {
         OrderAction::LoadAdapter { key, .. } => tracker.ordered(key),
@@ -513,11 +513,11 @@
 fn may_send(gateway: &Gateway, server: &ServerName, incarnation: u64, order: &ServerOrder) -> bool {
     // The count of accepted orders that the order states belongs to one incarnation. Another one
     // may have reached the same count.
-    if !gateway.beliefs().backends.is_current_incarnation(server.as_str(), incarnation) {
+    if !gateway.view().backends.is_current_incarnation(server.as_str(), incarnation) {
         return false;
     }
     // The lease may have ended since the decision, for example while the VM was suspended.
-    if gateway.beliefs().fence(&gateway.settings, server, clock::now()).is_none() {
+    if gateway.view().fence(&gateway.settings, server, clock::now()).is_none() {
         return false;
     }
     if exceeds_slots(gateway, server, order) {
@@ -534,8 +534,8 @@
 /// Returns whether a load would exceed the server's slots, which would crash the server.
 fn exceeds_slots(gateway: &Gateway, server: &ServerName, order: &ServerOrder) -> bool {
     let OrderAction::LoadAdapter { key, .. } = &order.action else { return false };
-    let mut beliefs = gateway.beliefs();
-    let Some(tracker) = beliefs.books.get(server) else { return true };
+    let mut view = gateway.view();
+    let Some(tracker) = view.order_trackers.get(server) else { return true };
     let (held, slots) = tracker.fill();
     tracker.ordered(key).is_none() && held >= slots
 }
@@ -556,9 +556,10 @@
 pub(crate) fn record_uses(gateway: &Arc<Gateway>, vm: &VmName, uses: &[AdapterUse]) {
     let now = clock::now();
     for used in uses {
-        let mut beliefs = gateway.beliefs();
-        let beliefs = &mut *beliefs;
-        let Some(tracker) = beliefs.books.of_incarnation(&used.server, used.incarnation) else {
+        let mut view = gateway.view();
+        let view = &mut *view;
+        let Some(tracker) = view.order_trackers.of_incarnation(&used.server, used.incarnation)
+        else {
             continue;
         };
         let report = ReportedUse { vm, begun: used.count, running: used.running };
@@ -568,10 +569,8 @@
             tracker.record_too_early(&used.key, now);
         }
         match ordered {
-            Some(load) if used.too_early => {
-                beliefs.times.record_too_early(load, now.since(load.at))
-            }
-            Some(load) if used.in_time => beliefs.times.record_hit(load),
+            Some(load) if used.too_early => view.times.record_too_early(load, now.since(load.at)),
+            Some(load) if used.in_time => view.times.record_hit(load),
             _ => {}
         }
         if used.missing {
@@ -583,7 +582,7 @@
         let (gateway, server) = (Arc::clone(gateway), used.server.clone());
         tokio::spawn(async move {
             tokio::time::sleep(IDLE_DELAY).await;
-            drive(&gateway, &server);
+            send_next_order(&gateway, &server);
         });
     }
 }
--- a/gateway/src/outcome.rs
+++ b/gateway/src/outcome.rs
@@ -66,7 +66,7 @@
     let body = body.map_err(|_| "the answer's body was not complete in time".to_owned());
     let body = body.and_then(|whole| whole.map_err(|error| error.to_string()));
     {
-        let mut view = run.gateway.beliefs();
+        let mut view = run.gateway.view();
         let good = !failed && body.is_ok();
         let latency_us = good.then_some(latency.as_micros() as f64);
         if view.backends.is_current_incarnation(server.as_str(), run.incarnation) {
@@ -104,7 +104,7 @@
     let now = clock::now();
     let status = answer.status;
     let key = run.request.head.need.as_ref().and_then(|need| need.adapter.clone());
-    let mut view = run.gateway.beliefs();
+    let mut view = run.gateway.view();
     let state = view.backends.get(server.as_str());
     let usable_from = state.and_then(|state| state.usable_since(key.as_ref()?));
     event!(
@@ -144,18 +144,18 @@
 ) -> NextStep {
     let now = clock::now();
     let gateway = Arc::clone(&run.gateway);
-    let mut view = gateway.beliefs();
+    let mut view = gateway.view();
     if let (Some(key), Some(from)) = (key, usable_from) {
         let lost = view.backends.get(server.as_str()).is_some_and(|state| state.is_avoided(now));
         if now.since(from) < JUST_LOADED_US && !lost {
-            view.uses.met(server, run.incarnation, key, |used| used.too_early = true);
+            view.uses.record(server, run.incarnation, key, |used| used.too_early = true);
             drop(view);
             // Other VMs may wait for the same load. Reported at once, it keeps them from sending too early as well.
-            peer::tell_use(&gateway, server, run.incarnation, key);
+            peer::report_use(&gateway, server, run.incarnation, key);
             return NextStep::Retry(run.next_retry_interval());
         }
         view.backends.not_held(server.as_str(), key);
-        view.uses.met(server, run.incarnation, key, |used| used.missing = true);
+        view.uses.record(server, run.incarnation, key, |used| used.missing = true);
         return NextStep::Retry(Duration::ZERO);
     }
     view.backends.mark_unreachable(server.as_str(), now);
--- a/gateway/src/peer.rs
+++ b/gateway/src/peer.rs
@@ -24,10 +24,10 @@
     AdapterUse, LoadUpdate, MAX_BYTES, PeerMessage, ServerLists, ServerLoad, VmState, decode,
     encode,
 };
-use crate::news;
 use crate::order;
+use crate::record_updates;
 use crate::roster::{PeerChange, SMALL_FLEET};
-use crate::state::{Beliefs, Gateway};
+use crate::state::{Gateway, SystemView};
 
 /// Interval of a VM's state messages.
 const STATE_INTERVAL: Duration = Duration::from_millis(125);
@@ -125,7 +125,7 @@
 }
 
 /// Runs for ever, sending the datagrams that are queued for room in the socket's buffer.
-pub(crate) async fn send_waiting(peers: Arc<PeerSocket>) {
+pub(crate) async fn send_queued(peers: Arc<PeerSocket>) {
     let queue = peers.queue.lock().unwrap_or_else(PoisonError::into_inner).take();
     let Some(mut queue) = queue else { return };
     while let Some((bytes, address)) = queue.recv().await {
@@ -155,10 +155,10 @@
 }
 
 /// Runs for ever, reporting this VM's state to the other VMs.
-pub(crate) async fn tell(gateway: Arc<Gateway>) {
+pub(crate) async fn report_state(gateway: Arc<Gateway>) {
     loop {
-        tell_once(&gateway);
-        order::drive_all(&gateway);
+        report_state_now(&gateway);
+        order::send_next_orders(&gateway);
         send_uses(&gateway);
         tokio::time::sleep(STATE_INTERVAL).await;
     }
@@ -170,10 +170,10 @@
 /// An engine reads a typical prompt in less than the interval of state messages. With those alone,
 /// several VMs would send to a server that just got a prompt, and its streams would stall for all
 /// of them.
-pub(crate) async fn tell_loads(gateway: Arc<Gateway>) {
+pub(crate) async fn report_loads(gateway: Arc<Gateway>) {
     loop {
         gateway.loads_changed.notified().await;
-        let large = gateway.beliefs().roster.is_large(clock::now());
+        let large = gateway.view().roster.is_large(clock::now());
         tokio::time::sleep(if large { LARGE_LOAD_REPORT_DELAY } else { LOAD_REPORT_DELAY }).await;
         report_changed_loads(&gateway);
     }
@@ -181,8 +181,8 @@
 
 /// Reports changes of this VM's requests to the other VMs at once. In large fleets they go to the
 /// aggregator with the next batch instead, which it forwards at its own interval anyway.
-pub(crate) fn tell_loads_now(gateway: &Arc<Gateway>) {
-    if gateway.beliefs().roster.is_large(clock::now()) {
+pub(crate) fn report_loads_now(gateway: &Arc<Gateway>) {
+    if gateway.view().roster.is_large(clock::now()) {
         gateway.loads_changed.notify_one();
     } else {
         report_changed_loads(gateway);
@@ -191,26 +191,26 @@
 
 fn report_changed_loads(gateway: &Arc<Gateway>) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let servers = std::mem::take(&mut beliefs.unreported_loads);
-    let untold_uses = std::mem::take(&mut beliefs.untold_uses);
-    if servers.is_empty() && !untold_uses {
+    let mut view = gateway.view();
+    let servers = std::mem::take(&mut view.unreported_loads);
+    let uses_changed = std::mem::take(&mut view.uses_changed);
+    if servers.is_empty() && !uses_changed {
         return;
     }
     let uses =
-        if untold_uses { Some(beliefs.limiter.report(now, gateway.incarnation)) } else { None };
+        if uses_changed { Some(view.limiter.report(now, gateway.incarnation)) } else { None };
     let load = |server: ServerName| {
-        let figure = beliefs.backends.own_load(server.as_str());
+        let figure = view.backends.own_load(server.as_str());
         ServerLoad::of((server, figure))
     };
     let loads: Vec<ServerLoad> = servers.into_iter().map(load).collect();
-    let to = if beliefs.roster.is_large(now) {
+    let to = if view.roster.is_large(now) {
         for load in &loads {
-            beliefs.backends.mark_load_reported(load.server.as_str());
+            view.backends.mark_load_reported(load.server.as_str());
         }
-        beliefs.own_aggregator(&gateway.settings, now).into_iter().collect()
+        view.own_aggregator(&gateway.settings, now).into_iter().collect()
     } else {
-        beliefs.roster.live(now)
+        view.roster.live(now)
     };
     let update = LoadUpdate {
         vm: gateway.settings.vm.clone(),
@@ -219,37 +219,37 @@
         loads,
         uses,
     };
-    drop(beliefs);
+    drop(view);
     gateway.peers.send(&PeerMessage::Loads(update), &to);
 }
 
 fn apply_loads(gateway: &Arc<Gateway>, update: &LoadUpdate) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    if !beliefs.roster.is_current(&update.vm, update.incarnation, update.sequence) {
+    let mut view = gateway.view();
+    if !view.roster.is_current(&update.vm, update.incarnation, update.sequence) {
         return;
     }
     for load in &update.loads {
-        beliefs.backends.peer_load(&update.vm, load.server.as_str(), load.figure(), now);
+        view.backends.peer_load(&update.vm, load.server.as_str(), load.figure(), now);
     }
     if let Some(uses) = &update.uses {
-        beliefs.limiter.apply_member_report(now, &update.vm, uses);
+        view.limiter.apply_member_report(now, &update.vm, uses);
     }
-    drop(beliefs);
-    gateway.others_read.notify_waiters();
+    drop(view);
+    gateway.peer_loads_changed.notify_waiters();
 }
 
 /// Sends this VM's state to the other VMs now.
-pub(crate) fn tell_once(gateway: &Arc<Gateway>) {
+pub(crate) fn report_state_now(gateway: &Arc<Gateway>) {
     let sequence = gateway.peers.sequence.fetch_add(1, Ordering::Relaxed) + 1;
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    beliefs.roster.drop_expired(now);
-    beliefs.wishes.drop_expired(now);
-    let (seen, known) = beliefs.reporting_counts(gateway, now);
-    beliefs.limiter.set_reachable(now, seen, known);
-    let mut to = beliefs.roster.live(now);
-    let others = sample(&to, SHARED_PEERS, &mut beliefs.random);
+    let mut view = gateway.view();
+    view.roster.drop_expired(now);
+    view.load_requests.drop_expired(now);
+    let (seen, known) = view.reporting_counts(gateway, now);
+    view.limiter.set_reachable(now, seen, known);
+    let mut to = view.roster.live(now);
+    let others = sample(&to, SHARED_PEERS, &mut view.rng);
     let large = to.len() > SMALL_FLEET;
     if large {
         if !sequence.is_multiple_of(2) && !gateway.leaving() {
@@ -260,24 +260,24 @@
         to.truncate(ROTATION_SIZE);
     }
     if sequence.is_multiple_of(UNRESPONSIVE_INTERVAL) || sequence < UNRESPONSIVE_INTERVAL {
-        to.extend(beliefs.roster.unresponsive(now));
+        to.extend(view.roster.unresponsive(now));
     }
     let own = gateway.settings.listen.peers;
     to.retain(|address| *address != own);
-    let mut state = state_message(gateway, &beliefs, sequence, others);
+    let mut state = state_message(gateway, &view, sequence, others);
     let loads: Vec<ServerLoad> =
-        beliefs.backends.own_loads().into_iter().map(ServerLoad::of).collect();
+        view.backends.own_loads().into_iter().map(ServerLoad::of).collect();
     if !large {
         state.loads = Some(loads);
-        state.uses = Some(beliefs.limiter.report(now, gateway.incarnation));
-        drop(beliefs);
+        state.uses = Some(view.limiter.report(now, gateway.incarnation));
+        drop(view);
         gateway.peers.send(&PeerMessage::State(state), &to);
         return;
     }
-    let aggregator = beliefs.own_aggregator(&gateway.settings, now);
-    beliefs.backends.mark_loads_reported();
-    let uses = aggregator.map(|_| beliefs.limiter.report(now, gateway.incarnation));
-    drop(beliefs);
+    let aggregator = view.own_aggregator(&gateway.settings, now);
+    view.backends.mark_loads_reported();
+    let uses = aggregator.map(|_| view.limiter.report(now, gateway.incarnation));
+    drop(view);
     to.retain(|address| Some(*address) != aggregator);
     gateway.peers.send(&PeerMessage::State(state.clone()), &to);
     if let Some(aggregator) = aggregator {
@@ -290,16 +290,16 @@
 /// Reports to all live VMs that this one started or stopped aggregating for its domain.
 pub(crate) fn report_to_all(gateway: &Arc<Gateway>) {
     let sequence = gateway.peers.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-    let beliefs = gateway.beliefs();
-    let to = beliefs.roster.live(clock::now());
-    let state = state_message(gateway, &beliefs, sequence, Vec::new());
-    drop(beliefs);
+    let view = gateway.view();
+    let to = view.roster.live(clock::now());
+    let state = state_message(gateway, &view, sequence, Vec::new());
+    drop(view);
     gateway.peers.send(&PeerMessage::State(state), &to);
 }
 
 fn state_message(
     gateway: &Gateway,
-    beliefs: &Beliefs,
+    view: &SystemView,
     sequence: u64,
     others: Vec<SocketAddr>,
 ) -> VmState {
@@ -308,15 +308,15 @@
         incarnation: gateway.incarnation,
         sequence,
         requests: gateway.settings.listen.requests,
-        ready: beliefs.serves(clock::now()),
+        ready: view.serves(clock::now()),
         leaving: gateway.leaving(),
-        config: beliefs.table.as_ref().map_or(0, |table| table.version.0),
-        store_age_ms: beliefs.calls_store.then(|| {
-            u32::try_from(clock::now().since(beliefs.answers.last()) / 1_000).unwrap_or(u32::MAX)
+        config: view.table.as_ref().map_or(0, |table| table.version.0),
+        store_age_ms: view.calls_store.then(|| {
+            u32::try_from(clock::now().since(view.answers.last()) / 1_000).unwrap_or(u32::MAX)
         }),
         domain: gateway.settings.domain.clone(),
-        strong: beliefs.domain.eligible,
-        aggregates: beliefs.domain.aggregates,
+        can_aggregate: view.domain.eligible,
+        aggregates: view.domain.aggregates,
         loads: None,
         uses: None,
         others,
@@ -336,14 +336,20 @@
         PeerMessage::Lists(lists) => apply_lists(gateway, lists),
         PeerMessage::Wish(request) => {
             let now = clock::now();
-            let mut beliefs = gateway.beliefs();
+            let mut view = gateway.view();
             let in_time_until = now.plus(u64::from(request.in_time_ms) * 1_000);
             let waiting = WaitingRequests { vm: request.vm, count: request.waiting, in_time_until };
-            beliefs.books.wish(&request.server, &request.key, request.version, waiting, now);
-            drop(beliefs);
-            order::drive(gateway, &request.server);
+            view.order_trackers.request_load(
+                &request.server,
+                &request.key,
+                request.version,
+                waiting,
+                now,
+            );
+            drop(view);
+            order::send_next_order(gateway, &request.server);
         }
-        PeerMessage::News(update) => news::apply(gateway, update),
+        PeerMessage::News(update) => record_updates::apply(gateway, update),
         PeerMessage::Loads(update) => apply_loads(gateway, &update),
         PeerMessage::Uses(vm, uses) => order::record_uses(gateway, &vm, &uses),
         PeerMessage::Domain(update) => aggregate::apply_update(gateway, update),
@@ -355,26 +361,26 @@
 
 fn apply_state(gateway: &Arc<Gateway>, state: &VmState, from: SocketAddr) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let change = beliefs.roster.apply(state, from, now);
+    let mut view = gateway.view();
+    let change = view.roster.apply(state, from, now);
     if change == PeerChange::Old {
         return;
     }
     for other in &state.others {
-        beliefs.roster.hint(*other);
+        view.roster.hint(*other);
     }
     if let Some(loads) = &state.loads {
         // The VM has no requests at servers that are not named.
-        beliefs.backends.remove_peer(&state.vm);
+        view.backends.remove_peer(&state.vm);
         for load in loads {
-            beliefs.backends.peer_load(&state.vm, load.server.as_str(), load.figure(), now);
+            view.backends.peer_load(&state.vm, load.server.as_str(), load.figure(), now);
         }
     }
     if let Some(uses) = &state.uses {
-        beliefs.limiter.apply_member_report(now, &state.vm, uses);
+        view.limiter.apply_member_report(now, &state.vm, uses);
     }
-    let own = beliefs.table.as_ref().map_or(0, |table| table.version.0);
-    drop(beliefs);
+    let own = view.table.as_ref().map_or(0, |table| table.version.0);
+    drop(view);
     match change {
         PeerChange::Appeared => event!(MemberJoined, vm = state.vm, address = from),
         PeerChange::Restarted => event!(MemberJoined, vm = state.vm, address = from, again = true),
@@ -389,28 +395,28 @@
 /// Applies lists of what servers hold, from the VM that orders a server or from an aggregator.
 pub(crate) fn apply_lists(gateway: &Arc<Gateway>, lists: ServerLists) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
+    let mut view = gateway.view();
     let (mut changed, mut awaited) = (false, false);
     for change in lists.lists {
-        let open = change.adapters.iter().any(|adapter| beliefs.wishes.is_open(&adapter.key));
+        let open = change.adapters.iter().any(|adapter| view.load_requests.is_open(&adapter.key));
         let (server, incarnation) = (change.server.clone(), change.incarnation);
-        if beliefs.backends.start_incarnation(server.as_str(), incarnation, &[], now) {
+        if view.backends.start_incarnation(server.as_str(), incarnation, &[], now) {
             event!(ServerRestarted, server = server, born = incarnation, told_by = "vm");
         }
-        if beliefs.backends.change(change, now) {
+        if view.backends.change(change, now) {
             changed = true;
             awaited |= open;
         }
     }
     if changed {
-        beliefs.domain.shorter |= lists.shorter;
-        beliefs.times.apply_report(ReportedTimes {
+        view.domain.shorter |= lists.shorter;
+        view.times.apply_report(ReportedTimes {
             alone_us: u64::from(lists.load_us),
             each_us: u64::from(lists.each_us),
             is_shortened: lists.shorter,
         });
     }
-    drop(beliefs);
+    drop(view);
     // Hundreds of lists arrive in a second; requests check again only for adapters they wait for.
     if awaited {
         gateway.changed.notify_waiters();
@@ -419,24 +425,24 @@
 
 fn send_uses(gateway: &Arc<Gateway>) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let uses = beliefs.uses.take();
+    let mut view = gateway.view();
+    let uses = view.uses.take();
     let mut by_owner: Vec<(SocketAddr, Vec<AdapterUse>)> = Vec::new();
     let mut own = Vec::new();
     for used in uses {
-        let owner = beliefs.backends.owner(used.server.as_str(), now);
+        let owner = view.backends.owner(used.server.as_str(), now);
         let Some(owner) = owner else { continue };
         if owner.vm == gateway.settings.vm {
             own.push(used);
             continue;
         }
-        let Some(address) = beliefs.roster.address(&owner.vm) else { continue };
+        let Some(address) = view.roster.address(&owner.vm) else { continue };
         match by_owner.iter_mut().find(|(other, _)| *other == address) {
             Some((_, list)) => list.push(used),
             None => by_owner.push((address, vec![used])),
         }
     }
-    drop(beliefs);
+    drop(view);
     let vm = &gateway.settings.vm;
     order::record_uses(gateway, vm, &own);
     for (address, uses) in by_owner {
@@ -446,18 +452,18 @@
 
 /// Reports the use of an adapter at a server to the VM that orders it, without waiting for the next
 /// batch.
-pub(crate) fn tell_use(
+pub(crate) fn report_use(
     gateway: &Arc<Gateway>,
     server: &ServerName,
     incarnation: u64,
     key: &AdapterKey,
 ) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let Some(owner) = beliefs.backends.owner(server.as_str(), now).cloned() else { return };
-    let used = beliefs.uses.take_one(server, incarnation, key);
-    let address = beliefs.roster.address(&owner.vm);
-    drop(beliefs);
+    let mut view = gateway.view();
+    let Some(owner) = view.backends.owner(server.as_str(), now).cloned() else { return };
+    let used = view.uses.take_one(server, incarnation, key);
+    let address = view.roster.address(&owner.vm);
+    drop(view);
     let vm = &gateway.settings.vm;
     if owner.vm == *vm {
         order::record_uses(gateway, vm, &[used]);
--- a/gateway/src/process.rs
+++ b/gateway/src/process.rs
@@ -17,7 +17,7 @@
 use crate::peer::PeerSocket;
 use crate::settings::GatewaySettings;
 use crate::state::Gateway;
-use crate::{aggregate, confirm, follow, group, order, peer, share};
+use crate::{aggregate, confirm, follow, group, order, peer, record_exchange};
 
 /// The fraction of the grace time during which a VM that shuts down still accepts requests, because callers use
 /// cached addresses for some seconds more. A long stream accepted later would be cut by the end of the process,
@@ -76,16 +76,16 @@
         let mut tasks = JoinSet::new();
         listeners.serve(&gateway, &mut tasks);
         tasks.spawn(peer::listen(Arc::clone(&gateway)));
-        tasks.spawn(peer::tell(Arc::clone(&gateway)));
-        tasks.spawn(order::take_turns(Arc::clone(&gateway)));
-        tasks.spawn(peer::tell_loads(Arc::clone(&gateway)));
-        tasks.spawn(aggregate::tell(Arc::clone(&gateway)));
-        tasks.spawn(peer::send_waiting(Arc::clone(&gateway.peers)));
+        tasks.spawn(peer::report_state(Arc::clone(&gateway)));
+        tasks.spawn(order::order_waiting_loads(Arc::clone(&gateway)));
+        tasks.spawn(peer::report_loads(Arc::clone(&gateway)));
+        tasks.spawn(aggregate::run_aggregator(Arc::clone(&gateway)));
+        tasks.spawn(peer::send_queued(Arc::clone(&gateway.peers)));
         tasks.spawn(follow::operators(Arc::clone(&gateway)));
         tasks.spawn(follow::servers(Arc::clone(&gateway)));
-        tasks.spawn(share::take_missing(Arc::clone(&gateway)));
-        tasks.spawn(confirm::keep(Arc::clone(&gateway)));
-        tasks.spawn(group::keep(Arc::clone(&gateway)));
+        tasks.spawn(record_exchange::fetch_missing(Arc::clone(&gateway)));
+        tasks.spawn(confirm::keep_confirmed(Arc::clone(&gateway)));
+        tasks.spawn(group::keep_membership(Arc::clone(&gateway)));
         Ok(Self { gateway, _tasks: tasks })
     }
 
@@ -99,7 +99,7 @@
         let grace = Duration::from_secs(gateway.settings.promises.grace_s);
         gateway.leave();
         event!(ShutdownStarted, open = gateway.open.load(Ordering::Relaxed));
-        peer::tell_once(gateway);
+        peer::report_state_now(gateway);
         // The VM stays a member of the group: a process restarted before the membership lapses keeps its
         // partitions, while leaving would move them twice.
         sleep((grace.mul_f64(ACCEPT_FRACTION)).saturating_sub(stop_started.elapsed())).await;
@@ -142,7 +142,7 @@
 /// Adds the seed VMs to the roster. They listen on the same port for other VMs as this one.
 fn hint_seeds(gateway: &Gateway) {
     let port = gateway.settings.listen.peers.port();
-    let mut view = gateway.beliefs();
+    let mut view = gateway.view();
     for seed in &gateway.settings.seeds {
         view.roster.hint(std::net::SocketAddr::new(seed.ip(), port));
     }
@@ -173,7 +173,7 @@
 fn apply(gateway: &Gateway, settings: &GatewaySettings) {
     let promises = &settings.promises;
     let port = gateway.settings.listen.peers.port();
-    let mut view = gateway.beliefs();
+    let mut view = gateway.view();
     view.budget.set_bounds(RepeatBounds {
         ratio: promises.repeat_ratio,
         slack: promises.repeat_slack,
--- a/gateway/src/share.rs
+++ b/gateway/src/record_exchange.rs
@@ -34,9 +34,9 @@
 
 /// Returns this VM's records in MessagePack, or its configuration alone.
 pub(crate) fn shared_body(gateway: &Gateway, table_only: bool) -> Vec<u8> {
-    let beliefs = gateway.beliefs();
+    let view = gateway.view();
     if table_only {
-        let table = beliefs.table.as_deref().cloned();
+        let table = view.table.as_deref().cloned();
         let state = SharedState { table, versions: Vec::new(), entries: Vec::new() };
         return rmp_serde::to_vec(&state).unwrap_or_default();
     }
@@ -44,10 +44,10 @@
         key: named.key.clone(),
         version: named.version,
     };
-    let entries = beliefs.backends.servers().iter().map(|state| state.entry.clone());
+    let entries = view.backends.servers().iter().map(|state| state.entry.clone());
     let state = SharedState {
-        table: beliefs.table.as_deref().cloned(),
-        versions: beliefs.versions.iter().map(version).collect(),
+        table: view.table.as_deref().cloned(),
+        versions: view.versions.iter().map(version).collect(),
         entries: entries.collect(),
     };
     // Encoding fails only for types without a MessagePack form, and these have one.
@@ -56,7 +56,7 @@
 
 /// Runs for ever, fetching records from other VMs while the store is unreachable and they have a
 /// newer configuration.
-pub(crate) async fn take_missing(gateway: Arc<Gateway>) {
+pub(crate) async fn fetch_missing(gateway: Arc<Gateway>) {
     loop {
         // A VM for which others read the store is notified at once of a newer configuration.
         let _ = timeout(CHECK_INTERVAL, gateway.config_behind.notified()).await;
@@ -83,34 +83,34 @@
 /// which spreads the load.
 fn newer_source(gateway: &Gateway) -> Option<(SocketAddr, String)> {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
-    let is_down = now.since(beliefs.answers.last().max(gateway.started)) >= MIN_OUTAGE_US;
-    let path = if follow::has_record_readers(&beliefs, gateway, now) {
+    let mut view = gateway.view();
+    let is_down = now.since(view.answers.last().max(gateway.started)) >= MIN_OUTAGE_US;
+    let path = if follow::has_record_readers(&view, gateway, now) {
         format!("{SHARED_PATH}?{TABLE_QUERY}")
     } else if is_down {
         SHARED_PATH.to_owned()
     } else {
         return None;
     };
-    let own = beliefs.table.as_ref().map_or(0, |table| table.version.0);
-    let sources = beliefs.roster.with_newer_config(own, now);
-    let from = sources.choose(&mut beliefs.random).copied()?;
+    let own = view.table.as_ref().map_or(0, |table| table.version.0);
+    let sources = view.roster.with_newer_config(own, now);
+    let from = sources.choose(&mut view.rng).copied()?;
     Some((from, path))
 }
 
 fn apply(gateway: &Arc<Gateway>, from: SocketAddr, state: SharedState) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
+    let mut view = gateway.view();
     for named in state.versions {
-        beliefs.name_version(named.key, named.version, now);
+        view.name_version(named.key, named.version, now);
     }
     let entries = state.entries.len();
     for entry in state.entries {
-        beliefs.backends.apply_entry(entry, now);
+        view.backends.apply_entry(entry, now);
     }
-    beliefs.entries_read |= entries > 0;
-    beliefs.expect_fleet();
-    drop(beliefs);
+    view.entries_read |= entries > 0;
+    view.expect_fleet();
+    drop(view);
     event!(CaughtUp, address = from, servers = entries);
     if let Some(table) = state.table {
         follow::put_in_force(gateway, table);
--- a/gateway/src/news.rs
+++ b/gateway/src/record_updates.rs
@@ -48,7 +48,7 @@
     /// Sends orders to servers that appeared, and wakes requests that may wait for them.
     pub(crate) fn wake(&self, gateway: &Arc<Gateway>) {
         for entry in &self.entries {
-            order::drive(gateway, &entry.server);
+            order::send_next_order(gateway, &entry.server);
         }
         gateway.changed.notify_waiters();
     }
@@ -58,29 +58,29 @@
 /// is.
 pub(crate) fn report(gateway: &Arc<Gateway>) {
     let now = clock::now();
-    let mut beliefs = gateway.beliefs();
+    let mut view = gateway.view();
     let age_ms = |call| {
-        let age = beliefs.answers.age(call, now).unwrap_or(Duration::MAX);
+        let age = view.answers.age(call, now).unwrap_or(Duration::MAX);
         u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
     };
     let operators_age_ms = age_ms(StoreCall::Operators);
     let servers_age_ms = age_ms(StoreCall::Servers);
-    let versions = beliefs.pending_versions.iter().map(|(version, _)| version.clone()).collect();
-    beliefs.pending_versions.iter_mut().for_each(|(_, left)| *left -= 1);
-    beliefs.pending_versions.retain(|(_, left)| *left > 0);
-    let changes = || beliefs.entry_history.changes();
+    let versions = view.pending_versions.iter().map(|(version, _)| version.clone()).collect();
+    view.pending_versions.iter_mut().for_each(|(_, left)| *left -= 1);
+    view.pending_versions.retain(|(_, left)| *left > 0);
+    let changes = || view.entry_history.changes();
     let update = RecordUpdate {
         vm: gateway.settings.vm.clone(),
-        config: beliefs.table.as_ref().map_or(0, |table| table.version.0),
+        config: view.table.as_ref().map_or(0, |table| table.version.0),
         operators_age_ms,
         servers_age_ms,
         versions,
-        span: beliefs.entry_history.span(),
+        span: view.entry_history.span(),
         entries: changes().flat_map(|changes| changes.entries.clone()).collect(),
         gone: changes().flat_map(|changes| changes.removed.clone()).collect(),
     };
-    let peers = beliefs.roster.live(now);
-    drop(beliefs);
+    let peers = view.roster.live(now);
+    drop(view);
     gateway.peers.send(&PeerMessage::News(update), &peers);
 }
 
@@ -92,33 +92,33 @@
         record_version(gateway, named.key, named.version, false);
     }
     let reads = reads_for_others(gateway);
-    let mut beliefs = gateway.beliefs();
+    let mut view = gateway.view();
     let known_at = |age_ms: u32| TimePoint(now.0.saturating_sub(u64::from(age_ms) * 1_000));
-    beliefs.operators_known_at = beliefs.operators_known_at.max(known_at(update.operators_age_ms));
-    if beliefs.coverage.apply_report(update.span) {
-        beliefs.entries_known_at = beliefs.entries_known_at.max(known_at(update.servers_age_ms));
-    } else if !reads && !beliefs.missed_entries {
+    view.operators_known_at = view.operators_known_at.max(known_at(update.operators_age_ms));
+    if view.coverage.apply_report(update.span) {
+        view.entries_known_at = view.entries_known_at.max(known_at(update.servers_age_ms));
+    } else if !reads && !view.missed_entries {
         // Without an own read this VM would go on sending to a removed server.
         event!(EntriesMissed, told_by = update.vm, since = update.span.since);
-        beliefs.missed_entries = true;
+        view.missed_entries = true;
         gateway.entries_missed.notify_one();
     }
-    beliefs.roster.record_config(&update.vm, update.config);
-    if beliefs.table.as_ref().is_some_and(|table| table.version.0 < update.config) {
+    view.roster.record_config(&update.vm, update.config);
+    if view.table.as_ref().is_some_and(|table| table.version.0 < update.config) {
         gateway.config_behind.notify_waiters();
     }
     for entry in update.entries {
-        if beliefs.apply_entry(&entry, now) {
+        if view.apply_entry(&entry, now) {
             changes.entries.push(entry);
         }
     }
     if !changes.entries.is_empty() {
-        beliefs.expect_fleet();
+        view.expect_fleet();
     }
     for gone in &update.gone {
-        beliefs.lapse(gone.server.as_str(), gone.position, false, now);
+        view.lapse(gone.server.as_str(), gone.position, false, now);
     }
-    drop(beliefs);
+    drop(view);
     remove_lapsed(gateway);
     if !changes.entries.is_empty() {
         changes.wake(gateway);
@@ -133,13 +133,13 @@
     version: u64,
     is_reader: bool,
 ) -> bool {
-    let mut beliefs = gateway.beliefs();
-    if !beliefs.name_version(key.clone(), version, clock::now()) {
+    let mut view = gateway.view();
+    if !view.name_version(key.clone(), version, clock::now()) {
         return false;
     }
     event!(AdapterVersionNamed, adapter = key.adapter, version = version);
-    if is_reader && beliefs.pending_versions.len() < MAX_REPORTED_VERSIONS {
-        beliefs.pending_versions.push((SharedVersion { key, version }, UPDATE_REPEATS));
+    if is_reader && view.pending_versions.len() < MAX_REPORTED_VERSIONS {
+        view.pending_versions.push((SharedVersion { key, version }, UPDATE_REPEATS));
     }
     true
 }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -155,14 +155,14 @@
     fn record_completed(&self) {
         let request = &self.run.request;
         if let Some(gap) = request.route.target_gap {
-            let mut view = self.run.gateway.beliefs();
+            let mut view = self.run.gateway.view();
             view.backends.stream_ended(&request.service, self.run.pause, gap);
         }
     }
 
     /// Records whether the server works and how long it paused, unless it has restarted since.
     fn record_answer(&self, good: bool, pause_us: Option<f64>) {
-        let mut view = self.run.gateway.beliefs();
+        let mut view = self.run.gateway.view();
         if view.backends.is_current_incarnation(self.server.as_str(), self.run.incarnation) {
             view.backends.answered(self.server.as_str(), good, pause_us);
         }
--- a/gateway/src/roster.rs
+++ b/gateway/src/roster.rs
@@ -342,7 +342,7 @@
             ready: state.ready,
             leaving: state.leaving,
             domain: state.domain.clone(),
-            eligible: state.strong,
+            eligible: state.can_aggregate,
             aggregates: state.aggregates,
             last_seen: now,
         }
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -91,7 +91,7 @@
         let limit = request.head.deadline.unwrap_or(Duration::MAX).min(request.route.timeout);
         let due = request.started.plus(limit.as_micros().try_into().unwrap_or(u64::MAX));
         gateway.open.fetch_add(1, Ordering::Relaxed);
-        gateway.beliefs().budget.record_first(&request.service, clock::now());
+        gateway.view().budget.record_first(&request.service, clock::now());
         Self {
             gateway,
             request,
@@ -169,7 +169,7 @@
             return true;
         }
         let now = clock::now();
-        let mut view = self.gateway.beliefs();
+        let mut view = self.gateway.view();
         let vms = view.vm_count(now);
         view.budget.try_repeat(&self.request.service, vms, now)
     }
@@ -208,7 +208,7 @@
         else {
             return;
         };
-        self.gateway.beliefs().uses.met(server, self.incarnation, key, change);
+        self.gateway.view().uses.record(server, self.incarnation, key, change);
     }
 }
 
--- a/gateway/src/send.rs
+++ b/gateway/src/send.rs
@@ -58,7 +58,7 @@
         return SendEnd::Unsent("an earlier send may have run it".to_owned());
     }
     let (address, incarnation, version) = {
-        let view = gateway.beliefs();
+        let view = gateway.view();
         let state = view.backends.get(server.as_str()).filter(|state| !state.leaving);
         let Some(state) = state else {
             return SendEnd::Unsent("the server is draining or unknown".to_owned());
@@ -178,7 +178,7 @@
     };
     run.gateway.metrics.sent(result);
     let now = clock::now();
-    let mut view = run.gateway.beliefs();
+    let mut view = run.gateway.view();
     match end {
         SendEnd::Unsent(_) | SendEnd::Unknown(_)
             if view.backends.is_current_incarnation(server.as_str(), run.incarnation) =>
--- a/gateway/src/sent.rs
+++ b/gateway/src/sent.rs
@@ -34,7 +34,7 @@
         pending_prompt_tokens: u64,
     ) -> Self {
         let gateway = Arc::clone(gateway);
-        let mut view = gateway.beliefs();
+        let mut view = gateway.view();
         let now = clock::now();
         let ahead = view.backends.sent(server.as_str(), pending_prompt_tokens, now);
         if pending_prompt_tokens > 0 {
@@ -43,10 +43,10 @@
         let first = adapter.as_ref().filter(|key| view.uses.begin(server, incarnation, key));
         drop(view);
         if pending_prompt_tokens > 0 {
-            peer::tell_loads_now(&gateway);
+            peer::report_loads_now(&gateway);
         }
         if let Some(key) = first {
-            peer::tell_use(&gateway, server, incarnation, key);
+            peer::report_use(&gateway, server, incarnation, key);
         }
         Self {
             gateway,
@@ -66,7 +66,7 @@
             return;
         }
         let waited_us = clock::now().since(self.sent_at);
-        let mut view = self.gateway.beliefs();
+        let mut view = self.gateway.view();
         view.backends.prompt_processed(
             self.server.as_str(),
             tokens,
@@ -76,13 +76,13 @@
         drop(view);
         self.gateway.loads_changed.notify_one();
         // Wakes requests that are held back until this prompt is read.
-        self.gateway.own_read.notify_waiters();
+        self.gateway.own_prompt_read.notify_waiters();
     }
 }
 
 impl Drop for SentCount {
     fn drop(&mut self) {
-        let mut view = self.gateway.beliefs();
+        let mut view = self.gateway.view();
         view.backends.ended(self.server.as_str(), self.pending_prompt_tokens);
         if self.pending_prompt_tokens > 0 {
             view.load_changed(&self.server);
@@ -91,7 +91,7 @@
             self.adapter.as_ref().filter(|key| view.uses.end(&self.server, self.incarnation, key));
         drop(view);
         if let Some(key) = last {
-            peer::tell_use(&self.gateway, &self.server, self.incarnation, key);
+            peer::report_use(&self.gateway, &self.server, self.incarnation, key);
         }
     }
 }
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -23,17 +23,17 @@
 use crate::aggregate::DomainView;
 use crate::clock;
 use crate::link::AnswerTimes;
+use crate::load_request::LoadRequests;
 use crate::message::SharedVersion;
 use crate::metrics::GatewayMetrics;
-use crate::news::{EntryChanges, UPDATE_REPEATS};
 use crate::order::ServerTrackers;
 use crate::peer::PeerSocket;
+use crate::record_updates::{EntryChanges, UPDATE_REPEATS};
 use crate::roster::PeerRoster;
 use crate::settings::GatewaySettings;
 use crate::skipped::SkippedKeys;
 use crate::uses::UseList;
 use crate::waits::WaitList;
-use crate::wish::LoadRequests;
 
 /// Topics whose partitions assign servers to VMs. With the platform's partitions per topic this
 /// gives about fifty partitions, several for each VM, so that the partitions of a removed VM spread
@@ -67,7 +67,7 @@
     pub(crate) version: u64,
     pub(crate) at: TimePoint,
     /// The version named before, 0 if none was.
-    pub(crate) before: u64,
+    pub(crate) previous: u64,
 }
 
 /// A server whose entry was removed.
@@ -81,7 +81,7 @@
 }
 
 /// The VM's view of the system, on which its decisions are based.
-pub(crate) struct Beliefs {
+pub(crate) struct SystemView {
     pub(crate) table: Option<Arc<RouteTable>>,
     /// When `table` was last confirmed to be the newest configuration.
     pub(crate) confirmation: ConfigConfirmation,
@@ -90,16 +90,16 @@
     pub(crate) unknown_key_queried_at: Option<TimePoint>,
     pub(crate) limiter: CustomerLimiter,
     /// Whether customers' use changed since this VM last reported it.
-    pub(crate) untold_uses: bool,
+    pub(crate) uses_changed: bool,
     /// Named versions, sorted by adapter.
     pub(crate) versions: Vec<NamedVersion>,
     pub(crate) backends: BackendTable,
     pub(crate) budget: RepeatBudget,
     pub(crate) roster: PeerRoster,
-    pub(crate) tenure: OrderLease,
-    pub(crate) books: ServerTrackers,
+    pub(crate) lease: OrderLease,
+    pub(crate) order_trackers: ServerTrackers,
     pub(crate) times: LoadTimes,
-    pub(crate) wishes: LoadRequests,
+    pub(crate) load_requests: LoadRequests,
     pub(crate) waits: WaitList,
     /// Whether the servers' entries were read at least once.
     pub(crate) entries_read: bool,
@@ -133,7 +133,7 @@
     pub(crate) large_since: TimePoint,
     /// Servers at which this VM's counts changed since it last reported them.
     pub(crate) unreported_loads: Vec<ServerName>,
-    pub(crate) random: Pcg64,
+    pub(crate) rng: Pcg64,
 }
 
 /// A gateway process.
@@ -141,15 +141,15 @@
     pub(crate) settings: GatewaySettings,
     pub(crate) incarnation: u64,
     pub(crate) started: TimePoint,
-    beliefs: Mutex<Beliefs>,
+    view: Mutex<SystemView>,
     /// Notified when servers or what they hold change, so that waiting requests check again.
     pub(crate) changed: Notify,
     /// Notified when another VM reported its requests, so that requests held back here check again.
     /// It is separate from `changed` because each check goes through all servers and hundreds of
     /// such reports arrive in a second.
-    pub(crate) others_read: Notify,
+    pub(crate) peer_loads_changed: Notify,
     /// Notified when a server has read a prompt sent by this VM.
-    pub(crate) own_read: Notify,
+    pub(crate) own_prompt_read: Notify,
     /// Notified when this VM's counts at a server changed.
     pub(crate) loads_changed: Notify,
     /// Notified when another VM has a newer configuration than the one in force here.
@@ -176,7 +176,7 @@
     pub(crate) fn new(settings: GatewaySettings, peers: PeerSocket) -> Self {
         let incarnation = incarnation();
         let promises = &settings.promises;
-        let tenure = LeaseSettings {
+        let lease = LeaseSettings {
             topics: PARTITION_TOPICS,
             partitions: settings.store.parts,
             lifetime_us: settings.store.least_lifetime_ms * RENEWALS_PER_LIFETIME * 1_000,
@@ -195,21 +195,21 @@
             connect_ms: 400,
             ..ExchangeSettings::default()
         });
-        let beliefs = Beliefs {
+        let view = SystemView {
             table: None,
             confirmation: ConfigConfirmation::new(promises.key_removal()),
             wrong_keys: WrongKeys::default(),
             unknown_key_queried_at: None,
             limiter: CustomerLimiter::new(promises.limit_excess(), UPDATE_INTERVAL_US),
-            untold_uses: false,
+            uses_changed: false,
             versions: Vec::new(),
             backends: BackendTable::default(),
             budget: RepeatBudget::new(budget),
             roster: PeerRoster::default(),
-            tenure: OrderLease::new(tenure),
-            books: ServerTrackers::default(),
+            lease: OrderLease::new(lease),
+            order_trackers: ServerTrackers::default(),
             times: LoadTimes::default(),
-            wishes: LoadRequests::default(),
+            load_requests: LoadRequests::default(),
             waits: WaitList::default(),
             entries_read: false,
             operators_known_at: TimePoint(0),
@@ -226,15 +226,15 @@
             domain: DomainView::new(&settings.capacity),
             large_since: clock::now(),
             unreported_loads: Vec::new(),
-            random: Pcg64::seed_from_u64(incarnation ^ stable_hash(&[settings.vm.as_str()])),
+            rng: Pcg64::seed_from_u64(incarnation ^ stable_hash(&[settings.vm.as_str()])),
         };
         Self {
             incarnation,
             started: clock::now(),
-            beliefs: Mutex::new(beliefs),
+            view: Mutex::new(view),
             changed: Notify::new(),
-            others_read: Notify::new(),
-            own_read: Notify::new(),
+            peer_loads_changed: Notify::new(),
+            own_prompt_read: Notify::new(),
             loads_changed: Notify::new(),
             config_behind: Notify::new(),
             unknown_key_seen: Notify::new(),
@@ -253,8 +253,8 @@
     }
 
     /// Locks the VM's view. The guard must not be held across an await point.
-    pub(crate) fn beliefs(&self) -> MutexGuard<'_, Beliefs> {
-        self.beliefs.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn view(&self) -> MutexGuard<'_, SystemView> {
+        self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns whether the process is ending.
@@ -269,11 +269,11 @@
 
     /// Returns whether callers should be sent to this VM.
     pub(crate) fn ready(&self) -> bool {
-        !self.leaving() && self.beliefs().serves(clock::now())
+        !self.leaving() && self.view().serves(clock::now())
     }
 }
 
-impl Beliefs {
+impl SystemView {
     /// Records that this VM's counts at a server changed, to be reported with the next batch.
     pub(crate) fn load_changed(&mut self, server: &ServerName) {
         if !self.unreported_loads.contains(server) {
@@ -295,8 +295,8 @@
     }
 
     /// Returns a random number.
-    pub(crate) fn draw(&mut self) -> u64 {
-        self.random.next_u64()
+    pub(crate) fn random(&mut self) -> u64 {
+        self.rng.next_u64()
     }
 
     /// Returns the version of an adapter that requests must run on, `None` if none was named.
@@ -314,12 +314,12 @@
                 if version <= named.version {
                     return false;
                 }
-                named.before = named.version;
+                named.previous = named.version;
                 named.version = version;
                 named.at = now;
             }
             Err(at) => {
-                let named = NamedVersion { key, version, at: now, before: 0 };
+                let named = NamedVersion { key, version, at: now, previous: 0 };
                 self.versions.insert(at, named);
             }
         }
@@ -333,7 +333,7 @@
         server: &ServerName,
         now: TimePoint,
     ) -> Option<u64> {
-        if !self.tenure.holds(server) {
+        if !self.lease.holds(server) {
             return None;
         }
         // Where servers do not check fences, received lists are not sufficient: a holder that is
@@ -341,7 +341,7 @@
         let by_lists = settings.promises.servers_check_fences;
         let other = self.backends.other_owner_at(server.as_str(), &settings.vm);
         let outage = assess_outage(&self.roster.witnesses(now), now);
-        self.tenure.fence(server, other.filter(|_| by_lists), outage, now)
+        self.lease.fence(server, other.filter(|_| by_lists), outage, now)
     }
 
     /// Returns the number of VMs that share budgets, this one included.
--- a/gateway/src/uses.rs
+++ b/gateway/src/uses.rs
@@ -40,7 +40,7 @@
     }
 
     /// Records in what state a request found an adapter.
-    pub(crate) fn met(
+    pub(crate) fn record(
         &mut self,
         server: &ServerName,
         incarnation: u64,
--- a/gateway/src/waits.rs
+++ b/gateway/src/waits.rs
@@ -27,25 +27,25 @@
 }
 
 /// Guard that counts a waiting request until it is dropped.
-pub(crate) struct WaitNote {
+pub(crate) struct WaitGuard {
     gateway: Arc<Gateway>,
     wait: (AdapterKey, TimePoint),
 }
 
-impl WaitNote {
+impl WaitGuard {
     /// Counts a request for `key` that can be served in time until `in_time`.
     pub(crate) fn new(gateway: &Arc<Gateway>, key: &AdapterKey, in_time: TimePoint) -> Self {
         let wait = (key.clone(), in_time);
-        let waits = &mut gateway.beliefs().waits.waits;
+        let waits = &mut gateway.view().waits.waits;
         let at = waits.partition_point(|other| *other < wait);
         waits.insert(at, wait.clone());
         Self { gateway: Arc::clone(gateway), wait }
     }
 }
 
-impl Drop for WaitNote {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
-        let waits = &mut self.gateway.beliefs().waits.waits;
+        let waits = &mut self.gateway.view().waits.waits;
         if let Ok(at) = waits.binary_search(&self.wait) {
             waits.remove(at);
         }
--- a/gateway/tests/soak/faults.rs
+++ b/gateway/tests/soak/faults.rs
@@ -158,9 +158,9 @@
             world.store.set_down(false);
         }
         FaultKind::StoreUnresponsive => {
-            world.store.set_silent(true);
+            world.store.set_unresponsive(true);
             sleep(lasts).await;
-            world.store.set_silent(false);
+            world.store.set_unresponsive(false);
         }
         FaultKind::StoreLink(gateway, link) => {
             world.store_links[gateway].set(link);
--- a/gateway/tests/soak/world.rs
+++ b/gateway/tests/soak/world.rs
@@ -155,7 +155,7 @@
             std::env::temp_dir().join(format!("soak-{}-{}", std::process::id(), plan.seed));
         std::fs::create_dir_all(&folder).expect("the folder is made");
         let store = StandinStore::start().await;
-        store.deal_evenly();
+        store.assign_evenly();
         let mut store_links = Vec::new();
         for _ in 0..plan.gateways {
             store_links.push(LinkProxy::start(store.address).await);
--- a/gateway/tests/suite/customer_keys.rs
+++ b/gateway/tests/suite/customer_keys.rs
@@ -100,7 +100,7 @@
 async fn removed_unheard() {
     let (site, gateway) = site_with(&["kept", "removed"]).await;
     assert_eq!(status(&gateway, "r0", "removed").await, 200);
-    site.store.set_silent(true);
+    site.store.set_unresponsive(true);
     publish(&site, 2, &["kept"], json!({}));
     sleep(Duration::from_millis(REMOVAL_MS)).await;
     for (id, key) in [("r1", "removed"), ("r2", "kept"), ("r3", "never")] {
@@ -112,7 +112,7 @@
     assert!(!gateway.ready().await);
     assert!(gateway.addresses().await.is_empty());
     assert_eq!(site.plain[0].runs().len(), 1);
-    site.store.set_silent(false);
+    site.store.set_unresponsive(false);
     gateway.wait_ready().await;
     assert_eq!(status(&gateway, "r4", "removed").await, 401);
     assert_eq!(status(&gateway, "r5", "kept").await, 200);
@@ -127,7 +127,7 @@
     let first = strict_gateway(&site, "vm-1", &[]).await;
     let second = strict_gateway(&site, "vm-2", &[&first]).await;
     eventually("they know each other", async || first.addresses().await.len() == 2).await;
-    site.store.lose_held();
+    site.store.drop_held();
     for round in 0..6 {
         sleep(Duration::from_millis(REMOVAL_MS / 3)).await;
         assert_eq!(status(&first, &format!("a{round}"), "kept").await, 200);
--- a/gateway/tests/suite/lost_questions.rs
+++ b/gateway/tests/suite/lost_queries.rs
@@ -52,11 +52,11 @@
 /// The store is unresponsive for some seconds. It then answers all calls again except the queries
 /// that it held, and a configuration that is published next must be in force in time.
 #[tokio::test]
-async fn after_silence() {
+async fn after_unresponsive_store() {
     let (site, elsewhere, gateways) = site_of_three().await;
-    site.store.set_silent(true);
+    site.store.set_unresponsive(true);
     sleep(Duration::from_millis(2_500)).await;
-    site.store.set_silent(false);
+    site.store.set_unresponsive(false);
     check_moved(&site, &elsewhere, &gateways).await;
 }
 
@@ -65,6 +65,6 @@
 #[tokio::test]
 async fn without_outage() {
     let (site, elsewhere, gateways) = site_of_three().await;
-    site.store.lose_held();
+    site.store.drop_held();
     check_moved(&site, &elsewhere, &gateways).await;
 }
--- a/gateway/tests/suite/main.rs
+++ b/gateway/tests/suite/main.rs
@@ -6,7 +6,7 @@
 mod config_follow;
 mod configuration;
 mod customer_keys;
-mod lost_questions;
+mod lost_queries;
 mod peer_records;
 #[allow(dead_code, reason = "the soak uses more of it")]
 mod server;
@@ -14,6 +14,6 @@
 mod site;
 #[allow(dead_code, reason = "the soak uses more of it")]
 mod store;
-mod untold_changes;
+mod unreported_changes;
 mod vm_leaves;
 mod wire_names;
--- a/gateway/tests/suite/store.rs
+++ b/gateway/tests/suite/store.rs
@@ -108,7 +108,7 @@
     }
 
     /// Assigns partitions to all members from now on.
-    pub(crate) fn deal_evenly(&self) {
+    pub(crate) fn assign_evenly(&self) {
         self.state.lock().unwrap().assigns_evenly = true;
     }
 
@@ -126,15 +126,15 @@
     /// Accepts connections and calls without answering any while `silent`, including the queries
     /// that are held. What was accepted in that time stays unanswered afterwards, and no connection
     /// is closed.
-    pub(crate) fn set_silent(&self, silent: bool) {
-        self.unresponsive.store(silent, Ordering::SeqCst);
-        if silent {
-            self.lose_held();
+    pub(crate) fn set_unresponsive(&self, unresponsive: bool) {
+        self.unresponsive.store(unresponsive, Ordering::SeqCst);
+        if unresponsive {
+            self.drop_held();
         }
     }
 
     /// Drops the queries that are held. Their connections stay open and get no answer.
-    pub(crate) fn lose_held(&self) {
+    pub(crate) fn drop_held(&self) {
         self.losses.fetch_add(1, Ordering::SeqCst);
         self.changed.notify_waiters();
     }
--- a/gateway/tests/unit/aggregator_turns.rs
+++ b/gateway/tests/unit/aggregator_takeover.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn silence() {
+fn unresponsive_aggregator() {
     let mut view = DomainView::default();
     view.record_update(&"vm-1".into(), START);
     assert!(!view.is_due(1, START, START.plus(400_000)));
--- a/gateway/tests/unit/encoded_names.rs
+++ b/gateway/tests/unit/encoded_names.rs
@@ -17,7 +17,7 @@
 use serde_json::Value;
 
 use crate::message::{
-    AdapterUse, AdapterWish, ConfirmationAnswer, ConfirmationQuestion, DomainSums, DomainUpdate,
+    AdapterUse, ConfirmationAnswer, ConfirmationQuestion, DomainSums, DomainUpdate, LoadRequest,
     LoadUpdate, PeerMessage, RecordUpdate, RemovedServer, ServerLists, ServerLoad, SharedState,
     SharedVersion, VmState, decode, encode,
 };
@@ -110,7 +110,7 @@
         config: 3,
         store_age_ms: Some(4),
         domain: "d1".into(),
-        strong: true,
+        can_aggregate: true,
         aggregates: false,
         loads: Some(loads()),
         uses: Some(uses()),
@@ -142,7 +142,7 @@
 
 #[test]
 fn adapter_wish() {
-    let wish = AdapterWish {
+    let load_request = LoadRequest {
         server: "s-1".into(),
         key: key(),
         version: 1,
@@ -151,7 +151,7 @@
         in_time_ms: 3,
     };
     same_message(
-        PeerMessage::Wish(wish),
+        PeerMessage::Wish(load_request),
         expect![[
             r#"{"wish":{"server":"s-1","key":{"model":"base","adapter":"swahili"},"version":1,"vm":"vm-1","waiting":2,"in_time_ms":3}}"#
         ]],
@@ -182,7 +182,7 @@
 
 #[test]
 fn record_news() {
-    let news = RecordUpdate {
+    let update = RecordUpdate {
         vm: "vm-1".into(),
         config: 1,
         operators_age_ms: 2,
@@ -193,7 +193,7 @@
         gone: vec![RemovedServer { server: "s-2".into(), position: 6 }],
     };
     same_message(
-        PeerMessage::News(news),
+        PeerMessage::News(update),
         expect![[
             r#"{"news":{"vm":"vm-1","config":1,"operators_age_ms":2,"servers_age_ms":3,"span":{"since":4,"up_to":5},"versions":[{"key":{"model":"base","adapter":"swahili"},"version":41}],"entries":[{"server":"s-1","born":32,"service":"speech","address":"10.0.0.2:80","domain":"d1","slots":33,"ready":true,"heartbeat":34,"position":35,"models":[{"model":"base","adapters":[{"adapter":"swahili","version":31}]}]}],"gone":[{"server":"s-2","position":6}]}}"#
         ]],
@@ -205,7 +205,7 @@
 
 #[test]
 fn load_news() {
-    let news = LoadUpdate {
+    let update = LoadUpdate {
         vm: "vm-1".into(),
         incarnation: 1,
         sequence: 2,
@@ -213,7 +213,7 @@
         uses: Some(uses()),
     };
     same_message(
-        PeerMessage::Loads(news),
+        PeerMessage::Loads(update),
         expect![[
             r#"{"loads":{"vm":"vm-1","incarnation":1,"sequence":2,"loads":[{"server":"s-1","running":11,"unread":12}],"uses":{"life":13,"age_ms":14,"uses":[{"customer":"clinic","total":{"asked":1.5,"admitted":2.5}}]}}}"#
         ]],
@@ -223,16 +223,16 @@
 
 #[test]
 fn domain_news() {
-    let standing = BucketState { customer: "clinic".into(), level: 1.5, demand_per_s: 2.5 };
-    let news = DomainUpdate {
+    let state = BucketState { customer: "clinic".into(), level: 1.5, demand_per_s: 2.5 };
+    let update = DomainUpdate {
         vm: "vm-1".into(),
         loads: loads(),
         lists: lists(),
-        standings: vec![standing],
-        in_touch: 1,
+        bucket_states: vec![state],
+        reachable_vms: 1,
     };
     same_message(
-        PeerMessage::Domain(news),
+        PeerMessage::Domain(update),
         expect![[
             r#"{"domain":{"vm":"vm-1","loads":[{"server":"s-1","running":11,"unread":12}],"lists":{"lists":[{"server":"s-1","born":24,"vm":"vm-1","fence":25,"revision":26,"base":27,"free":28,"adapters":[{"key":{"model":"base","adapter":"swahili"},"version":21,"usable_in_ms":22,"heat":23,"from_memory":true}],"dropped":[{"model":"base","adapter":"swahili"}]}],"load_us":29,"each_us":30,"shorter":true},"standings":[{"customer":"clinic","level":1.5,"asked_per_s":2.5}],"in_touch":1}}"#
         ]],
--- a/gateway/tests/unit/large_fleet.rs
+++ b/gateway/tests/unit/large_fleet.rs
@@ -25,7 +25,7 @@
         config,
         store_age_ms,
         domain: DOMAIN.into(),
-        strong: true,
+        can_aggregate: true,
         aggregates: false,
         loads: None,
         uses: None,
@@ -91,7 +91,7 @@
     let ahead = |own: usize| {
         let mut roster = PeerRoster::default();
         for number in (0..count).filter(|number| *number != own) {
-            let state = VmState { strong: eligible(number), ..state(number, 1, None) };
+            let state = VmState { can_aggregate: eligible(number), ..state(number, 1, None) };
             roster.apply(&state, address(number), NOW);
         }
         roster.ahead_in_domain(
@@ -125,7 +125,7 @@
 
 /// A VM's update shows its newer configuration before its next state message does.
 #[test]
-fn told_in_news() {
+fn config_in_update() {
     let mut fleet = roster(SMALL_FLEET + 2, 0, NOW, |_| (6, None));
     assert!(fleet.is_large(NOW));
     fleet.record_config(&VmName::from("vm-3"), 7);
--- a/gateway/tests/unit/leaving_servers.rs
+++ b/gateway/tests/unit/leaving_servers.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn told_by_each_reader() {
+async fn reported_by_each_reader() {
     let peers = PeerSocket::bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let gateway = Arc::new(Gateway::new(GatewaySettings::default(), peers));
     assert_eq!(apply_servers(&gateway, &[record("ready", 1)], false).entries.len(), 1);
--- a/gateway/tests/unit/waiting_datagrams.rs
+++ b/gateway/tests/unit/queued_datagrams.rs
@@ -8,15 +8,15 @@
 use tokio::time::timeout;
 
 use crate::message::{AdapterUse, MAX_BYTES, PeerMessage};
-use crate::peer::{PeerSocket, first_recipient, send_waiting};
+use crate::peer::{PeerSocket, first_recipient, send_queued};
 
 /// Guards against dropping messages while the socket is not writable: here it is not yet known to
 /// be, in a large fleet its buffer may be full. A dropped message about leaving servers would reach
 /// no VM before its next repeat, and requests would go to servers that have left.
 #[tokio::test]
-async fn all_are_told() {
+async fn every_vm_receives() {
     let sender = Arc::new(PeerSocket::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.unwrap());
-    let waiting = tokio::spawn(send_waiting(Arc::clone(&sender)));
+    let waiting = tokio::spawn(send_queued(Arc::clone(&sender)));
     let mut receivers = Vec::new();
     for _ in 0..74 {
         receivers.push(UdpSocket::bind("127.0.0.1:0").await.unwrap());
--- a/gateway/tests/unit/told_records.rs
+++ b/gateway/tests/unit/reader_reports.rs
@@ -16,8 +16,8 @@
 use crate::follow::{has_entry_readers, has_record_readers};
 use crate::large_fleet::roster;
 use crate::message::RecordUpdate;
-use crate::news;
 use crate::peer::PeerSocket;
+use crate::record_updates;
 use crate::settings::GatewaySettings;
 use crate::state::Gateway;
 
@@ -40,9 +40,9 @@
         idle_time: Duration::from_secs(5),
     };
     let table = RouteTable::new(ConfigVersion(1), limits, vec![], vec![]);
-    gateway.beliefs().table = Some(Arc::new(table));
-    gateway.beliefs().roster = fleet(own);
-    gateway.beliefs().coverage.record_read(0);
+    gateway.view().table = Some(Arc::new(table));
+    gateway.view().roster = fleet(own);
+    gateway.view().coverage.record_read(0);
     gateway
 }
 
@@ -57,11 +57,11 @@
         entries: Vec::new(),
         gone: Vec::new(),
     };
-    news::apply(gateway, update);
+    record_updates::apply(gateway, update);
 }
 
 fn relies_on_readers(gateway: &Gateway) -> bool {
-    has_record_readers(&gateway.beliefs(), gateway, clock::now())
+    has_record_readers(&gateway.view(), gateway, clock::now())
 }
 
 #[tokio::test]
@@ -91,7 +91,7 @@
 
 /// Updates that arrive late or out of order do not lower the known times.
 #[tokio::test]
-async fn late_news() {
+async fn late_update() {
     let gateway = vm_with_readers().await;
     receive(&gateway, 100, 100);
     receive(&gateway, OLD_MS, OLD_MS);
