--- a/caller/examples/face_delay.rs
+++ b/caller/examples/face_delay.rs
@@ -1,11 +1,14 @@
-//! Measures how long an event of a stream takes from the handler to the caller, over loopback.
+//! Measures the latency of streamed events from the handler to the caller, over loopback.
 //!
 //! ```text
 //! cargo run --release -p coltsfoothook-caller --example face_delay -- [step_ms] [events] [streams] [warm]
 //! ```
 //!
-//! `warm` requests go over each connection before its stream. The kernel delays acknowledgements on
-//! a connection that was used to and fro, which a fresh one does not show.
+//! `warm` is the number of requests sent on each connection before its stream starts. The kernel
+//! delays acknowledgements on a connection that has carried traffic in both directions, an effect
+//! that a new connection does not show.
+//!
+//! Prints one line of JSON with the latencies in microseconds.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -25,15 +28,16 @@
 
 const BODY: &str = r#"{"model":"a@1","prompt":"x","stream":true}"#;
 
-/// Streams events that carry the microsecond at which they were made.
+/// Streams `events` events, one per `step`, each with its creation time in microseconds since
+/// `start`.
 struct TickHandler {
     start: Instant,
     step: Duration,
     events: u32,
 }
 
-fn no_such<T>() -> Result<T, CallProblem> {
-    Err(CallProblem::not_run(FaceReason::UnknownPath, "not measured"))
+fn unsupported<T>() -> Result<T, CallProblem> {
+    Err(CallProblem::not_run(FaceReason::UnknownPath, "the benchmark serves completions only"))
 }
 
 #[async_trait]
@@ -65,36 +69,36 @@
     }
 
     async fn entries(&self, _: &CustomerName) -> Result<EntriesAnswer, CallProblem> {
-        no_such()
+        unsupported()
     }
 
     async fn models(&self, _: &CustomerName, _: ModelQuery) -> Result<ModelPage, CallProblem> {
-        no_such()
+        unsupported()
     }
 
     async fn call_service(&self, _: ServiceCall) -> Result<ServiceAnswer, CallProblem> {
-        no_such()
+        unsupported()
     }
 
     async fn submit_job(&self, _: JobCall) -> Result<JobStatus, CallProblem> {
-        no_such()
+        unsupported()
     }
 
     async fn job_status(&self, _: &CustomerName, _: &JobId) -> Result<JobStatus, CallProblem> {
-        no_such()
+        unsupported()
     }
 
     async fn job_result(&self, _: &CustomerName, _: &JobId) -> Result<JobResult, CallProblem> {
-        no_such()
+        unsupported()
     }
 
     async fn cancel_job(&self, _: &CustomerName, _: &JobId) -> Result<JobStatus, CallProblem> {
-        no_such()
+        unsupported()
     }
 }
 
-/// Reads one stream and gives the delay of each event in microseconds.
-async fn read_delays(address: std::net::SocketAddr, start: Instant, warm: u64) -> Vec<u128> {
+/// Reads one stream and returns the latency of each event in microseconds.
+async fn read_latencies(address: std::net::SocketAddr, start: Instant, warm: u64) -> Vec<u128> {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     let mut buffer = vec![0; 65_536];
     for _ in 0..warm {
@@ -108,16 +112,20 @@
         BODY.len()
     );
     stream.write_all(head.as_bytes()).await.expect("write");
-    let mut delays = Vec::new();
+    let mut latencies = Vec::new();
     loop {
         let size = stream.read(&mut buffer).await.expect("read");
         if size == 0 {
-            return delays;
+            return latencies;
         }
         let now = start.elapsed().as_micros();
         let text = String::from_utf8_lossy(&buffer[..size]);
         let events = text.lines().filter_map(|line| line.strip_prefix("data: "));
-        delays.extend(events.filter_map(|made| made.parse().ok()).map(|made: u128| now - made));
+        latencies.extend(
+            events
+                .filter_map(|created_us| created_us.parse().ok())
+                .map(|created_us: u128| now - created_us),
+        );
     }
 }
 
@@ -132,24 +140,24 @@
     let events = u32::try_from(events).expect("a small number");
     let handler = TickHandler { start, step: Duration::from_millis(step_ms), events };
     let server = CallerServer::start(CallerSettings::default(), Arc::new(handler), None);
-    let server = server.expect("the face starts");
+    let server = server.expect("the server starts");
     let address = server.address();
-    let readers = (0..streams).map(|_| tokio::spawn(read_delays(address, start, warm)));
-    let (mut firsts, mut delays) = (Vec::<u128>::new(), Vec::<u128>::new());
-    for read in futures::future::join_all(readers).await {
-        let read = read.expect("a reader");
-        firsts.extend(read.first());
-        delays.extend(read);
+    let readers = (0..streams).map(|_| tokio::spawn(read_latencies(address, start, warm)));
+    let (mut first_latencies, mut latencies) = (Vec::<u128>::new(), Vec::<u128>::new());
+    for joined in futures::future::join_all(readers).await {
+        let joined = joined.expect("the reader task ends");
+        first_latencies.extend(joined.first());
+        latencies.extend(joined);
     }
-    delays.sort_unstable();
-    firsts.sort_unstable();
-    let first_p50 = firsts[firsts.len() / 2];
-    let at = |share: f64| delays[((delays.len() - 1) as f64 * share) as usize];
-    let (p50, p95, p99, most) = (at(0.5), at(0.95), at(0.99), at(1.0));
+    latencies.sort_unstable();
+    first_latencies.sort_unstable();
+    let first_p50 = first_latencies[first_latencies.len() / 2];
+    let quantile = |q: f64| latencies[((latencies.len() - 1) as f64 * q) as usize];
+    let (p50, p95, p99, max) = (quantile(0.5), quantile(0.95), quantile(0.99), quantile(1.0));
     println!(
         "{{\"step_ms\":{step_ms},\"streams\":{streams},\"warm\":{warm},\"events\":{},\
          \"first_p50_us\":{first_p50},\"p50_us\":{p50},\
-         \"p95_us\":{p95},\"p99_us\":{p99},\"max_us\":{most}}}",
-        delays.len()
+         \"p95_us\":{p95},\"p99_us\":{p99},\"max_us\":{max}}}",
+        latencies.len()
     );
 }
--- a/caller/src/body.rs
+++ b/caller/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body and what the system must know of a completion.
+//! Reads request bodies and extracts the fields of a completion that scheduling needs.
 
 use std::time::Duration;
 
@@ -14,37 +14,39 @@
 use crate::problem::{CallProblem, FaceReason};
 use crate::settings::CallerSettings;
 
-/// Bytes of English text that make a token, as a rule of thumb; only planning relies on it.
+/// Estimated bytes of English text per token; used for planning only.
 const BYTES_PER_TOKEN: usize = 4;
-/// How many times the bound of a body is read and thrown away for the caller to see the refusal.
+/// Up to this multiple of `body_bytes` is read from an oversized body and discarded, so that the
+/// caller finishes writing and reads the refusal.
 const DISCARD_FACTOR: usize = 16;
-/// The depth to which the JSON parser follows; a larger setting has no effect.
-const PARSER_DEPTH: usize = 120;
-/// Fields that tell who asks or how the answer is carried, not what is asked. A poison request must
-/// be known again without them.
-const CARRIAGE_FIELDS: [&str; 5] = ["metadata", "request_id", "stream", "stream_options", "user"];
+/// The nesting depth that the JSON parser supports; a larger `json_depth` is reduced to it.
+const MAX_PARSER_DEPTH: usize = 120;
+/// Fields that identify the requester or select how the answer is delivered. Fingerprints leave
+/// them out, so that a poison request is recognised when it is sent again with other values.
+const TRANSPORT_FIELDS: [&str; 5] = ["metadata", "request_id", "stream", "stream_options", "user"];
 
-/// What a completion's body says.
+/// A completion's body with its fields checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletionBody {
-    /// What `model` names.
+    /// The adapter, and the version if given, that `model` names.
     pub model: ModelChoice,
-    /// Whether the answer is streamed.
+    /// Whether the caller requests a streamed answer; false if the field is absent.
     pub stream: bool,
-    /// The most tokens to generate, or the default for planning.
+    /// The maximum number of tokens to generate; [`CallerSettings::default_max_tokens`] if not
+    /// given.
     pub max_tokens: u32,
-    /// Estimated tokens of the prompt.
+    /// The estimated length of the prompt in tokens, at least 1.
     pub prompt_tokens: u32,
-    /// A hash of the prompt's beginning.
+    /// A hash of the first [`CallerSettings::prefix_bytes`] bytes of the prompt.
     pub prefix: u64,
-    /// The whole body.
+    /// All fields of the body as sent, including unrecognised ones.
     pub fields: Map<String, Value>,
 }
 
-/// Reads a body within the bounds of size and time.
+/// Reads a body within the limits on size and time.
 ///
-/// A sender that trickles its body would hold memory and a connection for as long as it likes; the
-/// timeout covers the whole body, so trickling a byte now and then does not extend it.
+/// The timeout covers the whole body, not the gap between reads, so that a sender that trickles
+/// bytes cannot hold memory and a connection indefinitely.
 pub(crate) async fn read_body<B: Body<Data = Bytes> + Unpin>(
     headers: &HeaderMap,
     body: B,
@@ -54,7 +56,7 @@
     match tokio::time::timeout(limit, collect_body(headers, body, settings)).await {
         Ok(read) => read,
         Err(_) => {
-            let detail = format!("the body must arrive within {} ms", settings.body_timeout_ms);
+            let detail = format!("the body did not arrive within {} ms", settings.body_timeout_ms);
             Err(CallProblem::not_run(FaceReason::SlowSender, detail))
         }
     }
@@ -65,48 +67,48 @@
     mut body: B,
     settings: &CallerSettings,
 ) -> Result<Bytes, CallProblem> {
-    let most = settings.body_bytes;
+    let max_bytes = settings.body_bytes;
     let mut whole = BytesMut::new();
-    let mut fits = announced_length(headers).is_none_or(|length| length <= most);
-    while fits && let Some(part) = next_part(&mut body).await? {
-        fits = whole.len() + part.len() <= most;
-        if fits {
-            whole.extend_from_slice(&part);
+    let mut within_limit = content_length(headers).is_none_or(|length| length <= max_bytes);
+    while within_limit && let Some(chunk) = next_chunk(&mut body).await? {
+        within_limit = whole.len() + chunk.len() <= max_bytes;
+        if within_limit {
+            whole.extend_from_slice(&chunk);
         }
     }
-    if !fits {
+    if !within_limit {
         drop(whole);
-        discard_body(body, most.saturating_mul(DISCARD_FACTOR)).await;
+        discard_body(body, max_bytes.saturating_mul(DISCARD_FACTOR)).await;
         return Err(too_large(settings));
     }
     Ok(whole.freeze())
 }
 
-async fn next_part<B: Body<Data = Bytes> + Unpin>(
+async fn next_chunk<B: Body<Data = Bytes> + Unpin>(
     body: &mut B,
 ) -> Result<Option<Bytes>, CallProblem> {
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| malformed("the body was cut"))?;
-        if let Ok(part) = frame.into_data() {
-            return Ok(Some(part));
+        let frame = frame.map_err(|_| malformed("the body was truncated"))?;
+        if let Ok(chunk) = frame.into_data() {
+            return Ok(Some(chunk));
         }
     }
     Ok(None)
 }
 
-/// Reads on without keeping anything. Closing while the caller still writes would reset the
-/// connection, and it would see that instead of the answer.
-async fn discard_body<B: Body<Data = Bytes> + Unpin>(mut body: B, most: usize) {
+/// Reads and discards up to `max_bytes` of the remaining body. If the connection were closed while
+/// the caller still writes, the caller would see a connection reset instead of the response.
+async fn discard_body<B: Body<Data = Bytes> + Unpin>(mut body: B, max_bytes: usize) {
     let mut read = 0;
-    while let Ok(Some(part)) = next_part(&mut body).await {
-        read += part.len();
-        if read > most {
+    while let Ok(Some(chunk)) = next_chunk(&mut body).await {
+        read += chunk.len();
+        if read > max_bytes {
             return;
         }
     }
 }
 
-fn announced_length(headers: &HeaderMap) -> Option<usize> {
+fn content_length(headers: &HeaderMap) -> Option<usize> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
@@ -115,11 +117,11 @@
     CallProblem::not_run(FaceReason::BodyTooLarge, detail)
 }
 
-/// Parses the body of a completion. Fields that are not known here are kept for the engine.
+/// Parses the body of a completion. Unrecognised fields are kept and passed on to the engine.
 ///
 /// # Errors
 ///
-/// A problem with the outcome "not run" that names the offending field.
+/// Returns a problem with the outcome "not run"; its detail names the offending field.
 pub fn parse_completion(
     kind: CompletionKind,
     body: &[u8],
@@ -132,33 +134,34 @@
         stream: read_flag(&fields, "stream")?,
         max_tokens: read_max_tokens(&fields, settings)?,
         prompt_tokens: u32::try_from(prompt.len() / BYTES_PER_TOKEN + 1).unwrap_or(u32::MAX),
-        prefix: stable_hash(&[beginning(&prompt, settings.prefix_bytes)]),
+        prefix: stable_hash(&[text_prefix(&prompt, settings.prefix_bytes)]),
         fields,
     })
 }
 
-/// Which API a job's body is meant for.
-pub(crate) fn guess_kind(body: &[u8], settings: &CallerSettings) -> CompletionKind {
+/// Infers from its fields which API a job's body is written for; a body with `prompt` is a
+/// completion, any other a chat.
+pub(crate) fn infer_kind(body: &[u8], settings: &CallerSettings) -> CompletionKind {
     match parse_object(body, settings) {
         Ok(fields) if fields.contains_key("prompt") => CompletionKind::Completions,
         _ => CompletionKind::Chat,
     }
 }
 
-/// The hash of what a completion asks.
+/// Hashes a completion's customer, model and fields, without [`TRANSPORT_FIELDS`].
 pub(crate) fn completion_fingerprint(
     tenant: &str,
     model: &ModelChoice,
     fields: &Map<String, Value>,
 ) -> RequestFingerprint {
-    let asked = fields.iter().filter(|(name, _)| !CARRIAGE_FIELDS.contains(&name.as_str()));
+    let hashed = fields.iter().filter(|(name, _)| !TRANSPORT_FIELDS.contains(&name.as_str()));
     let mut canonical = String::new();
-    write_object(asked.collect(), &mut canonical);
+    write_object(hashed.collect(), &mut canonical);
     let version = model.version.as_ref().map_or("", |version| version.as_str());
     RequestFingerprint(stable_hash(&[tenant, model.adapter.as_str(), version, &canonical]))
 }
 
-/// Writes JSON with sorted keys, so that the order in which a client writes fields does not matter.
+/// Writes JSON with sorted keys, so that the fingerprint does not depend on the order of fields.
 fn write_canonical(value: &Value, out: &mut String) {
     match value {
         Value::Object(fields) => write_object(fields.iter().collect(), out),
@@ -187,20 +190,20 @@
 }
 
 fn parse_object(body: &[u8], settings: &CallerSettings) -> Result<Map<String, Value>, CallProblem> {
-    let depth = settings.json_depth.min(PARSER_DEPTH);
+    let depth = settings.json_depth.min(MAX_PARSER_DEPTH);
     if json_depth(body) > depth {
         return Err(malformed(format!("the body may be nested at most {depth} deep")));
     }
     match serde_json::from_slice(body) {
         Ok(Value::Object(fields)) => Ok(fields),
         Ok(_) => Err(malformed("the body must be a JSON object")),
-        Err(error) => Err(malformed(format!("the body is no JSON: {error}"))),
+        Err(error) => Err(malformed(format!("the body is not valid JSON: {error}"))),
     }
 }
 
-/// The deepest nesting of brackets outside of strings.
+/// Returns the maximum nesting depth of brackets outside strings.
 fn json_depth(body: &[u8]) -> usize {
-    let (mut depth, mut deepest) = (0usize, 0usize);
+    let (mut depth, mut max_depth) = (0usize, 0usize);
     let (mut in_string, mut escaped) = (false, false);
     for &byte in body {
         match byte {
@@ -209,13 +212,13 @@
             b'"' => in_string = !in_string,
             b'{' | b'[' if !in_string => {
                 depth += 1;
-                deepest = deepest.max(depth);
+                max_depth = max_depth.max(depth);
             }
             b'}' | b']' if !in_string => depth = depth.saturating_sub(1),
             _ => {}
         }
     }
-    deepest
+    max_depth
 }
 
 fn read_model(
@@ -232,10 +235,15 @@
         Some((adapter, version)) => (adapter, Some(version)),
         None => (text, None),
     };
-    let broken = |part: &str| part.is_empty() || part.contains(['@', '#']) || has_control(part);
-    if text.len() > settings.model_bytes || broken(adapter) || version.is_some_and(broken) {
-        let most = settings.model_bytes;
-        let detail = format!("the field model must be adapter@version with at most {most} bytes");
+    let is_malformed =
+        |part: &str| part.is_empty() || part.contains(['@', '#']) || has_control(part);
+    if text.len() > settings.model_bytes
+        || is_malformed(adapter)
+        || version.is_some_and(is_malformed)
+    {
+        let max_bytes = settings.model_bytes;
+        let detail =
+            format!("the field model must be adapter@version with at most {max_bytes} bytes");
         return Err(malformed(detail));
     }
     Ok(ModelChoice { adapter: adapter.into(), version: version.map(Into::into) })
@@ -257,17 +265,17 @@
     fields: &Map<String, Value>,
     settings: &CallerSettings,
 ) -> Result<u32, CallProblem> {
-    let most = settings.max_tokens;
-    let mut asked = None;
+    let max_tokens = settings.max_tokens;
+    let mut requested = None;
     for name in ["max_tokens", "max_completion_tokens"] {
         let Some(value) = fields.get(name).filter(|value| !value.is_null()) else { continue };
-        let number = value.as_u64().filter(|number| (1..=u64::from(most)).contains(number));
+        let number = value.as_u64().filter(|number| (1..=u64::from(max_tokens)).contains(number));
         let number = number.and_then(|number| u32::try_from(number).ok());
-        asked = Some(number.ok_or_else(|| {
-            malformed(format!("the field {name} must be a whole number from 1 to {most}"))
+        requested = Some(number.ok_or_else(|| {
+            malformed(format!("the field {name} must be a whole number from 1 to {max_tokens}"))
         })?);
     }
-    Ok(asked.unwrap_or(settings.default_max_tokens))
+    Ok(requested.unwrap_or(settings.default_max_tokens))
 }
 
 fn prompt_text(kind: CompletionKind, fields: &Map<String, Value>) -> Result<String, CallProblem> {
@@ -283,19 +291,19 @@
         Some(Value::Array(parts)) if !parts.is_empty() => {
             Ok(Value::from(parts.clone()).to_string())
         }
-        _ => Err(malformed("the field prompt must be a string or a list that is not empty")),
+        _ => Err(malformed("the field prompt must be a string or a non-empty list")),
     }
 }
 
 fn chat_prompt(fields: &Map<String, Value>) -> Result<String, CallProblem> {
     let messages = match fields.get("messages") {
         Some(Value::Array(messages)) if !messages.is_empty() => messages,
-        _ => return Err(malformed("the field messages must be a list that is not empty")),
+        _ => return Err(malformed("the field messages must be a non-empty list")),
     };
     let mut prompt = String::new();
     for message in messages {
         let Some(role) = message.get("role").and_then(Value::as_str) else {
-            return Err(malformed("each of messages must be an object with a string role"));
+            return Err(malformed("each entry of messages must be an object with a string role"));
         };
         prompt.push_str(role);
         prompt.push('\n');
@@ -310,8 +318,9 @@
     Ok(prompt)
 }
 
-fn beginning(text: &str, most: usize) -> &str {
-    let mut end = most.min(text.len());
+/// Returns at most `max_bytes` from the start of `text`, cut at a character boundary.
+fn text_prefix(text: &str, max_bytes: usize) -> &str {
+    let mut end = max_bytes.min(text.len());
     while !text.is_char_boundary(end) {
         end -= 1;
     }
--- a/caller/src/handler.rs
+++ b/caller/src/handler.rs
@@ -1,4 +1,4 @@
-//! What the entry process implements behind the callers' face.
+//! The trait that the entry process implements to serve callers, with its requests and answers.
 
 use std::net::SocketAddr;
 
@@ -16,57 +16,59 @@
 
 use crate::problem::CallProblem;
 
-/// Decides what becomes of callers' requests.
+/// Serves callers' requests.
 ///
-/// When a caller goes away, the future of the call is dropped, and later the answer's stream. Guards
-/// held by them must cancel what runs for the caller.
+/// When a caller disconnects, the future of its call is dropped, or the answer's stream if the call
+/// has returned. Guards held by them must cancel the work that runs for the caller.
 #[async_trait]
 pub trait CallHandler: Send + Sync + 'static {
-    /// Finds the tenant that a bearer credential belongs to, comparing in constant time.
+    /// Returns the customer that a bearer credential belongs to, `None` if it is unknown. Must
+    /// compare in constant time.
     fn authenticate(&self, bearer: &str) -> Option<CustomerName>;
 
-    /// Makes the id of a new request, unique among those of this VM's incarnation. Ids that callers
-    /// choose are only noted beside it, so a careless caller cannot make two requests look alike.
+    /// Returns a new request id, unique within this VM's incarnation. An id that the caller chose
+    /// is only logged beside it, so that callers that reuse ids cannot make requests
+    /// indistinguishable.
     fn next_request_id(&self) -> RequestId;
 
-    /// Whether this VM takes work.
+    /// Reports whether this VM accepts requests. Called without authentication.
     fn health(&self) -> HealthAnswer;
 
-    /// The entry VMs that the tenant may use; VMs that are leaving or dead are left out.
+    /// Lists the entry VMs that the customer may use, without those that are leaving or dead.
     async fn entries(&self, tenant: &CustomerName) -> Result<EntriesAnswer, CallProblem>;
 
-    /// The adapters that the tenant may use.
+    /// Returns a page of the adapters that the customer may use.
     async fn models(
         &self,
         tenant: &CustomerName,
         query: ModelQuery,
     ) -> Result<ModelPage, CallProblem>;
 
-    /// Runs a completion.
+    /// Runs a completion; returns once the status is known, while the body may still be streaming.
     async fn complete(&self, call: CompletionCall) -> Result<CompletionAnswer, CallProblem>;
 
-    /// Passes a call on to a plain service.
+    /// Forwards a call to a plain service.
     async fn call_service(&self, call: ServiceCall) -> Result<ServiceAnswer, CallProblem>;
 
-    /// Accepts a job; answers only after the platform's log has it. The same id again with the same
-    /// body is answered with the job's present state.
+    /// Accepts a job; returns only after it is in the platform's log. A repeated submission with
+    /// the same id and body returns the job's current state.
     async fn submit_job(&self, call: JobCall) -> Result<JobStatus, CallProblem>;
 
-    /// A job's state.
+    /// Returns a job's state.
     async fn job_status(
         &self,
         tenant: &CustomerName,
         job: &JobId,
     ) -> Result<JobStatus, CallProblem>;
 
-    /// A job's result, the same however often it is fetched.
+    /// Returns a job's result; repeated calls return the same one.
     async fn job_result(
         &self,
         tenant: &CustomerName,
         job: &JobId,
     ) -> Result<JobResult, CallProblem>;
 
-    /// Withdraws a job; a result that was there first stays.
+    /// Cancels a job. A job that already has its result keeps it.
     async fn cancel_job(
         &self,
         tenant: &CustomerName,
@@ -75,63 +77,63 @@
 }
 
 value! {
-    /// Whether the VM takes work.
+    /// The body of the answer to `GET /health`.
     pub struct HealthAnswer {
-        /// Whether requests are taken now.
+        /// Whether the VM accepts requests; false is answered with status 503.
         pub ready: bool,
-        /// Why not, or a word on the state.
+        /// The state in words, or the reason why the VM is not ready.
         pub state: String,
     }
 
-    /// Which entry VMs to use.
+    /// The entry VMs that a customer may use, the body of the answer to `GET /v1/entries`.
     pub struct EntriesAnswer {
-        /// The VMs, nearest first where the handler knows the distance.
+        /// The VMs, sorted by distance from the caller where the handler knows it.
         pub entries: Vec<EntryAddress>,
-        /// Milliseconds for which the answer may be kept.
+        /// How long the answer may be cached, in milliseconds.
         pub ttl_ms: u64,
-        /// Idempotency keys, each for one request that this VM will run at most once.
+        /// New idempotency keys; each is for one request, which this VM runs at most once.
         pub keys: Vec<IdempotencyKey>,
     }
 
-    /// An entry VM as callers see it.
+    /// An entry VM in the list for callers.
     pub struct EntryAddress {
-        /// Its name.
+        /// The VM's name.
         pub vm: VmName,
-        /// Where callers connect.
+        /// The address of its listener for callers.
         pub address: SocketAddr,
-        /// Its share of new requests, relative to the others.
+        /// The relative share of new requests that it should receive.
         pub weight: u32,
-        /// Its failure domain.
+        /// The failure domain that the VM belongs to.
         pub domain: DomainName,
-        /// Its region.
+        /// The region that the VM is in.
         pub region: RegionName,
     }
 
-    /// Which page of models is asked for.
+    /// Selects a page of models.
     pub struct ModelQuery {
-        /// The last model of the page before, if any.
+        /// The last model of the previous page; `None` for the first page.
         pub after: Option<String>,
-        /// The most entries.
+        /// The maximum number of entries, from 1 to `CallerSettings::page_entries`.
         pub limit: usize,
     }
 
     /// A page of models, sorted by name.
     pub struct ModelPage {
-        /// The models.
+        /// At most [`ModelQuery::limit`] models.
         pub models: Vec<ModelInfo>,
-        /// Whether more follow.
+        /// Whether another page follows.
         pub more: bool,
     }
 
-    /// A model that a tenant may name.
+    /// An adapter version that a customer may name as `model`.
     pub struct ModelInfo {
-        /// The adapter and version.
+        /// Shown to callers as `adapter@version`.
         pub adapter: AdapterVersion,
-        /// Whether requests that name the adapter alone run on this version.
+        /// Whether requests that name the adapter without a version run on this version.
         pub default: bool,
     }
 
-    /// Which API a completion came through.
+    /// The API that a completion was sent to.
     #[derive(Copy, Eq)]
     pub enum CompletionKind {
         /// `/v1/chat/completions`.
@@ -143,156 +145,159 @@
     /// The `model` field: `adapter@version`, or `adapter` for its default version.
     #[derive(Eq)]
     pub struct ModelChoice {
-        /// The adapter.
+        /// The part before `@`.
         pub adapter: AdapterName,
-        /// The version, if one is named.
+        /// The part after `@`; `None` selects the default version.
         pub version: Option<VersionName>,
     }
 }
 
-/// A completion to run.
+/// A completion to run, with headers and body checked.
 #[derive(Clone, Debug)]
 pub struct CompletionCall {
-    /// The API it came through.
+    /// The API that it was sent to.
     pub kind: CompletionKind,
-    /// The tenant.
+    /// The customer on whose account it runs.
     pub tenant: CustomerName,
     /// The id from [`CallHandler::next_request_id`].
     pub request_id: RequestId,
-    /// The id that the caller gave in `X-Request-Id`, for logs.
+    /// The id from the caller's `X-Request-Id`, for logs only.
     pub caller_id: Option<String>,
-    /// What `model` names.
+    /// The adapter, and the version if given, that `model` names.
     pub model: ModelChoice,
-    /// The class.
+    /// The request's class; the default if the caller names none.
     pub class: RequestClass,
-    /// Milliseconds that the caller still waits.
+    /// How long the caller will still wait, in milliseconds; `None` if it set no deadline.
     pub deadline_ms: Option<u64>,
-    /// Whether it may run more than once.
+    /// Whether it may run more than once; true unless the caller forbids it.
     pub repeatable: bool,
-    /// Whether the caller states that no earlier try under the key may have run.
+    /// Whether the caller states that no earlier attempt with the same key can have run.
     pub first_try: bool,
-    /// The idempotency key.
+    /// The `Idempotency-Key` that the caller sent.
     pub key: Option<IdempotencyKey>,
-    /// Whether the answer is streamed.
+    /// Whether the caller requests a streamed answer.
     pub stream: bool,
-    /// The most tokens it may generate, or the default for planning.
+    /// The maximum number of tokens to generate; the default for planning if the caller gave none.
     pub max_tokens: u32,
-    /// Estimated tokens of the prompt.
+    /// The estimated length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// A hash of the prompt's beginning.
+    /// A hash of the prompt's beginning, for prefix-cache affinity.
     pub prefix: u64,
-    /// A hash of what is asked, apart from ids.
+    /// A hash of the request's content without ids, equal for repeated requests. Identifies poison
+    /// requests.
     pub fingerprint: RequestFingerprint,
-    /// The body as sent, with fields that this package does not know.
+    /// The body as sent, including unrecognised fields.
     pub body: Map<String, Value>,
 }
 
-/// The bytes of an answer as they come. An error tells how the answer ended short.
+/// The chunks of an answer's body. An error ends the stream and says why the body is truncated.
 pub type AnswerStream = BoxStream<'static, Result<Bytes, CallProblem>>;
 
-/// An answer's body.
+/// An answer's body, complete or streamed.
 pub enum AnswerBody {
-    /// The whole body.
+    /// A complete body.
     Whole(Bytes),
-    /// The body as it comes.
+    /// Chunks that are forwarded as they arrive.
     Stream(AnswerStream),
 }
 
-/// The answer of a completion.
+/// The answer to a completion.
 pub struct CompletionAnswer {
-    /// The status.
+    /// The HTTP status to send to the caller.
     pub status: StatusCode,
-    /// The content type.
+    /// The value of `Content-Type`.
     pub content_type: String,
-    /// Further headers.
+    /// Further headers; hop-by-hop headers are removed before they are sent to the caller.
     pub headers: HeaderMap,
-    /// The body; with the content type `text/event-stream` an error in it becomes a last event.
+    /// The body. With the content type `text/event-stream`, an error in it is sent as a final
+    /// event; otherwise it closes the connection.
     pub body: AnswerBody,
 }
 
-/// A call to a plain service.
+/// A call to a plain service, with its headers checked and its body read.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// The service.
+    /// The service's name in the path; not yet checked against the configuration.
     pub service: ServiceName,
-    /// The method.
+    /// The HTTP method to forward.
     pub method: Method,
-    /// Path and query behind the service's name, beginning with `/`, as the caller encoded them.
+    /// The path after the service's name, beginning with `/`, and the query, both still encoded.
     pub path_and_query: String,
-    /// Headers, without hop-by-hop ones, the credential and those meant for the entry VM.
+    /// The headers to forward, without hop-by-hop headers, the credential and `Coltsfoothook-*`.
     pub headers: HeaderMap,
-    /// The body.
+    /// The complete body, at most `CallerSettings::body_bytes`.
     pub body: Bytes,
-    /// The tenant.
+    /// The customer on whose account it runs.
     pub tenant: CustomerName,
     /// The id from [`CallHandler::next_request_id`].
     pub request_id: RequestId,
-    /// The id that the caller gave in `X-Request-Id`, for logs.
+    /// The id from the caller's `X-Request-Id`, for logs only.
     pub caller_id: Option<String>,
-    /// The class.
+    /// The request's class; the default if the caller names none.
     pub class: RequestClass,
-    /// Milliseconds that the caller still waits.
+    /// How long the caller will still wait, in milliseconds; `None` if it set no deadline.
     pub deadline_ms: Option<u64>,
-    /// Whether it may run more than once; none leaves it to the manifest's repeatable methods.
+    /// Whether it may run more than once; `None` leaves it to the manifest's repeatable methods.
     pub repeatable: Option<bool>,
-    /// Whether the caller states that no earlier try under the key may have run.
+    /// Whether the caller states that no earlier attempt with the same key can have run.
     pub first_try: bool,
-    /// The idempotency key.
+    /// The `Idempotency-Key` that the caller sent.
     pub key: Option<IdempotencyKey>,
-    /// A hash of what is asked, apart from ids.
+    /// A hash of the request's content without ids, equal for repeated requests. Identifies poison
+    /// requests.
     pub fingerprint: RequestFingerprint,
 }
 
-/// The answer of a plain service.
+/// The answer to a call of a plain service.
 pub struct ServiceAnswer {
-    /// The status.
+    /// The HTTP status to send to the caller.
     pub status: StatusCode,
-    /// Headers; hop-by-hop ones are taken out on the way to the caller.
+    /// The headers; hop-by-hop headers are removed before they are sent to the caller.
     pub headers: HeaderMap,
-    /// The body. An error in it breaks the connection, so that the caller sees a cut answer.
+    /// The body. An error in it closes the connection, so that the caller detects the truncation.
     pub body: AnswerBody,
 }
 
 /// A job to accept.
 #[derive(Clone, Debug)]
 pub struct JobCall {
-    /// The id that the caller chose with `Idempotency-Key`, if any.
+    /// The id that the caller chose with `Idempotency-Key`; `None` lets the handler choose one.
     pub job: Option<JobId>,
-    /// The completion to run; its class is `audit` unless the caller names another.
+    /// The completion to run, never streamed. Its class is `audit` unless the caller names another.
     pub call: CompletionCall,
 }
 
 value! {
-    /// How far a job is.
+    /// The phase that a job is in.
     #[derive(Copy, Eq)]
     pub enum JobState {
-        /// It waits.
+        /// Accepted and waiting to run.
         Queued,
-        /// A VM runs it.
+        /// Running at a VM.
         Running,
-        /// It ended; see the outcome.
+        /// Ended; see [`JobStatus::outcome`].
         Finished,
-        /// The caller withdrew it before it had a result.
+        /// Cancelled by the caller before it had a result.
         Cancelled,
     }
 
-    /// A job's state.
+    /// A job's state, the body of the answers to all job calls but that for the result.
     pub struct JobStatus {
-        /// The job.
+        /// The id that the caller chose or was given.
         pub id: JobId,
-        /// How far it is.
+        /// The job's current phase.
         pub state: JobState,
-        /// What became of it, once it ended.
+        /// The outcome; `None` until the job has ended.
         #[serde(skip_serializing_if = "Option::is_none")]
         pub outcome: Option<RequestOutcome>,
     }
 }
 
-/// A job's result.
+/// The answer to a job's completion, as fetched by the caller.
 #[derive(Clone, Debug)]
 pub struct JobResult {
-    /// The content type.
+    /// The value of `Content-Type`.
     pub content_type: String,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
--- a/caller/src/header.rs
+++ b/caller/src/header.rs
@@ -1,4 +1,4 @@
-//! The request headers that the face reads, and those that are not passed on.
+//! Parses request headers and selects the headers to forward.
 
 use coltsfoothook_decision::id::IdempotencyKey;
 use coltsfoothook_decision::outcome::RequestClass;
@@ -11,16 +11,17 @@
 
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 const REQUEST_ID: &str = "x-request-id";
-const OWN_PREFIX: &str = "coltsfoothook-";
+const OPTION_PREFIX: &str = "coltsfoothook-";
 const CLASS: &str = "coltsfoothook-class";
 const DEADLINE: &str = "coltsfoothook-deadline-ms";
 const REPEATABLE: &str = "coltsfoothook-repeatable";
 const FIRST_TRY: &str = "coltsfoothook-first-try";
-/// The scheme of credentials.
+/// The authentication scheme, matched without regard to case.
 const BEARER: &str = "bearer ";
 
-/// Headers that concern one connection (RFC 9110, section 7.6.1), or whose value changes on the way.
-const HOP_HEADERS: [&str; 11] = [
+/// Headers that apply to one connection only (RFC 9110, section 7.6.1) or that are set anew when a
+/// message is forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 11] = [
     "connection",
     "content-length",
     "expect",
@@ -34,7 +35,7 @@
     "upgrade",
 ];
 
-/// What the headers say of a call.
+/// A call's options, from its headers; `None` where the header is absent.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CallHeaders {
     pub(crate) class: Option<RequestClass>,
@@ -44,7 +45,11 @@
     pub(crate) key: Option<IdempotencyKey>,
 }
 
-/// Reads the headers of a call.
+/// Parses the headers that set a call's options.
+///
+/// # Errors
+///
+/// A header is repeated, too long or has an invalid value.
 pub(crate) fn read_headers(
     headers: &HeaderMap,
     settings: &CallerSettings,
@@ -59,7 +64,7 @@
     })
 }
 
-/// Reads the id that the caller gave its request.
+/// Reads the caller's own request id from `X-Request-Id`.
 pub(crate) fn read_caller_id(
     headers: &HeaderMap,
     settings: &CallerSettings,
@@ -71,17 +76,17 @@
     Ok(Some(id.to_owned()))
 }
 
-/// Finds the bearer credential. Its value never appears in an error.
+/// Returns the bearer credential. Its value never appears in an error.
 pub(crate) fn read_bearer<'a>(
     headers: &'a HeaderMap,
     settings: &CallerSettings,
 ) -> Result<&'a str, CallProblem> {
     let missing = || {
-        let detail = "the header Authorization: Bearer with the tenant's credential is needed";
+        let detail = "the header Authorization: Bearer with the tenant's credential is required";
         CallProblem::not_run(FaceReason::Unauthenticated, detail)
     };
-    let most = settings.credential_bytes + BEARER.len();
-    let text = header_text(headers, AUTHORIZATION.as_str(), most)?.ok_or_else(missing)?;
+    let max_bytes = settings.credential_bytes + BEARER.len();
+    let text = header_text(headers, AUTHORIZATION.as_str(), max_bytes)?.ok_or_else(missing)?;
     let scheme = text.get(..BEARER.len()).ok_or_else(missing)?;
     if !scheme.eq_ignore_ascii_case(BEARER) {
         return Err(missing());
@@ -89,47 +94,52 @@
     Ok(text[BEARER.len()..].trim())
 }
 
-/// The headers that go on to a plain service: hop-by-hop ones, the tenant's credential and those
-/// meant for the entry VM are left out. The idempotency key goes on, for services that keep keys.
+/// Returns the headers to forward to a plain service. Hop-by-hop headers, the customer's credential
+/// and `Coltsfoothook-*` headers are removed. The idempotency key is forwarded, for services that
+/// deduplicate by it.
 pub(crate) fn forward_headers(headers: &HeaderMap) -> HeaderMap {
-    let named = connection_names(headers);
+    let connection_listed = connection_names(headers);
     let kept = headers.iter().filter(|(name, _)| {
-        !is_hop(name, &named) && **name != AUTHORIZATION && !name.as_str().starts_with(OWN_PREFIX)
+        !is_hop_by_hop(name, &connection_listed)
+            && **name != AUTHORIZATION
+            && !name.as_str().starts_with(OPTION_PREFIX)
     });
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
-/// The headers that go back to the caller.
-pub(crate) fn backward_headers(headers: &HeaderMap) -> HeaderMap {
-    let named = connection_names(headers);
-    let kept = headers.iter().filter(|(name, _)| !is_hop(name, &named));
+/// Returns the headers of a backend server's response to forward to the caller, without hop-by-hop
+/// headers.
+pub(crate) fn response_headers(headers: &HeaderMap) -> HeaderMap {
+    let connection_listed = connection_names(headers);
+    let kept = headers.iter().filter(|(name, _)| !is_hop_by_hop(name, &connection_listed));
     kept.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
 
-fn is_hop(name: &HeaderName, named: &[String]) -> bool {
+fn is_hop_by_hop(name: &HeaderName, connection_listed: &[String]) -> bool {
     let name = name.as_str();
-    HOP_HEADERS.contains(&name) || named.iter().any(|other| other == name)
+    HOP_BY_HOP_HEADERS.contains(&name) || connection_listed.iter().any(|other| other == name)
 }
 
-/// Headers that `Connection` names are hop-by-hop too.
+/// Returns the lower-case names listed in `Connection`; these headers are hop-by-hop too.
 fn connection_names(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(http::header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     texts.flat_map(|text| text.split(',')).map(|name| name.trim().to_ascii_lowercase()).collect()
 }
 
+/// Returns the trimmed value of a header that may occur once, `None` if it is absent.
 fn header_text<'a>(
     headers: &'a HeaderMap,
     name: &str,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Option<&'a str>, CallProblem> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(malformed(format!("the header {name} may stand only once")));
+        return Err(malformed(format!("the header {name} must not be repeated")));
     }
-    if value.len() > most {
-        let detail = format!("the header {name} may have at most {most} bytes");
+    if value.len() > max_bytes {
+        let detail = format!("the header {name} may have at most {max_bytes} bytes");
         return Err(CallProblem::not_run(FaceReason::HeaderTooLarge, detail));
     }
     match value.to_str() {
@@ -144,9 +154,9 @@
 }
 
 fn read_deadline(text: &str, settings: &CallerSettings) -> Result<u64, CallProblem> {
-    let most = settings.deadline_ms;
-    let parsed = text.parse().ok().filter(|millis| (1..=most).contains(millis));
-    parsed.ok_or_else(|| malformed(format!("Coltsfoothook-Deadline-Ms must be from 1 to {most}")))
+    let max_ms = settings.deadline_ms;
+    let parsed = text.parse().ok().filter(|millis| (1..=max_ms).contains(millis));
+    parsed.ok_or_else(|| malformed(format!("Coltsfoothook-Deadline-Ms must be from 1 to {max_ms}")))
 }
 
 fn read_flag(name: &str, text: &str) -> Result<bool, CallProblem> {
--- a/caller/src/face.rs
+++ b/caller/src/interface.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to the handler and back.
+//! Dispatches HTTP requests to the handler and turns its results into responses.
 
 use std::sync::Arc;
 
@@ -12,38 +12,39 @@
 use serde::Serialize;
 
 use crate::answer::{bytes_response, completion_response, json_response, service_response};
-use crate::body::{completion_fingerprint, guess_kind, parse_completion, read_body};
+use crate::body::{completion_fingerprint, infer_kind, parse_completion, read_body};
 use crate::handler::{
     CallHandler, CompletionCall, CompletionKind, JobCall, ModelPage, ModelQuery, ServiceCall,
 };
 use crate::header::{CallHeaders, forward_headers, read_bearer, read_caller_id, read_headers};
-use crate::payload::FaceBody;
+use crate::payload::ResponseBody;
 use crate::problem::{CallProblem, FaceReason, ProblemIds, problem_response};
 use crate::route::{CallerRoute, find_route};
 use crate::settings::CallerSettings;
 
-/// The header that names a request in answers.
+/// The response header with the id that this VM gave the request.
 const REQUEST_ID_HEADER: &str = "coltsfoothook-request-id";
 
-/// The face: settings and the handler behind it.
-pub(crate) struct CallerFace {
+/// The callers' HTTP interface, shared by all connections.
+pub(crate) struct CallerInterface {
     pub(crate) settings: CallerSettings,
     pub(crate) handler: Arc<dyn CallHandler>,
 }
 
-/// A call whose sender is known.
-struct KnownCall {
+/// A call whose credential and headers have been checked.
+struct AuthenticatedCall {
     tenant: CustomerName,
     ids: ProblemIds,
     headers: CallHeaders,
 }
 
-impl CallerFace {
-    /// Answers a request; every failure becomes a problem document.
-    pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<FaceBody> {
+impl CallerInterface {
+    /// Answers a request. Failures become problem documents, and every response carries the request
+    /// id.
+    pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let mut ids = ProblemIds { request_id: self.handler.next_request_id().0, caller_id: None };
-        let answered = self.dispatch(request, &mut ids).await;
-        let mut response = answered.unwrap_or_else(|problem| problem_response(&problem, &ids));
+        let result = self.dispatch(request, &mut ids).await;
+        let mut response = result.unwrap_or_else(|problem| problem_response(&problem, &ids));
         if let Ok(id) = HeaderValue::from_str(&ids.request_id) {
             response.headers_mut().insert(REQUEST_ID_HEADER, id);
         }
@@ -54,7 +55,7 @@
         &self,
         request: Request<Incoming>,
         ids: &mut ProblemIds,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         self.check_path(request.uri())?;
         let route = find_route(request.method(), request.uri().path(), &self.settings)?;
         if route == CallerRoute::Health {
@@ -63,19 +64,19 @@
         ids.caller_id = read_caller_id(request.headers(), &self.settings)?;
         let bearer = read_bearer(request.headers(), &self.settings)?;
         let tenant = self.handler.authenticate(bearer).ok_or_else(|| {
-            CallProblem::not_run(FaceReason::Unauthenticated, "the credential is not known")
+            CallProblem::not_run(FaceReason::Unauthenticated, "unknown credential")
         })?;
         let headers = read_headers(request.headers(), &self.settings)?;
-        let call = KnownCall { tenant, ids: ids.clone(), headers };
+        let call = AuthenticatedCall { tenant, ids: ids.clone(), headers };
         self.run(route, call, request).await
     }
 
     async fn run(
         &self,
         route: CallerRoute,
-        call: KnownCall,
+        call: AuthenticatedCall,
         request: Request<Incoming>,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         match route {
             CallerRoute::Health => Ok(self.health()),
             CallerRoute::Entries => self.entries(&call.tenant).await,
@@ -92,22 +93,22 @@
     }
 
     fn check_path(&self, uri: &Uri) -> Result<(), CallProblem> {
-        let most = self.settings.path_bytes;
+        let max_bytes = self.settings.path_bytes;
         let length = uri.path_and_query().map_or(0, |path| path.as_str().len());
-        if length > most {
-            let detail = format!("path and query may have at most {most} bytes");
+        if length > max_bytes {
+            let detail = format!("path and query may have at most {max_bytes} bytes");
             return Err(CallProblem::not_run(FaceReason::HeaderTooLarge, detail));
         }
         Ok(())
     }
 
-    fn health(&self) -> Response<FaceBody> {
+    fn health(&self) -> Response<ResponseBody> {
         let health = self.handler.health();
         let status = if health.ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         json_response(status, &health)
     }
 
-    async fn entries(&self, tenant: &CustomerName) -> Result<Response<FaceBody>, CallProblem> {
+    async fn entries(&self, tenant: &CustomerName) -> Result<Response<ResponseBody>, CallProblem> {
         let answer = self.handler.entries(tenant).await?;
         Ok(json_response(StatusCode::OK, &answer))
     }
@@ -116,7 +117,7 @@
         &self,
         tenant: &CustomerName,
         uri: &Uri,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         let query = model_query(uri.query().unwrap_or_default(), &self.settings)?;
         let page = self.handler.models(tenant, query).await?;
         Ok(json_response(StatusCode::OK, &ModelList::from(page)))
@@ -125,9 +126,9 @@
     async fn complete(
         &self,
         kind: CompletionKind,
-        call: KnownCall,
+        call: AuthenticatedCall,
         request: Request<Incoming>,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         let ids = call.ids.clone();
         let (parts, body) = request.into_parts();
         let bytes = read_body(&parts.headers, body, &self.settings).await?;
@@ -139,7 +140,7 @@
     fn completion_call(
         &self,
         kind: CompletionKind,
-        call: KnownCall,
+        call: AuthenticatedCall,
         bytes: &[u8],
         default_class: RequestClass,
     ) -> Result<CompletionCall, CallProblem> {
@@ -169,9 +170,9 @@
         &self,
         service: ServiceName,
         path: String,
-        call: KnownCall,
+        call: AuthenticatedCall,
         request: Request<Incoming>,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         let (parts, body) = request.into_parts();
         let path_and_query = match parts.uri.query() {
             Some(query) => format!("{path}?{query}"),
@@ -203,16 +204,17 @@
 
     async fn submit_job(
         &self,
-        call: KnownCall,
+        call: AuthenticatedCall,
         request: Request<Incoming>,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         let (parts, body) = request.into_parts();
         let bytes = read_body(&parts.headers, body, &self.settings).await?;
-        let kind = guess_kind(&bytes, &self.settings);
+        let kind = infer_kind(&bytes, &self.settings);
         let job = call.headers.key.as_ref().map(|key| JobId::from(key.as_str()));
         let call = self.completion_call(kind, call, &bytes, RequestClass::Audit)?;
         if call.stream {
-            let detail = "a job's answer is fetched whole; the field stream must not be true";
+            let detail =
+                "the answer of a job cannot be streamed; the field stream must not be true";
             return Err(CallProblem::not_run(FaceReason::MalformedRequest, detail));
         }
         let status = self.handler.submit_job(JobCall { job, call }).await?;
@@ -223,7 +225,7 @@
         &self,
         tenant: &CustomerName,
         job: &JobId,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         let status = self.handler.job_status(tenant, job).await?;
         Ok(json_response(StatusCode::OK, &status))
     }
@@ -232,7 +234,7 @@
         &self,
         tenant: &CustomerName,
         job: &JobId,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         let result = self.handler.job_result(tenant, job).await?;
         Ok(bytes_response(StatusCode::OK, &result.content_type, result.body))
     }
@@ -241,14 +243,15 @@
         &self,
         tenant: &CustomerName,
         job: &JobId,
-    ) -> Result<Response<FaceBody>, CallProblem> {
+    ) -> Result<Response<ResponseBody>, CallProblem> {
         let status = self.handler.cancel_job(tenant, job).await?;
         Ok(json_response(StatusCode::OK, &status))
     }
 }
 
+/// Hashes the customer, service, method, path with query, and body of a call.
 fn service_fingerprint(
-    call: &KnownCall,
+    call: &AuthenticatedCall,
     service: &ServiceName,
     method: &http::Method,
     path_and_query: &str,
@@ -262,23 +265,23 @@
 
 fn model_query(query: &str, settings: &CallerSettings) -> Result<ModelQuery, CallProblem> {
     let malformed = |detail: String| CallProblem::not_run(FaceReason::MalformedRequest, detail);
-    let mut found = ModelQuery { after: None, limit: settings.page_entries };
+    let mut parsed = ModelQuery { after: None, limit: settings.page_entries };
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
         match pair.split_once('=') {
-            Some(("after", after)) => found.after = Some(after.replace("%40", "@")),
+            Some(("after", after)) => parsed.after = Some(after.replace("%40", "@")),
             Some(("limit", limit)) => {
-                let most = settings.page_entries;
-                let limit = limit.parse().ok().filter(|limit| (1..=most).contains(limit));
-                found.limit =
-                    limit.ok_or_else(|| malformed(format!("limit must be from 1 to {most}")))?;
+                let max_limit = settings.page_entries;
+                let limit = limit.parse().ok().filter(|limit| (1..=max_limit).contains(limit));
+                parsed.limit = limit
+                    .ok_or_else(|| malformed(format!("limit must be from 1 to {max_limit}")))?;
             }
-            _ => return Err(malformed("the query may hold after and limit".to_owned())),
+            _ => return Err(malformed("the query may contain only after and limit".to_owned())),
         }
     }
-    Ok(found)
+    Ok(parsed)
 }
 
-/// A page of models in the shape that OpenAI-compatible clients read.
+/// A page of models in the format of OpenAI's `GET /v1/models`.
 #[derive(Serialize)]
 struct ModelList {
     object: &'static str,
--- a/caller/src/lib.rs
+++ b/caller/src/lib.rs
@@ -1,9 +1,9 @@
-//! The HTTP face towards callers: OpenAI-compatible completions, calls to plain services, audit
+//! The HTTP interface for callers: OpenAI-compatible completions, calls to plain services, audit
 //! jobs, and the list of entry VMs to use.
 //!
-//! This package reads and checks requests, and writes answers and problem documents. What happens
-//! to a request is decided by the [`CallHandler`] that the entry process puts behind it. Headers,
-//! outcomes and reasons are described for callers in docs/CALLERS.md.
+//! This package parses and checks requests, and writes responses and problem documents. The entry
+//! process serves the requests by implementing [`CallHandler`]. docs/CALLERS.md describes headers,
+//! outcomes and reasons for callers.
 //!
 //! ```no_run
 //! # use std::sync::Arc;
@@ -11,7 +11,7 @@
 //! # async fn run(handler: Arc<dyn CallHandler>) -> Result<(), coltsfoothook_caller::StartError> {
 //! let settings = CallerSettings { body_bytes: 256 * 1024, ..Default::default() };
 //! let server = CallerServer::start(settings, handler, None)?;
-//! println!("callers reach this VM at {}", server.address());
+//! println!("listening for callers at {}", server.address());
 //! server.close().await;
 //! # Ok(())
 //! # }
@@ -19,9 +19,9 @@
 
 mod answer;
 mod body;
-mod face;
 mod handler;
 mod header;
+mod interface;
 mod payload;
 mod problem;
 mod route;
--- a/caller/src/payload.rs
+++ b/caller/src/payload.rs
@@ -1,22 +1,23 @@
-//! The bodies of responses.
+//! The type of response bodies and the error that truncates them.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
 use snafu::Snafu;
 
-/// An answer ended short; the connection is broken so that the caller sees it.
+/// A streamed body failed before its end. hyper closes the connection on it, so that the caller
+/// detects the truncation.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer was cut: {reason}"))]
-pub(crate) struct CutError {
-    /// What cut it.
+#[snafu(display("response truncated: {reason}"))]
+pub(crate) struct TruncatedError {
+    /// The name of the problem's reason, such as `answer_lost`.
     pub(crate) reason: &'static str,
 }
 
-/// The body of a response.
-pub(crate) type FaceBody = UnsyncBoxBody<Bytes, CutError>;
+/// A response body, complete or streamed.
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, TruncatedError>;
 
-/// A body that is there already.
-pub(crate) fn whole_body(bytes: Bytes) -> FaceBody {
+/// Wraps bytes that are complete already.
+pub(crate) fn whole_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/caller/src/problem.rs
+++ b/caller/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem documents (RFC 9457) and the one table of reasons; docs/CALLERS.md shows it to callers.
+//! Problem documents (RFC 9457) and the table of their reasons, which docs/CALLERS.md repeats.
 
 use bytes::Bytes;
 use coltsfoothook_decision::outcome::{RefusalReason, RequestOutcome};
@@ -7,89 +7,90 @@
 use http::{Response, StatusCode};
 use serde::Serialize;
 
-use crate::payload::{FaceBody, whole_body};
+use crate::payload::{ResponseBody, whole_body};
 
 /// The content type of problem documents.
 const PROBLEM_TYPE: &str = "application/problem+json";
-/// What the `type` of a problem begins with; the reason follows.
+/// The prefix of a problem's `type`; the name of the reason follows.
 const TYPE_PREFIX: &str = "urn:coltsfoothook:problem:";
-const MILLIS_PER_SECOND: u64 = 1_000;
+const MS_PER_SECOND: u64 = 1_000;
 
 value! {
-    /// Reasons that arise at the callers' face, beside those of [`RefusalReason`].
+    /// Reasons that arise in serving the HTTP interface, in addition to [`RefusalReason`].
     #[derive(Copy, Eq)]
     pub enum FaceReason {
-        /// The request breaks the rules of the API.
+        /// The path, a header or the body is invalid.
         MalformedRequest,
-        /// The body is larger than the bound.
+        /// The body exceeds `CallerSettings::body_bytes`.
         BodyTooLarge,
-        /// A header or the path is longer than the bound.
+        /// A header, or the path with its query, exceeds its limit.
         HeaderTooLarge,
-        /// The body did not arrive in time.
+        /// The body did not arrive within `CallerSettings::body_timeout_ms`.
         SlowSender,
         /// The credential is missing or unknown.
         Unauthenticated,
-        /// There is nothing at this path.
+        /// No operation has this path.
         UnknownPath,
-        /// The path does not take this method.
+        /// The path exists but does not support this method.
         MethodNotAllowed,
-        /// The service is not in the configuration in force.
+        /// The configuration in force has no such service.
         UnknownService,
-        /// The tenant has no such job.
+        /// The customer has no job with this id.
         UnknownJob,
         /// The job has no result yet.
         JobUnfinished,
         /// The backend server answered with an error.
         BackendFailed,
-        /// The connection to the backend server broke and the answer is lost.
+        /// The connection to the backend server failed before the answer was complete.
         AnswerLost,
-        /// The deadline passed while the request ran.
+        /// The deadline passed while the request was running.
         DeadlineExceeded,
-        /// A fault of this VM.
+        /// An internal error of this VM.
         Internal,
     }
 }
 
-/// Why a call has no proper answer.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProblemReason {
-    /// It was refused before it ran.
+    /// The request was refused before it ran.
     Refused(RefusalReason),
-    /// Something else.
+    /// Any other failure, before or after the request ran.
     Face(FaceReason),
 }
 
-/// What the table says of a reason.
+/// The table's entry for a reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProblemRow {
-    /// The reason's name in problem documents.
+    /// The name in the fields `reason` and `type` of problem documents.
     pub name: &'static str,
-    /// The HTTP status.
+    /// The status of the response, also repeated in the document.
     pub status: StatusCode,
-    /// A short description.
+    /// A short description of the reason for people.
     pub title: &'static str,
-    /// Whether sending the same again may help.
-    pub again: bool,
+    /// Whether resending the unchanged request may succeed. If not, no time to retry is sent.
+    pub retryable: bool,
 }
 
-/// A problem to tell the caller.
+/// A failure to report to the caller as a problem document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallProblem {
-    /// Why.
+    /// Selects the row of the table.
     pub reason: ProblemReason,
-    /// What became of the request.
+    /// Whether the request ran; "unknown" where it may have.
     pub outcome: RequestOutcome,
-    /// What a person should know beyond the reason.
+    /// The particulars of this failure, for people.
     pub detail: String,
-    /// When sending again may help, in milliseconds.
+    /// How long to wait before a retry, in milliseconds; `None` sends no such time.
     pub retry_after_ms: Option<u64>,
 }
 
 impl CallProblem {
-    /// A refusal before this attempt ran.
+    /// Creates a refusal of an attempt that did not run.
     ///
-    /// Where another attempt under the same key may have run, the outcome is "unknown" unless the
-    /// handler knows better: a caller that is told "not run" takes a new key and sends it again.
+    /// Where an earlier attempt with the same key may have run, the outcome is "unknown"; a handler
+    /// that knows the outcome sets the field. A caller that receives "not run" resends the request
+    /// with a new key, so a wrong "not run" would make it run twice.
     #[must_use]
     pub fn refused(reason: RefusalReason, retry_after_ms: u64, detail: impl Into<String>) -> Self {
         let outcome = match reason {
@@ -104,39 +105,39 @@
         }
     }
 
-    /// A problem of the request itself, found before anything ran.
+    /// Creates a problem found before the request ran, with the outcome "not run".
     #[must_use]
     pub fn not_run(reason: FaceReason, detail: impl Into<String>) -> Self {
         Self::ended(reason, RequestOutcome::NotRun, detail)
     }
 
-    /// A problem after the request may have run.
+    /// Creates a problem with the given outcome, for a request that may have run.
     #[must_use]
     pub fn ended(reason: FaceReason, outcome: RequestOutcome, detail: impl Into<String>) -> Self {
         let reason = ProblemReason::Face(reason);
         Self { reason, outcome, detail: detail.into(), retry_after_ms: None }
     }
 
-    /// The same problem with a time to come back.
+    /// Sets how long to wait before a retry, in milliseconds.
     #[must_use]
     pub fn with_retry(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// The row of the table for this problem.
+    /// Returns the table's row for this problem's reason.
     #[must_use]
     pub fn row(&self) -> ProblemRow {
         problem_row(self.reason)
     }
 }
 
-/// The table: name, status, title and whether sending again may help.
+/// Returns a reason's row of the table.
 #[must_use]
 pub fn problem_row(reason: ProblemReason) -> ProblemRow {
     match reason {
         ProblemReason::Refused(reason) => refusal_row(reason),
-        ProblemReason::Face(reason) => face_row(reason),
+        ProblemReason::Face(reason) => interface_row(reason),
     }
 }
 
@@ -166,7 +167,7 @@
     }
 }
 
-fn face_row(reason: FaceReason) -> ProblemRow {
+fn interface_row(reason: FaceReason) -> ProblemRow {
     use FaceReason as R;
     use StatusCode as S;
     match reason {
@@ -193,18 +194,18 @@
     }
 }
 
-fn row(name: &'static str, status: StatusCode, title: &'static str, again: bool) -> ProblemRow {
-    ProblemRow { name, status, title, again }
+fn row(name: &'static str, status: StatusCode, title: &'static str, retryable: bool) -> ProblemRow {
+    ProblemRow { name, status, title, retryable }
 }
 
-/// Ids by which caller and operator speak of a request.
+/// The ids of a request that a problem document repeats, for callers and operators to refer to it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProblemIds {
     pub(crate) request_id: String,
     pub(crate) caller_id: Option<String>,
 }
 
-/// A problem document as sent.
+/// The JSON of a problem document.
 #[derive(Serialize)]
 struct ProblemDocument<'a> {
     #[serde(rename = "type")]
@@ -221,7 +222,7 @@
     caller_request_id: Option<&'a str>,
 }
 
-/// Writes the document's JSON, on one line as a server-sent event needs it.
+/// Serializes a problem document on one line, as the data of a server-sent event requires.
 pub(crate) fn problem_json(problem: &CallProblem, ids: &ProblemIds) -> Vec<u8> {
     let row = problem.row();
     let document = ProblemDocument {
@@ -231,23 +232,23 @@
         detail: &problem.detail,
         outcome: problem.outcome,
         reason: row.name,
-        retry_after_ms: problem.retry_after_ms.filter(|_| row.again),
+        retry_after_ms: problem.retry_after_ms.filter(|_| row.retryable),
         request_id: &ids.request_id,
         caller_request_id: ids.caller_id.as_deref(),
     };
     serde_json::to_vec(&document).unwrap_or_default()
 }
 
-/// The response that tells a problem.
-pub(crate) fn problem_response(problem: &CallProblem, ids: &ProblemIds) -> Response<FaceBody> {
+/// Builds the response that carries a problem document, with `Retry-After` rounded up to seconds.
+pub(crate) fn problem_response(problem: &CallProblem, ids: &ProblemIds) -> Response<ResponseBody> {
     let row = problem.row();
     let json = problem_json(problem, ids);
     let mut response = Response::new(whole_body(Bytes::from(json)));
     *response.status_mut() = row.status;
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(PROBLEM_TYPE));
-    if let Some(millis) = problem.retry_after_ms.filter(|_| row.again) {
-        headers.insert(RETRY_AFTER, HeaderValue::from(millis.div_ceil(MILLIS_PER_SECOND)));
+    if let Some(millis) = problem.retry_after_ms.filter(|_| row.retryable) {
+        headers.insert(RETRY_AFTER, HeaderValue::from(millis.div_ceil(MS_PER_SECOND)));
     }
     if row.status == StatusCode::UNAUTHORIZED {
         headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
--- a/caller/src/route.rs
+++ b/caller/src/route.rs
@@ -1,4 +1,4 @@
-//! Which operation a method and path name.
+//! Maps methods and paths to operations.
 
 use coltsfoothook_decision::id::{JobId, ServiceName};
 use http::Method;
@@ -7,7 +7,7 @@
 use crate::problem::{CallProblem, FaceReason};
 use crate::settings::CallerSettings;
 
-/// An operation of the API.
+/// An operation of the callers' API with the parameters from its path.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CallerRoute {
     Health,
@@ -21,7 +21,11 @@
     CancelJob(JobId),
 }
 
-/// Finds the operation. `path` is as the caller encoded it, without the query.
+/// Finds the operation for a method and a path. `path` is still percent-encoded and has no query.
+///
+/// # Errors
+///
+/// The path is unknown, does not support the method, or contains an invalid id.
 pub(crate) fn find_route(
     method: &Method,
     path: &str,
@@ -29,31 +33,35 @@
 ) -> Result<CallerRoute, CallProblem> {
     let segments: Vec<&str> = path.trim_start_matches('/').splitn(4, '/').collect();
     match segments.as_slice() {
-        ["health"] => on(method, &Method::GET, CallerRoute::Health),
-        ["v1", "entries"] => on(method, &Method::GET, CallerRoute::Entries),
-        ["v1", "models"] => on(method, &Method::GET, CallerRoute::Models),
+        ["health"] => check_method(method, &Method::GET, CallerRoute::Health),
+        ["v1", "entries"] => check_method(method, &Method::GET, CallerRoute::Entries),
+        ["v1", "models"] => check_method(method, &Method::GET, CallerRoute::Models),
         ["v1", "completions"] => {
-            on(method, &Method::POST, CallerRoute::Complete(CompletionKind::Completions))
+            check_method(method, &Method::POST, CallerRoute::Complete(CompletionKind::Completions))
         }
         ["v1", "chat", "completions"] => {
-            on(method, &Method::POST, CallerRoute::Complete(CompletionKind::Chat))
+            check_method(method, &Method::POST, CallerRoute::Complete(CompletionKind::Chat))
         }
         ["v1", "services", service] => service_route(service, "/", settings),
         ["v1", "services", service, rest] => service_route(service, &format!("/{rest}"), settings),
-        ["v1", "jobs"] => on(method, &Method::POST, CallerRoute::SubmitJob),
+        ["v1", "jobs"] => check_method(method, &Method::POST, CallerRoute::SubmitJob),
         ["v1", "jobs", id] => job_route(method, id, settings),
         ["v1", "jobs", id, "result"] => {
-            on(method, &Method::GET, CallerRoute::JobResult(job_id(id, settings)?))
+            check_method(method, &Method::GET, CallerRoute::JobResult(job_id(id, settings)?))
         }
-        _ => Err(CallProblem::not_run(FaceReason::UnknownPath, "there is no such path")),
+        _ => Err(CallProblem::not_run(FaceReason::UnknownPath, "no operation has this path")),
     }
 }
 
-fn on(method: &Method, want: &Method, route: CallerRoute) -> Result<CallerRoute, CallProblem> {
-    if method == want {
+fn check_method(
+    method: &Method,
+    supported: &Method,
+    route: CallerRoute,
+) -> Result<CallerRoute, CallProblem> {
+    if method == supported {
         return Ok(route);
     }
-    let detail = format!("this path takes {want}");
+    let detail = format!("this path supports only {supported}");
     Err(CallProblem::not_run(FaceReason::MethodNotAllowed, detail))
 }
 
@@ -76,7 +84,7 @@
         Method::GET => Ok(CallerRoute::JobStatus(job)),
         Method::DELETE => Ok(CallerRoute::CancelJob(job)),
         _ => {
-            let detail = "this path takes GET and DELETE";
+            let detail = "this path supports only GET and DELETE";
             Err(CallProblem::not_run(FaceReason::MethodNotAllowed, detail))
         }
     }
@@ -87,13 +95,13 @@
     Ok(id.into())
 }
 
-/// Checks an id: not empty, within the bound, and letters, digits, `.`, `_`, `:` or `-` alone, so
-/// that it stands unescaped in paths, log lines and keys.
-pub(crate) fn check_id(what: &str, id: &str, most: usize) -> Result<(), CallProblem> {
+/// Checks that an id has 1 to `max_bytes` bytes, all of them ASCII letters, digits, `.`, `_`, `:`
+/// or `-`, so that it needs no escaping in paths, log lines and keys.
+pub(crate) fn check_id(what: &str, id: &str, max_bytes: usize) -> Result<(), CallProblem> {
     let allowed = |c: u8| c.is_ascii_alphanumeric() || b"._:-".contains(&c);
-    if id.is_empty() || id.len() > most || !id.bytes().all(allowed) {
+    if id.is_empty() || id.len() > max_bytes || !id.bytes().all(allowed) {
         let detail =
-            format!("{what} must have 1 to {most} characters of letters, digits and . _ : -");
+            format!("{what} must have 1 to {max_bytes} characters of letters, digits and . _ : -");
         return Err(CallProblem::not_run(FaceReason::MalformedRequest, detail));
     }
     Ok(())
--- a/caller/src/server.rs
+++ b/caller/src/server.rs
@@ -1,10 +1,10 @@
-//! The HTTP server.
+//! The HTTP server for callers.
 //!
-//! dropshot opens its listener itself and leaves Nagle's algorithm on, so that the first event of a
-//! stream on a connection in use waited some 30 ms for an acknowledgement. This face is therefore
-//! served by hyper directly; docs/HOUSE-STYLE.md, "Libraries", has the figures. It also bounds
-//! connections, frees the port as soon as it closes, and answers unknown paths with problem
-//! documents.
+//! It uses hyper directly, unlike the operators' interface, because dropshot opens its listener
+//! itself and leaves Nagle's algorithm enabled, which delayed the first event of a stream on a
+//! reused connection by some 30 ms (docs/HOUSE-STYLE.md, "Libraries"). Serving with hyper also
+//! allows to limit connections, to free the port at the start of closing, and to answer unknown
+//! paths with problem documents.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -25,55 +25,56 @@
 use tokio_rustls::TlsAcceptor;
 use tokio_util::sync::CancellationToken;
 
-use crate::face::CallerFace;
 use crate::handler::CallHandler;
+use crate::interface::CallerInterface;
 use crate::settings::CallerSettings;
 
-/// Connections that may wait to be accepted; the kernel may allow fewer.
+/// The maximum number of connections waiting to be accepted; the kernel may set a lower limit.
 const LISTEN_BACKLOG: u32 = 4_096;
-/// How long the listener rests when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// The least bound for a request's head that the HTTP library takes.
-const LEAST_HEAD_BYTES: usize = 8_192;
-/// How long a closing connection without a request may still bring one that is on its way.
-const LAST_REQUEST: Duration = Duration::from_millis(250);
-
-/// The server did not start.
+/// The interval between attempts to accept after an error, such as running out of file descriptors.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The minimum buffer size that hyper accepts; a smaller `head_bytes` is raised to it.
+const MIN_HEAD_BYTES: usize = 8_192;
+/// How long a closing connection that has received no request waits for one that is in flight.
+const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// The server could not be started.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The address could not be bound.
-    #[snafu(display("callers cannot be served at {listen}"))]
+    /// The listener could not be opened.
+    #[snafu(display("cannot listen for callers at {listen}"))]
     Listen {
-        /// Where it should listen.
+        /// The configured address.
         listen: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// The running callers' face.
+/// The running HTTP server for callers. Dropping it without [`close`](Self::close) aborts all
+/// connections at once, as the death of the process would.
 pub struct CallerServer {
     address: SocketAddr,
-    shared: Arc<ServerParts>,
+    shared: Arc<ServerShared>,
     task: JoinHandle<()>,
 }
 
-/// What every connection needs.
-struct ServerParts {
-    face: CallerFace,
+/// The state that all connections share.
+struct ServerShared {
+    interface: CallerInterface,
     tls: Option<TlsAcceptor>,
-    room: Arc<Semaphore>,
+    connection_permits: Arc<Semaphore>,
     refused: AtomicU64,
     closing: CancellationToken,
 }
 
 impl CallerServer {
-    /// Starts to listen. Without `tls` it speaks plain HTTP; whether that is allowed is for the
-    /// settings of the process to say.
+    /// Starts the server. Without `tls` it serves plain HTTP; the process's settings decide whether
+    /// that is allowed.
     ///
     /// # Errors
     ///
-    /// The address is taken or not local.
+    /// The address is in use or not local.
     pub fn start(
         settings: CallerSettings,
         handler: Arc<dyn CallHandler>,
@@ -82,9 +83,9 @@
         let listen = settings.listen;
         let listener = bind(listen).context(ListenSnafu { listen })?;
         let address = listener.local_addr().context(ListenSnafu { listen })?;
-        let shared = Arc::new(ServerParts {
-            room: Arc::new(Semaphore::new(settings.connections)),
-            face: CallerFace { settings, handler },
+        let shared = Arc::new(ServerShared {
+            connection_permits: Arc::new(Semaphore::new(settings.connections)),
+            interface: CallerInterface { settings, handler },
             tls: tls.map(|config| TlsAcceptor::from(Arc::new(config))),
             refused: AtomicU64::new(0),
             closing: CancellationToken::new(),
@@ -93,44 +94,45 @@
         Ok(Self { address, shared, task })
     }
 
-    /// Where it listens.
+    /// Returns the bound address, with the actual port if port 0 was configured.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections that are open now, for metrics.
+    /// Returns the number of open connections, for metrics.
     #[must_use]
     pub fn connections(&self) -> usize {
-        self.shared.face.settings.connections - self.shared.room.available_permits()
+        self.shared.interface.settings.connections
+            - self.shared.connection_permits.available_permits()
     }
 
-    /// Connections refused so far: too many at once, or a failed TLS handshake.
+    /// Returns how many connections were refused since the start, because the limit was reached or
+    /// the TLS handshake failed.
     #[must_use]
     pub fn refused_connections(&self) -> u64 {
         self.shared.refused.load(Ordering::Relaxed)
     }
 
-    /// Stops taking connections and returns when the last running answer has ended.
+    /// Stops accepting connections and returns when the last running response has ended.
     ///
-    /// The port is free at once, and connections without a request are closed. For callers to have
-    /// gone elsewhere by then, the handler refuses new work as "leaving" and the VM is out of the
-    /// list of entries for longer than callers keep it.
+    /// The port is freed at the start, and connections without a request are closed. So that
+    /// callers have moved to other VMs before, the handler must refuse new work as "leaving", and
+    /// the VM must be absent from the list of entries for longer than callers cache it.
     pub async fn close(mut self) {
         self.shared.closing.cancel();
         let _ = (&mut self.task).await;
     }
 }
 
-/// Dropping the face without closing it cuts everything at once, as the death of the process would.
 impl Drop for CallerServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Listens with room for a burst of callers. The library's own bound is 128 connections that wait to
-/// be accepted; the kernel drops those beyond it, and a caller tries again only after a second.
+/// Opens a listener with a backlog for bursts of connections. tokio's default backlog is 128; the
+/// kernel drops connection attempts beyond the backlog, and a caller retries only after a second.
 fn bind(listen: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match listen {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -141,13 +143,13 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-async fn accept_callers(listener: TcpListener, shared: Arc<ServerParts>) {
+async fn accept_callers(listener: TcpListener, shared: Arc<ServerShared>) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, from)) => {
-                    let Ok(permit) = shared.room.clone().try_acquire_owned() else {
+                    let Ok(permit) = shared.connection_permits.clone().try_acquire_owned() else {
                         shared.refuse(from, "too many connections");
                         continue;
                     };
@@ -155,7 +157,7 @@
                 }
                 Err(error) => {
                     event!(AcceptFailed, face = "caller", reason = error);
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             },
             Some(_) = connections.join_next() => {}
@@ -170,55 +172,55 @@
     stream: TcpStream,
     from: SocketAddr,
     permit: OwnedSemaphorePermit,
-    shared: Arc<ServerParts>,
+    shared: Arc<ServerShared>,
 ) {
     let _permit = permit;
-    // Each token is a small write; Nagle's algorithm would hold it back until the caller's kernel
-    // acknowledges the one before, which it delays by up to 40 ms.
+    // Each token is a small write. Nagle's algorithm would delay it until the caller's kernel
+    // acknowledges the previous one, which can take up to 40 ms.
     let _ = stream.set_nodelay(true);
     let Some(acceptor) = shared.tls.clone() else {
         return serve_requests(stream, shared).await;
     };
-    let limit = Duration::from_millis(shared.face.settings.handshake_timeout_ms);
+    let limit = Duration::from_millis(shared.interface.settings.handshake_timeout_ms);
     match tokio::time::timeout(limit, acceptor.accept(stream)).await {
         Ok(Ok(stream)) => serve_requests(stream, shared).await,
         Ok(Err(error)) => shared.refuse(from, &error.to_string()),
-        Err(_) => shared.refuse(from, "the handshake took too long"),
+        Err(_) => shared.refuse(from, "TLS handshake timed out"),
     }
 }
 
-/// Serves one connection until the caller or the server closes it. When the caller goes away, the
-/// library drops the running future and the answer's body.
-async fn serve_requests<S>(stream: S, shared: Arc<ServerParts>)
+/// Serves one connection until the caller or the server closes it. When the caller disconnects,
+/// hyper drops the running future and the response body.
+async fn serve_requests<S>(stream: S, shared: Arc<ServerShared>)
 where
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
 {
-    let asked = AtomicBool::new(false);
+    let has_request = AtomicBool::new(false);
     let service = service_fn(|request| {
-        asked.store(true, Ordering::Relaxed);
+        has_request.store(true, Ordering::Relaxed);
         let shared = shared.clone();
-        async move { Ok::<_, Infallible>(shared.face.answer(request).await) }
+        async move { Ok::<_, Infallible>(shared.interface.answer(request).await) }
     });
-    let settings = &shared.face.settings;
+    let settings = &shared.interface.settings;
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(settings.head_timeout_ms))
-        .max_buf_size(settings.head_bytes.max(LEAST_HEAD_BYTES))
+        .max_buf_size(settings.head_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => return,
         () = shared.closing.cancelled() => connection.as_mut().graceful_shutdown(),
     }
-    // The library closes a connection between requests and lets a running answer end, but it would
-    // wait for the first request of a connection that never brought one.
-    let early = tokio::time::timeout(LAST_REQUEST, connection.as_mut()).await;
-    if early.is_err() && asked.load(Ordering::Relaxed) {
+    // On a graceful shutdown hyper closes idle connections and completes running responses, but it
+    // keeps waiting on a connection that has not received its first request.
+    let ended = tokio::time::timeout(LAST_REQUEST_TIMEOUT, connection.as_mut()).await;
+    if ended.is_err() && has_request.load(Ordering::Relaxed) {
         let _ = connection.await;
     }
 }
 
-impl ServerParts {
+impl ServerShared {
     fn refuse(&self, from: SocketAddr, reason: &str) {
         self.refused.fetch_add(1, Ordering::Relaxed);
         event!(CallerRefused, reason = reason, from = from);
@@ -229,15 +231,15 @@
 mod tests {
     use super::*;
 
-    /// Hundreds of callers connect at once while the process is busy and accepts nothing. None of
-    /// them may have to try again; with the library's bound the 130th would.
+    /// Guards against a backlog so short that a burst of 300 connections, while the process accepts
+    /// none, makes callers retry. With tokio's default backlog the 130th would.
     #[tokio::test]
     async fn burst_of_callers() {
         let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
         let address = listener.local_addr().unwrap();
         let connect = |_| {
-            let within = Duration::from_secs(1);
-            std::net::TcpStream::connect_timeout(&address, within).unwrap()
+            let timeout = Duration::from_secs(1);
+            std::net::TcpStream::connect_timeout(&address, timeout).unwrap()
         };
         let callers: Vec<_> = (0..300).map(connect).collect();
         assert_eq!(callers.len(), 300);
--- a/caller/src/settings.rs
+++ b/caller/src/settings.rs
@@ -1,52 +1,54 @@
-//! Bounds and defaults of the callers' face.
+//! Limits and defaults of the HTTP interface for callers.
 
 use std::net::SocketAddr;
 
 use coltsfoothook_decision::outcome::RequestClass;
 use serde::{Deserialize, Serialize};
 
-/// Settings of the callers' face. Every bound guards memory or time that a caller could spend.
+/// Settings of the HTTP interface for callers. The limits bound the memory and time that a caller
+/// can consume.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallerSettings {
-    /// Where to listen. Port 0 takes a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// The most connections at once.
+    /// The maximum number of open connections; further ones are refused.
     pub connections: usize,
-    /// Milliseconds for a TLS handshake.
+    /// The timeout of a TLS handshake in milliseconds.
     pub handshake_timeout_ms: u64,
-    /// Milliseconds in which the next request's head must have arrived; an idle connection is
-    /// closed after them.
+    /// The timeout for the next request's head in milliseconds. Idle connections are closed after
+    /// it.
     pub head_timeout_ms: u64,
-    /// The largest head of a request in bytes, at least 8,192.
+    /// The maximum size of a request's head in bytes; values below 8,192 count as 8,192.
     pub head_bytes: usize,
-    /// The largest request body in bytes.
+    /// The maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Milliseconds in which a request's body must have arrived whole.
+    /// The timeout for a complete request body in milliseconds.
     pub body_timeout_ms: u64,
-    /// The longest value in bytes of a header that this package reads, except the credential.
+    /// The maximum length in bytes of each header value that this package reads, except the
+    /// credential.
     pub header_bytes: usize,
-    /// The longest credential in bytes.
+    /// The maximum length of a credential in bytes.
     pub credential_bytes: usize,
-    /// The longest id in bytes: request ids, idempotency keys, job ids, service names.
+    /// The maximum length in bytes of request ids, idempotency keys, job ids and service names.
     pub id_bytes: usize,
-    /// The longest `model` field in bytes.
+    /// The maximum length of the field `model` in bytes.
     pub model_bytes: usize,
-    /// The longest path with its query in bytes.
+    /// The maximum length of a path with its query in bytes.
     pub path_bytes: usize,
-    /// How deep a JSON body may be nested; at most 120.
+    /// The maximum nesting depth of a JSON body; values above 120 count as 120.
     pub json_depth: usize,
-    /// The most tokens that a request may ask for.
+    /// The maximum number of tokens that a request may demand.
     pub max_tokens: u32,
-    /// The tokens that a request which names no number is taken to generate, for planning alone.
+    /// The number of tokens assumed, for planning only, for a request that sets no maximum.
     pub default_max_tokens: u32,
-    /// The longest deadline in milliseconds that a caller may name.
+    /// The maximum deadline in milliseconds that a caller may set.
     pub deadline_ms: u64,
-    /// The class of requests that name none.
+    /// The class of requests that name none; jobs default to `audit` instead.
     pub default_class: RequestClass,
-    /// Bytes of the prompt's beginning that decide its prefix-cache affinity.
+    /// The number of bytes at the start of the prompt that determine its prefix-cache affinity.
     pub prefix_bytes: usize,
-    /// The most models on a page of `GET /v1/models`.
+    /// The maximum number of models on a page of `GET /v1/models`; also the default.
     pub page_entries: usize,
 }
 
--- a/caller/tests/suite/bad_input.rs
+++ b/caller/tests/suite/bad_input.rs
@@ -1,5 +1,5 @@
-//! Requests that break the rules get a problem document with the outcome "not run", and the handler
-//! never sees them.
+//! Invalid requests are answered with a problem document with the outcome "not run", and are not
+//! passed to the handler.
 
 use std::sync::atomic::Ordering;
 
@@ -112,7 +112,7 @@
         let answer = send(server.address(), &text).await;
         assert_refused(&answer, 401, "unauthenticated");
         assert_eq!(answer.header("www-authenticate"), Some("Bearer"));
-        assert!(!answer.text().contains("bad"), "a credential is never repeated");
+        assert!(!answer.text().contains("bad"), "a credential must not appear in the response");
     }
     let missing = good.replace("authorization: Bearer good\r\n", "");
     assert_refused(&send(server.address(), &missing).await, 401, "unauthenticated");
@@ -120,7 +120,7 @@
     assert_eq!((health.status, health.json()["ready"].as_bool()), (200, Some(true)));
 }
 
-/// The sender announces a small body or none and sends a large one; its memory must stay bounded.
+/// Guards against unbounded memory use by an oversized body, sent with or without `Content-Length`.
 #[tokio::test]
 async fn body_too_large() {
     let server = start(FakeHandler::answering(Script::Hang));
@@ -134,12 +134,13 @@
     assert_refused(&send(server.address(), &chunked).await, 413, "body_too_large");
 }
 
-/// The caller writes a large body before it reads. A face that closed at once would reset the
-/// connection, and the caller would report a broken connection and not know that nothing ran.
+/// Guards against closing the connection while the caller still writes an oversized body. The
+/// caller would see a connection reset instead of the response and not know that nothing ran.
 #[tokio::test]
-async fn large_body_sees_answer() {
+async fn large_body_gets_response() {
     let handler = FakeHandler::answering(Script::Hang);
-    let server = CallerServer::start(CallerSettings::default(), handler, None).expect("a face");
+    let server =
+        CallerServer::start(CallerSettings::default(), handler, None).expect("the server starts");
     let large = "x".repeat(12 * 1024 * 1024);
     let answer = call(server.address(), "POST", "/v1/completions", &large).await;
     assert_refused(&answer, 413, "body_too_large");
@@ -148,7 +149,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// Whatever a caller sends as a body, the parser answers and does not panic.
+    /// The parser returns, without a panic, for any bytes.
     #[test]
     fn parser_never_panics(body in prop::collection::vec(any::<u8>(), 0..300)) {
         let settings = CallerSettings { prefix_bytes: 5, ..Default::default() };
@@ -156,7 +157,7 @@
         let _ = parse_completion(CompletionKind::Completions, &body, &settings);
     }
 
-    /// The same for bodies that are nearly right, with text whose characters have several bytes.
+    /// The parser returns, without a panic, for almost valid bodies with multi-byte characters.
     #[test]
     fn near_bodies_never_panic(model in "\\PC{0,12}", prompt in "\\PC{0,40}", tail in "\\PC{0,8}") {
         let settings = CallerSettings { prefix_bytes: 5, ..Default::default() };
--- a/caller/tests/suite/client.rs
+++ b/caller/tests/suite/client.rs
@@ -1,4 +1,4 @@
-//! A caller that writes raw HTTP, so that tests can also be rude.
+//! A client that writes raw HTTP, so that tests can also send invalid requests.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An answer as read from the wire.
+/// A response read from the connection, with chunked bodies decoded.
 pub(crate) struct RawAnswer {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
-    /// Whether the body ended as its framing says.
+    /// Whether a chunked body ended with its final chunk; true for other bodies.
     pub(crate) whole: bool,
 }
 
@@ -21,7 +21,7 @@
     }
 
     pub(crate) fn text(&self) -> String {
-        String::from_utf8(self.body.clone()).expect("a text body")
+        String::from_utf8(self.body.clone()).expect("a body in UTF-8")
     }
 
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
@@ -30,7 +30,7 @@
     }
 }
 
-/// The text of a request with a good credential.
+/// Builds the text of a request with a valid credential. Each line of `headers` ends in `\r\n`.
 pub(crate) fn request(method: &str, path: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -39,7 +39,7 @@
     )
 }
 
-/// Sends a text and reads the answer to the end of the connection.
+/// Sends `text` on a new connection and reads the response until the connection ends.
 pub(crate) async fn send(address: SocketAddr, text: &str) -> RawAnswer {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(text.as_bytes()).await.expect("write");
@@ -48,14 +48,14 @@
     parse(&bytes)
 }
 
-/// Sends a well-formed call.
+/// Sends a request with a valid credential and no further headers.
 pub(crate) async fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> RawAnswer {
     send(address, &request(method, path, "", body)).await
 }
 
 pub(crate) fn parse(bytes: &[u8]) -> RawAnswer {
-    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("a head") + 4;
-    let head = String::from_utf8(bytes[..end].to_vec()).expect("a text head");
+    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("the end of the head") + 4;
+    let head = String::from_utf8(bytes[..end].to_vec()).expect("a head in UTF-8");
     let status = head[9..12].parse().expect("a status");
     let mut answer = RawAnswer { status, head, body: bytes[end..].to_vec(), whole: true };
     if answer.header("transfer-encoding") == Some("chunked") {
@@ -69,13 +69,13 @@
 fn unchunk(mut rest: &[u8]) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
     while let Some(end) = rest.windows(2).position(|w| w == b"\r\n") {
-        let size = std::str::from_utf8(&rest[..end]).expect("a size");
+        let size = std::str::from_utf8(&rest[..end]).expect("a chunk size");
         let size = usize::from_str_radix(size, 16).expect("a hexadecimal size");
         if size == 0 {
             return (body, true);
         }
-        let Some(part) = rest.get(end + 2..end + 2 + size) else { break };
-        body.extend_from_slice(part);
+        let Some(chunk) = rest.get(end + 2..end + 2 + size) else { break };
+        body.extend_from_slice(chunk);
         rest = rest.get(end + 4 + size..).unwrap_or_default();
     }
     (body, false)
--- a/caller/tests/suite/fake.rs
+++ b/caller/tests/suite/fake.rs
@@ -1,4 +1,4 @@
-//! A handler that answers as the test asks and notes what it was asked.
+//! A handler with scripted answers that records its calls.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,13 +16,13 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 use tokio::sync::mpsc;
 
-/// What the handler answers to a completion.
+/// The handler's answer to the next completion.
 pub(crate) enum Script {
     Whole(&'static str),
     Problem(CallProblem),
-    /// Parts as the test sends them.
+    /// Chunks that the test sends; also answers a call to a plain service.
     Stream(mpsc::UnboundedReceiver<Result<Bytes, CallProblem>>),
-    /// No answer until the call is dropped.
+    /// No answer; the call waits until it is dropped.
     Hang,
 }
 
@@ -37,7 +37,8 @@
     next: AtomicU64,
 }
 
-/// Counts when a call or its stream is dropped, as the entry process's guards would cancel.
+/// Increments the counter when a call or its stream is dropped, where the entry process would
+/// cancel.
 struct DropCount(Arc<AtomicUsize>);
 
 impl Drop for DropCount {
@@ -51,10 +52,10 @@
         Arc::new(Self { script: Mutex::new(Some(script)), ..Default::default() })
     }
 
-    fn stream(&self, parts: mpsc::UnboundedReceiver<Result<Bytes, CallProblem>>) -> AnswerStream {
+    fn stream(&self, chunks: mpsc::UnboundedReceiver<Result<Bytes, CallProblem>>) -> AnswerStream {
         let guard = DropCount(self.dropped.clone());
-        futures::stream::unfold((parts, guard), |(mut parts, guard)| async move {
-            parts.recv().await.map(|part| (part, (parts, guard)))
+        futures::stream::unfold((chunks, guard), |(mut chunks, guard)| async move {
+            chunks.recv().await.map(|chunk| (chunk, (chunks, guard)))
         })
         .boxed()
     }
@@ -111,8 +112,8 @@
                 AnswerBody::Whole(Bytes::from_static(text.as_bytes())),
             )),
             Script::Problem(problem) => Err(problem),
-            Script::Stream(parts) => {
-                Ok(answer("text/event-stream", AnswerBody::Stream(self.stream(parts))))
+            Script::Stream(chunks) => {
+                Ok(answer("text/event-stream", AnswerBody::Stream(self.stream(chunks))))
             }
             Script::Hang => {
                 let _guard = DropCount(self.dropped.clone());
@@ -125,7 +126,7 @@
         self.services.lock().expect("lock").push(call);
         let script = self.script.lock().expect("lock").take();
         let body = match script {
-            Some(Script::Stream(parts)) => AnswerBody::Stream(self.stream(parts)),
+            Some(Script::Stream(chunks)) => AnswerBody::Stream(self.stream(chunks)),
             _ => AnswerBody::Whole(Bytes::from_static(b"reading")),
         };
         let mut headers = HeaderMap::new();
@@ -150,7 +151,7 @@
 
     async fn job_result(&self, _: &CustomerName, job: &JobId) -> Result<JobResult, CallProblem> {
         if job.as_str() == "early" {
-            let problem = CallProblem::not_run(FaceReason::JobUnfinished, "it waits");
+            let problem = CallProblem::not_run(FaceReason::JobUnfinished, "the job is queued");
             return Err(problem.with_retry(1_500));
         }
         let body = Bytes::from_static(b"{\"audit\":1}");
@@ -162,18 +163,20 @@
     }
 }
 
-/// Starts a face with small bounds.
+/// Starts a server that allows 4,096 bytes and 200 ms for a body.
 pub(crate) fn start(handler: Arc<FakeHandler>) -> CallerServer {
     let settings = CallerSettings { body_bytes: 4_096, body_timeout_ms: 200, ..Default::default() };
-    CallerServer::start(settings, handler, None).expect("the face starts")
+    CallerServer::start(settings, handler, None).expect("the server starts")
 }
 
-/// Waits until a count is reached.
-pub(crate) async fn reaches(count: &AtomicUsize, want: usize) {
+/// Waits until `count` is at least `expected`; panics after 10 s.
+pub(crate) async fn wait_for_count(count: &AtomicUsize, expected: usize) {
     let reached = async {
-        while count.load(Ordering::SeqCst) < want {
+        while count.load(Ordering::SeqCst) < expected {
             tokio::time::sleep(std::time::Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(std::time::Duration::from_secs(10), reached).await.expect("the count");
+    tokio::time::timeout(std::time::Duration::from_secs(10), reached)
+        .await
+        .expect("the count is reached in time");
 }
--- a/caller/tests/suite/good_calls.rs
+++ b/caller/tests/suite/good_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are well formed reach the handler with all that they say.
+//! Valid calls are passed to the handler with all their parameters.
 
 use coltsfoothook_caller::CompletionKind;
 use coltsfoothook_decision::outcome::RequestClass;
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn defaults_hold() {
+async fn defaults_apply() {
     let handler = FakeHandler::answering(Script::Whole("{}"));
     let server = start(handler.clone());
     let body = r#"{"model":"chiller","prompt":"x","stream":true}"#;
@@ -43,32 +43,39 @@
     let calls = handler.completions.lock().expect("lock");
     assert_eq!((calls[0].class, calls[0].deadline_ms), (RequestClass::Scheduled, None));
     assert!(calls[0].repeatable && calls[0].stream && calls[0].model.version.is_none());
-    assert!(!calls[0].first_try, "nothing is known of earlier tries");
+    assert!(
+        !calls[0].first_try,
+        "an earlier attempt may have run unless the caller states otherwise"
+    );
 }
 
-/// A poison request that comes again under new ids must be known; another body must not be taken
-/// for it.
+/// Guards against fingerprints that miss a poison request resent with other ids, or that are equal
+/// for different requests.
 #[tokio::test]
-async fn fingerprint_ignores_carriage() {
+async fn fingerprint_ignores_transport_fields() {
     let bodies = [
         r#"{"model":"a@1","prompt":"x","user":"u1","stream":false}"#,
         r#"{ "stream":true, "prompt":"x", "model":"a@1", "metadata":{"id":"9"} }"#,
         r#"{"model":"a@1","prompt":"y"}"#,
         r#"{"model":"a@2","prompt":"x"}"#,
     ];
-    let mut prints = Vec::new();
+    let mut fingerprints = Vec::new();
     for body in bodies {
         let handler = FakeHandler::answering(Script::Whole("{}"));
         let server = start(handler.clone());
         assert_eq!(call(server.address(), "POST", "/v1/completions", body).await.status, 200);
-        prints.push(handler.completions.lock().expect("lock")[0].fingerprint);
+        fingerprints.push(handler.completions.lock().expect("lock")[0].fingerprint);
     }
-    assert_eq!(prints[0], prints[1]);
-    assert!(prints[2] != prints[0] && prints[3] != prints[0] && prints[2] != prints[3]);
+    assert_eq!(fingerprints[0], fingerprints[1]);
+    assert!(
+        fingerprints[2] != fingerprints[0]
+            && fingerprints[3] != fingerprints[0]
+            && fingerprints[2] != fingerprints[3]
+    );
 }
 
 #[tokio::test]
-async fn service_call_is_passed_on() {
+async fn service_call_is_forwarded() {
     let handler = FakeHandler::answering(Script::Hang);
     let server = start(handler.clone());
     let headers = "coltsfoothook-class: urgent\r\nx-crew: salto\r\nte: trailers\r\n\
@@ -77,7 +84,7 @@
     let answer = send(server.address(), &text).await;
     assert_eq!((answer.status, answer.text().as_str()), (201, "reading"));
     assert_eq!(answer.header("x-sensor"), Some("crac-7"));
-    assert_eq!(answer.header("x-hop"), None, "named by Connection, so for one hop alone");
+    assert_eq!(answer.header("x-hop"), None, "hop-by-hop because Connection lists it");
     let calls = handler.services.lock().expect("lock");
     let call = &calls[0];
     assert_eq!(
@@ -86,8 +93,12 @@
     );
     assert_eq!((call.method.as_str(), call.repeatable), ("PUT", None));
     assert_eq!(&call.body[..], b"breaker");
-    let kept: Vec<&str> = call.headers.keys().map(|name| name.as_str()).collect();
-    assert_eq!(kept, ["x-crew", "idempotency-key"], "no credential and nothing of one hop goes on");
+    let forwarded: Vec<&str> = call.headers.keys().map(|name| name.as_str()).collect();
+    assert_eq!(
+        forwarded,
+        ["x-crew", "idempotency-key"],
+        "the credential and hop-by-hop headers are not forwarded"
+    );
 }
 
 #[tokio::test]
--- a/caller/tests/suite/graceful_close.rs
+++ b/caller/tests/suite/graceful_close.rs
@@ -1,4 +1,4 @@
-//! Closing the face cuts no answer.
+//! Closing the server completes running responses.
 
 use std::time::Duration;
 
@@ -8,14 +8,13 @@
 use tokio::sync::mpsc;
 
 use crate::client::{parse, request};
-use crate::fake::{FakeHandler, Script, reaches, start};
+use crate::fake::{FakeHandler, Script, start, wait_for_count};
 
-/// The VM is told to stop while a caller reads a stream. Closing must wait for the stream's end; a
-/// server that only waits for handlers would return when the status line is out and cut the rest. The
-/// pause is longer than the time that closing leaves to connections without a request.
+/// Guards against a close that waits for handlers only and truncates streams that are still being
+/// sent. The test waits longer than a closing connection without a request is kept open (250 ms).
 #[tokio::test]
 async fn waits_for_stream() {
-    let (parts, script) = mpsc::unbounded_channel();
+    let (chunks, script) = mpsc::unbounded_channel();
     let handler = FakeHandler::answering(Script::Stream(script));
     let server = start(handler.clone());
     let address = server.address();
@@ -23,13 +22,13 @@
         request("POST", "/v1/completions", "", r#"{"model":"a@1","prompt":"x","stream":true}"#);
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(text.as_bytes()).await.expect("write");
-    parts.send(Ok(Bytes::from_static(b"data: 1\n\n"))).expect("send");
-    reaches(&handler.begun, 1).await;
+    chunks.send(Ok(Bytes::from_static(b"data: 1\n\n"))).expect("send");
+    wait_for_count(&handler.begun, 1).await;
     let mut closing = tokio::spawn(server.close());
-    let early = tokio::time::timeout(Duration::from_millis(600), &mut closing).await;
-    assert!(early.is_err(), "closing waits");
-    parts.send(Ok(Bytes::from_static(b"data: [DONE]\n\n"))).expect("send");
-    drop(parts);
+    let ended = tokio::time::timeout(Duration::from_millis(600), &mut closing).await;
+    assert!(ended.is_err(), "closing waits for the stream");
+    chunks.send(Ok(Bytes::from_static(b"data: [DONE]\n\n"))).expect("send");
+    drop(chunks);
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).await.expect("read");
     let answer = parse(&bytes);
@@ -39,7 +38,7 @@
     assert!(TcpStream::connect(address).await.is_err(), "the port is free");
 }
 
-/// An idle connection that a caller keeps open does not hold the process back.
+/// Guards against a close that waits for an idle keep-alive connection.
 #[tokio::test]
 async fn idle_connection_closes() {
     let server = start(FakeHandler::answering(Script::Whole("{}")));
@@ -52,9 +51,9 @@
     assert_eq!(stream.read(&mut buffer).await.expect("read"), 0);
 }
 
-/// A connection on which nothing was ever sent does not hold the process back either.
+/// Guards against a close that waits for a connection on which no request was ever sent.
 #[tokio::test]
-async fn silent_connection_closes() {
+async fn connection_without_request_closes() {
     let server = start(FakeHandler::answering(Script::Whole("{}")));
     let mut stream = TcpStream::connect(server.address()).await.expect("connect");
     while server.connections() == 0 {
@@ -64,11 +63,11 @@
     assert_eq!(stream.read(&mut [0; 8]).await.expect("read"), 0);
 }
 
-/// A process that dies closes nothing in order. Dropping the face stands for that in tests and in
-/// the demonstration, so it must cut streams and free the port at once.
+/// Tests and the demonstration drop the server to simulate the death of the process, so dropping
+/// must abort streams and free the port at once.
 #[tokio::test]
-async fn drop_cuts() {
-    let (parts, script) = mpsc::unbounded_channel();
+async fn drop_aborts_streams() {
+    let (chunks, script) = mpsc::unbounded_channel();
     let handler = FakeHandler::answering(Script::Stream(script));
     let server = start(handler.clone());
     let address = server.address();
@@ -76,13 +75,13 @@
     let mut stream = TcpStream::connect(address).await.expect("connect");
     let text = request("POST", "/v1/completions", "", body);
     stream.write_all(text.as_bytes()).await.expect("write");
-    parts.send(Ok(Bytes::from_static(b"data: 1\n\n"))).expect("send");
+    chunks.send(Ok(Bytes::from_static(b"data: 1\n\n"))).expect("send");
     let mut buffer = [0; 1_024];
     assert!(stream.read(&mut buffer).await.expect("read") > 0);
     drop(server);
-    reaches(&handler.dropped, 1).await;
+    wait_for_count(&handler.dropped, 1).await;
     let mut rest = Vec::new();
     let _ = tokio::time::timeout(Duration::from_secs(10), stream.read_to_end(&mut rest)).await;
-    assert!(!rest.ends_with(b"0\r\n\r\n"), "a cut stream has no regular end");
+    assert!(!rest.ends_with(b"0\r\n\r\n"), "an aborted stream has no final chunk");
     assert!(TcpStream::connect(address).await.is_err());
 }
--- a/caller/tests/suite/main.rs
+++ b/caller/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the callers' face against a handler that answers as each test asks.
+//! Tests of the HTTP interface for callers against a handler with scripted answers.
 
 mod client;
 mod fake;
@@ -10,4 +10,4 @@
 mod graceful_close;
 mod problem_table;
 mod slow_sender;
-mod tls_face;
+mod tls_listener;
--- a/caller/tests/suite/problem_table.rs
+++ b/caller/tests/suite/problem_table.rs
@@ -1,4 +1,4 @@
-//! The table of reasons, as docs/CALLERS.md shows it.
+//! The table of reasons, and its copy in docs/CALLERS.md.
 
 use std::fmt::Write;
 
@@ -30,7 +30,7 @@
     RefusalReason::RetryBudget,
 ];
 
-const FACE: [FaceReason; 14] = [
+const INTERFACE_REASONS: [FaceReason; 14] = [
     FaceReason::MalformedRequest,
     FaceReason::BodyTooLarge,
     FaceReason::HeaderTooLarge,
@@ -49,7 +49,7 @@
 
 fn reasons() -> impl Iterator<Item = ProblemReason> {
     let refusals = REFUSALS.into_iter().map(ProblemReason::Refused);
-    refusals.chain(FACE.into_iter().map(ProblemReason::Face))
+    refusals.chain(INTERFACE_REASONS.into_iter().map(ProblemReason::Face))
 }
 
 #[test]
@@ -57,8 +57,9 @@
     let mut table = String::new();
     for reason in reasons() {
         let row = problem_row(reason);
-        let again = if row.again { "yes" } else { "no" };
-        writeln!(table, "| `{}` | {} | {again} |", row.name, row.status.as_u16()).expect("write");
+        let retryable = if row.retryable { "yes" } else { "no" };
+        writeln!(table, "| `{}` | {} | {retryable} |", row.name, row.status.as_u16())
+            .expect("write");
     }
     expect![[r#"
         | `overloaded` | 503 | yes |
@@ -101,19 +102,19 @@
     }
 }
 
-/// Names are how clients tell reasons apart, so no two may share one.
+/// Clients distinguish reasons by name, so names must be unique.
 #[test]
-fn names_differ() {
+fn names_are_unique() {
     let mut names: Vec<_> = reasons().map(|reason| problem_row(reason).name).collect();
     names.sort_unstable();
     names.dedup();
-    assert_eq!(names.len(), REFUSALS.len() + FACE.len());
+    assert_eq!(names.len(), REFUSALS.len() + INTERFACE_REASONS.len());
 }
 
-/// A refusal tells when to come back, rounded up to whole seconds in the header: a client that
-/// rounds down would come too early and be refused again.
+/// `Retry-After` is rounded up to whole seconds. Rounded down, it would make clients retry too
+/// early and be refused retryable.
 #[tokio::test]
-async fn refusal_is_told() {
+async fn refusal_has_retry_after() {
     let problem = CallProblem::refused(RefusalReason::TenantLimit, 1_200, "120 requests a second");
     let server = start(FakeHandler::answering(Script::Problem(problem)));
     let body = r#"{"model":"a@1","prompt":"x"}"#;
@@ -122,9 +123,9 @@
     expect![[r#"{"type":"urn:coltsfoothook:problem:tenant_limit","title":"Tenant's limit reached","status":429,"detail":"120 requests a second","outcome":"not_run","reason":"tenant_limit","retry_after_ms":1200,"request_id":"r0"}"#]].assert_eq(&answer.text());
 }
 
-/// Where trying again cannot help, no time to come back is told even if one was given.
+/// No time to retry is sent for reasons where a retry cannot succeed, even if the problem has one.
 #[tokio::test]
-async fn no_retry_where_useless() {
+async fn no_retry_after_where_not_retryable() {
     let problem = CallProblem::refused(RefusalReason::Condemned, 500, "it crashed two servers");
     let server = start(FakeHandler::answering(Script::Problem(problem)));
     let body = r#"{"model":"a@1","prompt":"x"}"#;
@@ -133,14 +134,14 @@
     assert_eq!(answer.json()["retry_after_ms"], serde_json::Value::Null);
 }
 
-/// The caller resends a ticket's request after a lost answer, and its key is known as claimed. "Not
-/// run" would make it take a new key, and two technicians would climb the same ladder.
+/// Guards against a request that runs twice: on "not run" the caller would resend it with a new
+/// key, but an earlier attempt with a key that is claimed or expired may have run.
 #[test]
 fn claimed_may_have_run() {
     for reason in REFUSALS {
         let outcome = CallProblem::refused(reason, 0, "").outcome;
-        let key_seen = matches!(reason, RefusalReason::AlreadyClaimed | RefusalReason::KeyExpired);
-        let want = if key_seen { RequestOutcome::Unknown } else { RequestOutcome::NotRun };
-        assert_eq!(outcome, want, "{reason:?}");
+        let key_used = matches!(reason, RefusalReason::AlreadyClaimed | RefusalReason::KeyExpired);
+        let expected = if key_used { RequestOutcome::Unknown } else { RequestOutcome::NotRun };
+        assert_eq!(outcome, expected, "{reason:?}");
     }
 }
--- a/caller/tests/suite/slow_sender.rs
+++ b/caller/tests/suite/slow_sender.rs
@@ -1,4 +1,4 @@
-//! Senders that take their time.
+//! Timeouts for slow heads and bodies, and the connection limit.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use crate::client::{call, parse, request};
 use crate::fake::{FakeHandler, Script, start};
 
-/// The sender writes a byte of its body now and then, which keeps an idle timeout from firing. The
-/// bound covers the whole body, so the connection and its memory are given back.
+/// Guards against a sender that trickles its body and so never triggers an idle timeout: the
+/// timeout covers the whole body, and the connection and its memory are released.
 #[tokio::test]
 async fn trickled_body() {
     let handler = FakeHandler::answering(Script::Hang);
@@ -43,13 +43,13 @@
     assert_eq!(handler.begun.load(Ordering::SeqCst), 0);
 }
 
-/// A head that never ends, and more connections than the bound: the former is cut off, the latter
-/// are refused and counted, and a caller that comes when there is room again is served.
+/// Connections with an incomplete head are closed after the timeout. Connections beyond the limit
+/// are refused and counted, and new ones are served once others have closed.
 #[tokio::test]
-async fn slow_head_and_crowd() {
+async fn slow_head_and_connection_limit() {
     let settings = CallerSettings { connections: 2, head_timeout_ms: 100, ..Default::default() };
     let handler = FakeHandler::answering(Script::Hang);
-    let server = CallerServer::start(settings, handler, None).expect("the face starts");
+    let server = CallerServer::start(settings, handler, None).expect("the server starts");
     let mut slow = Vec::new();
     for _ in 0..3 {
         let mut stream = TcpStream::connect(server.address()).await.expect("connect");
@@ -68,13 +68,13 @@
     assert_eq!(call(server.address(), "GET", "/health", "").await.status, 200);
 }
 
-/// A caller keeps a connection and does not use it. It is closed after the time for a head, so that
-/// callers which went away without a word do not use up the connections.
+/// Guards against idle connections of vanished callers that exhaust the connection limit: they are
+/// closed after the timeout for a head.
 #[tokio::test]
-async fn unused_connection_ends() {
+async fn idle_connection_times_out() {
     let settings = CallerSettings { head_timeout_ms: 100, ..Default::default() };
     let handler = FakeHandler::answering(Script::Hang);
-    let server = CallerServer::start(settings, handler, None).expect("the face starts");
+    let server = CallerServer::start(settings, handler, None).expect("the server starts");
     let mut stream = TcpStream::connect(server.address()).await.expect("connect");
     stream.write_all(b"GET /health HTTP/1.1\r\nhost: vm\r\n\r\n").await.expect("write");
     let mut bytes = Vec::new();
--- a/caller/tests/suite/tls_face.rs
+++ b/caller/tests/suite/tls_listener.rs
@@ -1,4 +1,4 @@
-//! The face over TLS.
+//! The callers' listener with TLS.
 
 use std::sync::Arc;
 
@@ -13,11 +13,12 @@
 use crate::client::{parse, request};
 use crate::fake::{FakeHandler, Script};
 
-/// The VM's key and authority are replaced while it serves. Callers that trust the new authority get
-/// through without a restart; plain text and a silent connection are refused and counted.
+/// The VM's key and authority are replaced while it serves. Callers that trust the new authority
+/// can connect without a restart; plain text and a connection without a handshake are refused and
+/// counted.
 #[tokio::test]
 async fn replaced_while_serving() {
-    let directory = TestDirectory::new("tls_face");
+    let directory = TestDirectory::new("tls_listener");
     let (old, new) = (TestAuthority::new(), TestAuthority::new());
     let files = old.write(directory.path(), "nbo-1");
     let authority = files.authority.clone().expect("a file");
@@ -25,28 +26,29 @@
     let settings = CallerSettings { handshake_timeout_ms: 100, ..Default::default() };
     let tls = keys.server().expect("a configuration");
     let handler = FakeHandler::answering(Script::Hang);
-    let server = CallerServer::start(settings, handler, Some(tls)).expect("the face starts");
-    let ask = async || {
+    let server = CallerServer::start(settings, handler, Some(tls)).expect("the server starts");
+    let request_status = async || {
         let config = Arc::new(trusting_client(&authority).expect("a configuration"));
         let name = ServerName::try_from("127.0.0.1").expect("an address");
         let stream = TcpStream::connect(server.address()).await.expect("connect");
-        let mut stream = TlsConnector::from(config).connect(name, stream).await.expect("trust");
+        let mut stream =
+            TlsConnector::from(config).connect(name, stream).await.expect("the handshake succeeds");
         let text = request("GET", "/v1/entries", "", "");
         stream.write_all(text.as_bytes()).await.expect("write");
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).await.expect("read");
         parse(&bytes).status
     };
-    assert_eq!(ask().await, 200);
+    assert_eq!(request_status().await, 200);
     let _ = new.write(directory.path(), "nbo-1");
     assert!(keys.reload().expect("read"));
-    assert_eq!(ask().await, 200);
+    assert_eq!(request_status().await, 200);
 
     let mut plain = TcpStream::connect(server.address()).await.expect("connect");
     plain.write_all(b"GET /health HTTP/1.1\r\n\r\n").await.expect("write");
     let _ = plain.read_to_end(&mut Vec::new()).await;
-    let mut silent = TcpStream::connect(server.address()).await.expect("connect");
-    let _ = silent.read_to_end(&mut Vec::new()).await;
+    let mut unresponsive = TcpStream::connect(server.address()).await.expect("connect");
+    let _ = unresponsive.read_to_end(&mut Vec::new()).await;
     while server.refused_connections() < 2 {
         tokio::task::yield_now().await;
     }
