--- a/operator/src/handler.rs
+++ b/operator/src/handler.rs
@@ -1,4 +1,4 @@
-//! What the entry process does for operators.
+//! The traits that the entry process implements to serve operators.
 
 use async_trait::async_trait;
 use coltsfoothook_decision::id::{RequestFingerprint, RequestId};
@@ -8,40 +8,41 @@
     PublishCall, WriteAnswer,
 };
 
-/// What is behind the face. The face has checked the operator's token and the shape of the call.
+/// Serves operators' calls, after the operator's token and the call's syntax have been checked.
 ///
-/// An answer has to come in bounded time: a handler that waits for the log gives up by itself and
-/// says so.
+/// Every method must return in bounded time; a handler that waits for the log applies its own
+/// timeout and returns the variant for an unknown outcome.
 #[async_trait]
 pub trait OperatorHandler: Send + Sync + 'static {
-    /// The configuration in force at this VM, or none if it has none or may be stale.
+    /// Returns the configuration in force at this VM; `None` if it has none or it may be stale.
     async fn manifest(&self) -> Option<ManifestAnswer>;
 
-    /// Appends a publication and tells what became of it once it was read back.
+    /// Appends a publication to the log and returns its verdict once it has been read back.
     async fn publish(&self, call: PublishCall) -> PublishAnswer;
 
-    /// Asks every VM for its status.
+    /// Queries every known VM for its status. VMs that do not answer in time have no reply.
     async fn status(&self) -> FleetStatus;
 
-    /// Begins or ends the drain of the VM or backend server `name`.
+    /// Starts (`draining` is true) or ends the drain of the VM or backend server `name`.
     async fn drain(&self, kind: DrainKind, name: &str, draining: bool) -> WriteAnswer;
 
-    /// Asks every VM for the steps of a request.
+    /// Queries every VM for the recorded steps of a request. Replies without steps are left out of
+    /// the response.
     async fn explain(&self, id: &RequestId) -> ExplainAnswer;
 
-    /// Lifts the condemnation of a request.
+    /// Lifts the condemnation, or the suspicion, of requests with this fingerprint.
     async fn lift(&self, fingerprint: RequestFingerprint) -> WriteAnswer;
 
-    /// The process's metrics in Prometheus's text format.
+    /// Returns the process's metrics in Prometheus's text format 0.0.4.
     fn metrics(&self) -> String;
 
-    /// Whether the VM takes work.
+    /// Reports whether the VM accepts requests. Called without authentication.
     fn health(&self) -> HealthAnswer;
 }
 
-/// Knows the operators' tokens.
+/// Authenticates operators.
 pub trait OperatorAuth: Send + Sync + 'static {
-    /// Whether `token` is an operator's. The time that it takes must not depend on how much of the
-    /// token is right, or else a stranger could find it out letter by letter.
+    /// Returns whether `token` is an operator's token. Must compare in constant time, so that
+    /// response times do not reveal how much of a guessed token is correct.
     fn is_operator(&self, token: &str) -> bool;
 }
--- a/operator/src/face.rs
+++ b/operator/src/interface.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to the handler and back.
+//! Dispatches HTTP requests to the handler and turns its results into responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,20 +22,21 @@
 use crate::problem::{OperatorProblem, ProblemReason};
 use crate::server::OperatorSettings;
 
-/// When to come back after an outage of the log or a lost answer.
+/// The delay before a retry that is sent with problems that pass by themselves: an unavailable log,
+/// an unknown outcome, or a VM that is not ready.
 const RETRY_AFTER_MS: u64 = 2_000;
-const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
-/// The most bytes in the id of a request.
-const MOST_ID_BYTES: usize = 256;
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
+/// The maximum length of a request id in bytes.
+const MAX_ID_BYTES: usize = 256;
 
-/// The face: settings, the handler behind it, and who may call.
-pub(crate) struct OperatorFace {
+/// The operators' HTTP interface, shared by all requests.
+pub(crate) struct OperatorInterface {
     pub(crate) settings: OperatorSettings,
     pub(crate) handler: Arc<dyn OperatorHandler>,
     pub(crate) auth: Arc<dyn OperatorAuth>,
 }
 
-/// A call, told by its path.
+/// An operation of the operators' API with the parameters from its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OperatorRoute<'a> {
     Manifest,
@@ -49,6 +50,7 @@
 }
 
 impl<'a> OperatorRoute<'a> {
+    /// Finds the operation for the decoded segments of a path.
     fn find(path: &'a [String]) -> Option<Self> {
         let segments: Vec<&str> = path.iter().map(String::as_str).collect();
         Some(match segments[..] {
@@ -65,6 +67,7 @@
         })
     }
 
+    /// Returns the only method that the operation supports.
     fn method(self) -> Method {
         match self {
             Self::Publish | Self::Lift => Method::POST,
@@ -73,7 +76,7 @@
         }
     }
 
-    /// The call's name in the log.
+    /// Returns the operation's name in the event `operator_call`.
     fn name(self) -> &'static str {
         match self {
             Self::Manifest => "manifest",
@@ -89,11 +92,11 @@
     }
 }
 
-impl OperatorFace {
-    /// Answers a request; every failure becomes a problem document.
+impl OperatorInterface {
+    /// Answers a request. Failures become problem documents.
     pub(crate) async fn answer(&self, path: &[String], request: Request<Body>) -> Response<Body> {
-        let answered = self.dispatch(path, request).await;
-        answered.unwrap_or_else(|problem| problem.response())
+        let result = self.dispatch(path, request).await;
+        result.unwrap_or_else(|problem| problem.response())
     }
 
     async fn dispatch(
@@ -102,13 +105,13 @@
         request: Request<Body>,
     ) -> Result<Response<Body>, OperatorProblem> {
         let route = OperatorRoute::find(path);
-        let open = match route {
+        let public = match route {
             Some(OperatorRoute::Health) => true,
             Some(OperatorRoute::Metrics) => self.settings.open_metrics,
             _ => false,
         };
-        // A stranger learns nothing, not even which paths there are.
-        if !open {
+        // The token is checked first, so that unauthenticated clients cannot discover paths.
+        if !public {
             self.check_token(request.headers())?;
         }
         let Some(route) = route else {
@@ -119,12 +122,12 @@
             let detail = format!("this path takes {}", route.method());
             return Err(OperatorProblem::new(ProblemReason::MethodNotAllowed, detail));
         }
-        let answered = self.run(route, request).await;
+        let result = self.run(route, request).await;
         if route.method() != Method::GET {
-            let reason = answered.as_ref().err().map(|problem| problem.reason.as_str());
+            let reason = result.as_ref().err().map(|problem| problem.reason.as_str());
             event!(OperatorCall, operation = route.name(), outcome = reason.unwrap_or("done"));
         }
-        answered
+        result
     }
 
     fn check_token(&self, headers: &HeaderMap) -> Result<(), OperatorProblem> {
@@ -151,7 +154,7 @@
             OperatorRoute::Explain(id) => self.explain(id).await,
             OperatorRoute::Lift => self.lift(request).await,
             OperatorRoute::Metrics => {
-                Ok(text_response(StatusCode::OK, METRICS_TYPE, self.handler.metrics()))
+                Ok(text_response(StatusCode::OK, METRICS_CONTENT_TYPE, self.handler.metrics()))
             }
             OperatorRoute::Health => self.health(),
         }
@@ -170,15 +173,15 @@
 
     async fn publish(&self, request: Request<Body>) -> Result<Response<Body>, OperatorProblem> {
         let body = self.read_body(request).await?;
-        // A manifest of tens of thousands of adapters takes a while to parse, and the thread that
-        // would do it here has streams to serve.
+        // Parsing a manifest with tens of thousands of adapters here would block a runtime thread
+        // that also serves streams.
         let parsed = tokio::task::spawn_blocking(move || parse_json::<PublishCall>(&body)).await;
-        let call = parsed.map_err(|_| internal("the body could not be parsed"))??;
+        let call = parsed.map_err(|_| internal("the task that parses the body failed"))??;
         if !is_good_name(&call.publish_id) {
             let detail = format!("publish_id: it is not allowed; allowed: {NAME_RULE}");
             return Err(OperatorProblem::new(ProblemReason::MalformedRequest, detail));
         }
-        let published = published_answer(self.handler.publish(call).await)?;
+        let published = publish_result(self.handler.publish(call).await)?;
         json_response(StatusCode::OK, &published)
     }
 
@@ -192,16 +195,16 @@
             return Err(OperatorProblem::new(ProblemReason::MalformedRequest, NAME_RULE));
         }
         let call: DrainCall = parse_json(&self.read_body(request).await?)?;
-        let unknown = match kind {
+        let detail = match kind {
             DrainKind::Vm => "GET /v1/status names the VMs",
             DrainKind::Server => "GET /v1/manifest names the backend servers",
         };
-        written_response(self.handler.drain(kind, name, call.draining).await, unknown)
+        written_response(self.handler.drain(kind, name, call.draining).await, detail)
     }
 
     async fn explain(&self, id: &str) -> Result<Response<Body>, OperatorProblem> {
-        if id.len() > MOST_ID_BYTES {
-            let detail = format!("an id has at most {MOST_ID_BYTES} bytes");
+        if id.len() > MAX_ID_BYTES {
+            let detail = format!("an id has at most {MAX_ID_BYTES} bytes");
             return Err(OperatorProblem::new(ProblemReason::MalformedRequest, detail));
         }
         let mut answer = self.handler.explain(&RequestId::from(id)).await;
@@ -219,32 +222,33 @@
             let detail = "fingerprint: it is not allowed; allowed: up to 16 hexadecimal digits";
             return Err(OperatorProblem::new(ProblemReason::MalformedRequest, detail));
         };
-        let unknown = "the request is neither suspect nor condemned; the event request_condemned \
+        let detail = "the request is neither suspect nor condemned; the event request_condemned \
                        names the fingerprint";
-        written_response(self.handler.lift(RequestFingerprint(fingerprint)).await, unknown)
+        written_response(self.handler.lift(RequestFingerprint(fingerprint)).await, detail)
     }
 
     async fn read_body(&self, request: Request<Body>) -> Result<Bytes, OperatorProblem> {
-        let most = self.settings.body_bytes;
+        let max_bytes = self.settings.body_bytes;
         let too_large = || {
-            let detail = format!("a body has at most {most} bytes");
+            let detail = format!("a body has at most {max_bytes} bytes");
             OperatorProblem::new(ProblemReason::BodyTooLarge, detail)
         };
-        let stated = request.headers().get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
-        let stated = stated.and_then(|value| value.parse::<usize>().ok());
-        if stated.is_some_and(|bytes| bytes > most) {
+        let content_length =
+            request.headers().get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
+        let content_length = content_length.and_then(|value| value.parse::<usize>().ok());
+        if content_length.is_some_and(|bytes| bytes > max_bytes) {
             return Err(too_large());
         }
         let limit = Duration::from_millis(self.settings.body_timeout_ms);
-        let body = Limited::new(request.into_body(), most).collect();
+        let body = Limited::new(request.into_body(), max_bytes).collect();
         match tokio::time::timeout(limit, body).await {
             Err(_) => {
-                let detail = format!("a body has to arrive within {} ms", limit.as_millis());
+                let detail = format!("the body did not arrive within {} ms", limit.as_millis());
                 Err(OperatorProblem::new(ProblemReason::SlowSender, detail))
             }
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
             Ok(Err(_)) => {
-                let detail = "the body broke off";
+                let detail = "the body was truncated";
                 Err(OperatorProblem::new(ProblemReason::MalformedRequest, detail))
             }
             Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -252,7 +256,7 @@
     }
 }
 
-fn published_answer(answer: PublishAnswer) -> Result<PublishedAnswer, OperatorProblem> {
+fn publish_result(answer: PublishAnswer) -> Result<PublishedAnswer, OperatorProblem> {
     match answer {
         PublishAnswer::Accepted(version) => Ok(PublishedAnswer { version, repeated: false }),
         PublishAnswer::Repeated(version) => Ok(PublishedAnswer { version, repeated: true }),
@@ -272,12 +276,14 @@
     }
 }
 
-fn written_response(answer: WriteAnswer, unknown: &str) -> Result<Response<Body>, OperatorProblem> {
+/// Builds the response to a call that appends a record. `detail` is for the problem of an unknown
+/// name.
+fn written_response(answer: WriteAnswer, detail: &str) -> Result<Response<Body>, OperatorProblem> {
     match answer {
         WriteAnswer::Written => json_response(StatusCode::OK, &WrittenAnswer { written: true }),
         WriteAnswer::Unknown => Err(append_unknown()),
         WriteAnswer::LogUnavailable => Err(log_unavailable()),
-        WriteAnswer::UnknownName => Err(OperatorProblem::new(ProblemReason::UnknownName, unknown)),
+        WriteAnswer::UnknownName => Err(OperatorProblem::new(ProblemReason::UnknownName, detail)),
     }
 }
 
@@ -300,7 +306,7 @@
     OperatorProblem::new(ProblemReason::Internal, detail)
 }
 
-/// Parses a body; the error names the path of the offending key.
+/// Parses a JSON body. The problem's detail begins with the path of the offending key, if known.
 fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, OperatorProblem> {
     let mut deserializer = serde_json::Deserializer::from_slice(body);
     let parsed = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
@@ -322,13 +328,14 @@
     status: StatusCode,
     value: &impl Serialize,
 ) -> Result<Response<Body>, OperatorProblem> {
-    let json = serde_json::to_string(value).map_err(|_| internal("the answer is no JSON"))?;
+    let json = serde_json::to_string(value)
+        .map_err(|_| internal("the response could not be serialized"))?;
     Ok(text_response(status, "application/json", json))
 }
 
-fn text_response(status: StatusCode, kind: &'static str, text: String) -> Response<Body> {
+fn text_response(status: StatusCode, content_type: &'static str, text: String) -> Response<Body> {
     let mut response = Response::new(Body::from(text));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -1,19 +1,20 @@
-//! The HTTP face towards operators, and the messages that it shares with the operators' program.
+//! The HTTP interface for operators, and the messages that it shares with the command-line client.
 //!
-//! | call | what it does |
+//! | call | effect |
 //! |---|---|
-//! | `GET /v1/manifest` | the configuration in force with its version |
+//! | `GET /v1/manifest` | returns the configuration in force with its version |
 //! | `POST /v1/publish` | publishes a change ([`PublishCall`]) |
-//! | `GET /v1/status` | what every entry VM knows and does |
-//! | `PUT /v1/drain/vms/{name}`, `PUT /v1/drain/servers/{name}` | drains a VM or a backend server, or ends it |
-//! | `GET /v1/explain/{id}` | why a request went where it did |
-//! | `POST /v1/lift` | lifts the condemnation of a request |
-//! | `GET /metrics` | Prometheus text |
-//! | `GET /health` | whether the VM takes work; the only call without a token |
+//! | `GET /v1/status` | returns the status of every entry VM |
+//! | `PUT /v1/drain/vms/{name}`, `PUT /v1/drain/servers/{name}` | starts or ends the drain of a VM or a backend server |
+//! | `GET /v1/explain/{id}` | returns the steps that VMs recorded for a request |
+//! | `POST /v1/lift` | lifts the condemnation of a request ([`LiftCall`]) |
+//! | `GET /metrics` | returns metrics in Prometheus's text format |
+//! | `GET /health` | returns whether the VM accepts requests |
 //!
-//! All calls but the last need an operator's token; a tenant's credential opens none of them. Every
-//! failure is a problem document (RFC 9457) with the fields `reason` and `outcome`. What the calls
-//! do is behind [`OperatorHandler`], which the entry process implements. See docs/OPERATORS.md.
+//! All calls except `GET /health` require an operator's token, `GET /metrics` only unless
+//! [`OperatorSettings::open_metrics`] is set; customers' credentials are not accepted. Every
+//! failure is answered with a problem document (RFC 9457) with the fields `reason` and `outcome`.
+//! The entry process implements [`OperatorHandler`]. See docs/OPERATORS.md.
 //!
 //! ```no_run
 //! # use std::sync::Arc;
@@ -21,12 +22,12 @@
 //! # fn example(handler: Arc<dyn OperatorHandler>, auth: Arc<dyn OperatorAuth>) {
 //! let settings = OperatorSettings::default();
 //! let server = OperatorServer::start(&settings, handler, auth, None).expect("a free port");
-//! println!("operators call {}", server.address());
+//! println!("listening for operators at {}", server.address());
 //! # }
 //! ```
 
-mod face;
 mod handler;
+mod interface;
 mod message;
 mod problem;
 mod server;
--- a/operator/src/message.rs
+++ b/operator/src/message.rs
@@ -1,4 +1,4 @@
-//! The bodies of operators' calls and of their answers.
+//! The bodies of operators' calls and of the answers to them.
 
 use coltsfoothook_decision::check::{ManifestFault, check_manifest};
 use coltsfoothook_decision::delta::apply_delta;
@@ -9,80 +9,80 @@
 use coltsfoothook_decision::value;
 
 value! {
-    /// A change to be published.
+    /// The body of `POST /v1/publish`: a change of the configuration.
     pub struct PublishCall {
         /// The version that the change builds on.
         pub base: ConfigVersion,
-        /// Chosen by the publisher and the same when it is sent again, so that a repeat changes
-        /// nothing: 1 to 128 bytes, by the rules for names.
+        /// Chosen by the publisher and kept on retries, which makes the publication idempotent. 1
+        /// to 128 bytes; the rules for names apply.
         pub publish_id: String,
-        /// What changes.
+        /// A whole manifest or a delta to the base version.
         pub change: ConfigChange,
     }
 
-    /// What became of a publication.
+    /// The result of a publication.
     pub enum PublishAnswer {
-        /// It is in force as this version.
+        /// Accepted and in force as this version.
         Accepted(ConfigVersion),
-        /// It was accepted before, as this version; nothing changed.
+        /// A retry of a publication that was accepted earlier as this version; nothing changed.
         Repeated(ConfigVersion),
-        /// Another publication came first.
+        /// Another publication has replaced the base version; nothing changed.
         Stale {
             /// The version in force.
             in_force: ConfigVersion,
         },
-        /// The change has faults and is never in force.
+        /// The change has these faults and will not come into force.
         Rejected(Vec<ManifestFault>),
-        /// The log's answer was lost, and the publication was not found in the log in time. It may
-        /// still come into force; sending it again with the same id is safe.
+        /// The log did not confirm the append, and the publication was not read back from the log
+        /// in time. It may still come into force; a retry with the same id is safe.
         Unknown,
-        /// The log does not take it, so nothing changed.
+        /// The log did not accept the record; nothing changed.
         LogUnavailable,
-        /// This VM does not know the configuration in force, so it cannot judge the publication.
+        /// This VM does not know the configuration in force, so it cannot check the publication.
         NotReady,
     }
 
-    /// The body of the answer to a publication that was accepted, now or before.
+    /// The body of the answer to a publication that was accepted, by this call or an earlier one.
     #[derive(Copy, Eq)]
     pub struct PublishedAnswer {
-        /// The version it made.
+        /// The version that the publication created.
         pub version: ConfigVersion,
-        /// Whether it had been accepted before this call.
+        /// Whether an earlier call had published it.
         pub repeated: bool,
     }
 
-    /// The configuration in force.
+    /// The configuration in force, the body of the answer to `GET /v1/manifest`.
     pub struct ManifestAnswer {
-        /// Its version.
+        /// The version to build a change on.
         pub version: ConfigVersion,
         /// The manifest, in normal form.
         pub manifest: ServingManifest,
     }
 
-    /// What every entry VM knows and does.
+    /// The status of every entry VM, the body of the answer to `GET /v1/status`.
     pub struct FleetStatus {
-        /// The VM that answered the operator.
+        /// The VM that the operator called and that queried the others.
         pub asked: VmName,
-        /// All VMs that it knows of, sorted by name.
+        /// All VMs known to it, sorted by name.
         pub vms: Vec<VmStatus>,
     }
 
-    /// One VM's part in the status.
+    /// One VM's entry in [`FleetStatus`].
     pub struct VmStatus {
-        /// The VM.
+        /// The VM's name.
         pub vm: VmName,
-        /// What it says; none if it did not answer in time.
+        /// The VM's own report; `None` if it did not answer in time.
         pub reply: Option<StatusReply>,
     }
 
-    /// Begins or ends a drain.
+    /// The body of `PUT /v1/drain/...`.
     #[derive(Copy, Eq)]
     pub struct DrainCall {
-        /// Whether it drains from now on.
+        /// True starts the drain, false ends it.
         pub draining: bool,
     }
 
-    /// What may be drained.
+    /// The kind of thing to drain.
     #[derive(Copy, Eq)]
     pub enum DrainKind {
         /// An entry VM.
@@ -91,50 +91,52 @@
         Server,
     }
 
-    /// Lifts a condemnation.
+    /// The body of `POST /v1/lift`, which lifts a condemnation.
     #[derive(Eq)]
     pub struct LiftCall {
-        /// The fingerprint in hexadecimal, as the log and the caller's problem document give it.
+        /// The fingerprint as up to 16 hexadecimal digits, as in the log and in the caller's
+        /// problem document.
         pub fingerprint: String,
     }
 
-    /// What became of a record that an operator's call appends, other than a publication.
+    /// The result of a call that appends a record, other than a publication.
     #[derive(Copy, Eq)]
     pub enum WriteAnswer {
-        /// It stands in the log.
+        /// The record is in the log.
         Written,
-        /// The log's answer was lost and the record was not found in time; repeating is safe.
+        /// The log did not confirm the append, and the record was not read back in time. A retry is
+        /// safe.
         Unknown,
-        /// The log does not take it, so nothing changed.
+        /// The log did not accept the record; nothing changed.
         LogUnavailable,
-        /// The named thing is not known.
+        /// No VM, backend server or condemnation has the given name.
         UnknownName,
     }
 
-    /// The body of the answer to a call that appended a record.
+    /// The body of the answer to a call that appended a record other than a publication.
     #[derive(Copy, Eq)]
     pub struct WrittenAnswer {
-        /// Always true; failures are problem documents.
+        /// Always true; failures are answered with problem documents.
         pub written: bool,
     }
 
-    /// The steps of a request at every VM that remembers it.
+    /// The steps of a request, the body of the answer to `GET /v1/explain/{id}`.
     pub struct ExplainAnswer {
-        /// One reply for each such VM.
+        /// One reply for each VM that still has steps of the request recorded.
         pub replies: Vec<ExplainReply>,
     }
 
-    /// Whether a VM takes work.
+    /// The body of the answer to `GET /health`.
     pub struct HealthAnswer {
-        /// Whether it does.
+        /// Whether the VM accepts requests; false is answered with status 503.
         pub ready: bool,
-        /// Why not, or nothing.
+        /// Why the VM is not ready; empty if it is.
         pub reason: String,
     }
 }
 
-/// The faults of a publication that builds on `in_force`, so that one that would be rejected is
-/// refused before it is appended. The verdict is that of the fold.
+/// Returns the faults of a change to `in_force`, so that a faulty publication is refused before it
+/// is appended. The fold's verdict on the appended record is decisive.
 #[must_use]
 pub fn publish_faults(change: &ConfigChange, in_force: &VersionedManifest) -> Vec<ManifestFault> {
     match change {
--- a/operator/src/problem.rs
+++ b/operator/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem documents (RFC 9457) for operators, and the one table of reasons.
+//! Problem documents (RFC 9457) for operators, and the table of their reasons.
 
 use bytes::Bytes;
 use coltsfoothook_decision::check::ManifestFault;
@@ -11,46 +11,47 @@
 
 const PROBLEM_TYPE: &str = "application/problem+json";
 const TYPE_PREFIX: &str = "urn:coltsfoothook:problem:";
-const MILLIS_PER_SECOND: u64 = 1_000;
-/// The most faults in a document; the program that publishes finds all of them offline.
-const MOST_FAULTS: usize = 200;
+const MS_PER_SECOND: u64 = 1_000;
+/// The maximum number of faults in a document; the offline check of the command-line client lists
+/// all.
+const MAX_DOCUMENT_FAULTS: usize = 200;
 
 value! {
-    /// Why a call failed.
+    /// The reason why a call failed.
     #[derive(Copy, Eq)]
     pub enum ProblemReason {
-        /// The token is missing or not an operator's.
+        /// The token is missing or is not an operator's token.
         Unauthenticated,
-        /// The path, the headers or the body break the rules of the API.
+        /// The path, a header or the body is invalid.
         MalformedRequest,
-        /// The body is larger than the bound.
+        /// The body exceeds `OperatorSettings::body_bytes`.
         BodyTooLarge,
-        /// The body did not arrive in time.
+        /// The body did not arrive within `OperatorSettings::body_timeout_ms`.
         SlowSender,
-        /// There is nothing at this path.
+        /// No operation has this path.
         UnknownPath,
-        /// The path does not take this method.
+        /// The path exists but does not support this method.
         MethodNotAllowed,
-        /// The change builds on a version that is not in force any more.
+        /// The change builds on a version that is no longer in force.
         StaleBase,
-        /// The change has faults.
+        /// The change has faults, listed in the document.
         Rejected,
-        /// The platform's log does not take the record.
+        /// The platform's log did not accept the record; nothing changed.
         LogUnavailable,
-        /// The log's answer was lost and the record was not found in time.
+        /// The log did not confirm the append, and the record was not read back in time.
         AppendUnknown,
-        /// There is no VM or backend server of this name, or no such condemnation.
+        /// No VM or backend server has this name, or no request with this fingerprint is condemned.
         UnknownName,
-        /// No VM remembers the request.
+        /// No VM that answered has steps of the request recorded.
         UnknownRequest,
         /// This VM does not know the configuration in force.
         NotReady,
-        /// A fault of this VM.
+        /// An internal error of this VM.
         Internal,
     }
 }
 
-/// What the table says of a reason.
+/// The table's entry for a reason.
 struct ProblemRow {
     name: &'static str,
     status: StatusCode,
@@ -59,7 +60,7 @@
 }
 
 impl ProblemReason {
-    /// The reason's name in problem documents.
+    /// Returns the name in the fields `reason` and `type` of problem documents.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         self.row().name
@@ -112,23 +113,23 @@
     }
 }
 
-/// A failure to be told to an operator.
+/// A failure to report to an operator as a problem document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorProblem {
-    /// Why.
+    /// Selects name, status, title and outcome in the document.
     pub reason: ProblemReason,
-    /// The particulars, for a human.
+    /// The particulars of this failure, for people.
     pub detail: String,
-    /// When trying again may help, in milliseconds.
+    /// How long to wait before a retry, in milliseconds; `None` sends no such time.
     pub retry_after_ms: Option<u64>,
-    /// The version in force, for a stale base.
+    /// The version in force; set for [`ProblemReason::StaleBase`] only.
     pub in_force: Option<ConfigVersion>,
-    /// The faults of a change that was rejected.
+    /// The faults of the change; set for [`ProblemReason::Rejected`] only.
     pub faults: Vec<ManifestFault>,
 }
 
 impl OperatorProblem {
-    /// A problem without further particulars.
+    /// Creates a problem without a time to retry, version or faults.
     #[must_use]
     pub fn new(reason: ProblemReason, detail: impl Into<String>) -> Self {
         Self {
@@ -140,14 +141,14 @@
         }
     }
 
-    /// The same problem with a time to come back.
+    /// Sets how long to wait before a retry, in milliseconds.
     #[must_use]
     pub fn with_retry(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// The document that tells the problem.
+    /// Returns the problem document, with the first 200 faults at most.
     #[must_use]
     pub fn document(&self) -> ProblemDocument {
         let row = self.reason.row();
@@ -161,11 +162,11 @@
             retry_after_ms: self.retry_after_ms,
             in_force: self.in_force,
             fault_count: self.faults.len(),
-            faults: self.faults.iter().take(MOST_FAULTS).cloned().collect(),
+            faults: self.faults.iter().take(MAX_DOCUMENT_FAULTS).cloned().collect(),
         }
     }
 
-    /// The response that tells the problem.
+    /// Builds the response that carries the document, with `Retry-After` rounded up to seconds.
     pub(crate) fn response(&self) -> Response<Body> {
         let status = self.reason.row().status;
         let json = serde_json::to_vec(&self.document()).unwrap_or_default();
@@ -174,7 +175,7 @@
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(PROBLEM_TYPE));
         if let Some(millis) = self.retry_after_ms {
-            headers.insert(RETRY_AFTER, HeaderValue::from(millis.div_ceil(MILLIS_PER_SECOND)));
+            headers.insert(RETRY_AFTER, HeaderValue::from(millis.div_ceil(MS_PER_SECOND)));
         }
         if status == StatusCode::UNAUTHORIZED {
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
@@ -184,32 +185,31 @@
 }
 
 value! {
-    /// A problem document as it is sent.
+    /// The JSON of a problem document.
     pub struct ProblemDocument {
-        /// A URN that ends in the reason.
+        /// `urn:coltsfoothook:problem:` followed by the reason's name.
         #[serde(rename = "type")]
         pub kind: String,
-        /// A short description of the reason.
+        /// A short description of the reason, for people.
         pub title: String,
-        /// The HTTP status.
+        /// The status of the response.
         pub status: u16,
-        /// The particulars.
+        /// The particulars of this failure, for people.
         pub detail: String,
-        /// What became of the call: `not_run` means that nothing changed, `unknown` that something
-        /// may have.
+        /// The outcome of the call: `not_run` if nothing changed, `unknown` if something may have.
         pub outcome: RequestOutcome,
-        /// The reason's name.
+        /// The reason's name, for programs.
         pub reason: String,
-        /// When trying again may help.
+        /// How long to wait before a retry, in milliseconds; absent where none is advised.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub retry_after_ms: Option<u64>,
-        /// The version in force, for a stale base.
+        /// The version in force; present for the reason `stale_base` only.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub in_force: Option<ConfigVersion>,
-        /// How many faults a rejected change has.
+        /// The total number of faults of a rejected change, 0 for other reasons.
         #[serde(default)]
         pub fault_count: usize,
-        /// The first of these faults.
+        /// The first of these faults, 200 at most.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         pub faults: Vec<ManifestFault>,
     }
--- a/operator/src/server.rs
+++ b/operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server.
+//! The HTTP server for operators and its settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,24 +14,25 @@
 use serde::Deserialize;
 use snafu::Snafu;
 
-use crate::face::OperatorFace;
 use crate::handler::{OperatorAuth, OperatorHandler};
+use crate::interface::OperatorInterface;
 
 settings_struct! {
-    /// The operators' face.
+    /// The HTTP interface for operators.
     pub struct OperatorSettings {
-        /// Where operators connect.
+        /// The address to listen on for operators.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 8081));
-        /// The most bytes in a body; a manifest of 16,000 adapters has some 5 MB.
+        /// The maximum size of a body in bytes; a manifest of 16,000 adapters has some 5 MB.
         pub body_bytes: usize = 32 << 20, in 1_024..=256 << 20;
-        /// The longest time for a body to arrive, in milliseconds.
+        /// The timeout for a complete request body in milliseconds.
         pub body_timeout_ms: u64 = 30_000, in 100..=600_000;
-        /// Whether metrics are given without a token, for collectors that cannot send one.
+        /// Whether metrics are served without a token, for collectors that cannot send one.
         pub open_metrics: bool = false;
     }
 }
 
-/// One route takes all calls, so that a call to an unknown path gets a problem document too.
+/// The methods registered for the catch-all route, which makes calls to unknown paths get a problem
+/// document too.
 const METHODS: [Method; 7] = [
     Method::GET,
     Method::POST,
@@ -42,37 +43,37 @@
     Method::OPTIONS,
 ];
 
-/// The server did not start.
+/// The server could not be started.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The address could not be bound or the TLS settings are broken.
-    #[snafu(display("the operators' face did not start at {listen}: {reason}"))]
+    /// The address could not be bound, or the TLS settings are invalid.
+    #[snafu(display("cannot listen for operators at {listen}: {reason}"))]
     Listen {
-        /// Where it should listen.
+        /// The configured address.
         listen: SocketAddr,
-        /// The library's reason.
+        /// The error message of dropshot.
         reason: String,
     },
-    /// A route was refused.
-    #[snafu(display("the operators' face has a broken route: {reason}"))]
+    /// dropshot rejected the registration of the route.
+    #[snafu(display("invalid route of the operators' interface: {reason}"))]
     Route {
-        /// The library's reason.
+        /// The error message of dropshot.
         reason: String,
     },
 }
 
-/// The running operators' face.
+/// The running HTTP server for operators.
 pub struct OperatorServer {
-    server: HttpServer<Arc<OperatorFace>>,
+    server: HttpServer<Arc<OperatorInterface>>,
 }
 
 impl OperatorServer {
-    /// Starts to listen. Without `tls` it speaks plain HTTP; whether that is allowed is for the
-    /// settings of the process to say.
+    /// Starts the server. Without `tls` it serves plain HTTP; the process's settings decide whether
+    /// that is allowed.
     ///
     /// # Errors
     ///
-    /// The address is taken or not local.
+    /// The address is in use or not local, or the TLS settings are invalid.
     pub fn start(
         settings: &OperatorSettings,
         handler: Arc<dyn OperatorHandler>,
@@ -83,13 +84,14 @@
         let config = ConfigDropshot {
             bind_address: listen,
             default_request_body_max_bytes: settings.body_bytes,
-            // A publication goes on when its operator goes away: it may stand in the log already.
+            // A publication continues when its operator disconnects, since its record may already
+            // be in the log.
             default_handler_task_mode: HandlerTaskMode::Detached,
             ..Default::default()
         };
-        let face = Arc::new(OperatorFace { settings: settings.clone(), handler, auth });
+        let interface = Arc::new(OperatorInterface { settings: settings.clone(), handler, auth });
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let built = ServerBuilder::new(describe_api()?, face, log)
+        let built = ServerBuilder::new(describe_api()?, interface, log)
             .config(config)
             .tls(tls.map(ConfigTls::Dynamic))
             .start();
@@ -98,13 +100,13 @@
         Ok(Self { server })
     }
 
-    /// Where it listens.
+    /// Returns the bound address, with the actual port if port 0 was configured.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 
-    /// Stops taking connections and returns when the last running call has ended.
+    /// Stops accepting connections and returns when the last running call has ended.
     pub async fn close(self) {
         if let Err(reason) = self.server.close().await {
             event!(ProcessFailed, part = "operator", reason = reason);
@@ -112,7 +114,7 @@
     }
 }
 
-fn describe_api() -> Result<ApiDescription<Arc<OperatorFace>>, StartError> {
+fn describe_api() -> Result<ApiDescription<Arc<OperatorInterface>>, StartError> {
     let mut api = ApiDescription::new();
     for method in METHODS {
         let name = format!("operate_{}", method.as_str().to_ascii_lowercase());
@@ -125,17 +127,17 @@
     Ok(api)
 }
 
-/// The variable of the one route: the segments of the path, decoded.
+/// The parameter of the catch-all route: the decoded segments of the path.
 #[derive(Deserialize, JsonSchema)]
 struct AnyPath {
     path: Vec<String>,
 }
 
 async fn serve(
-    context: RequestContext<Arc<OperatorFace>>,
+    context: RequestContext<Arc<OperatorInterface>>,
     path: Path<AnyPath>,
     request: RawRequest,
 ) -> Result<Response<Body>, HttpError> {
-    let face = Arc::clone(context.context());
-    Ok(face.answer(&path.into_inner().path, request.into_inner()).await)
+    let interface = Arc::clone(context.context());
+    Ok(interface.answer(&path.into_inner().path, request.into_inner()).await)
 }
--- a/operator/tests/suite/bad_calls.rs
+++ b/operator/tests/suite/bad_calls.rs
@@ -1,11 +1,11 @@
-//! Strangers and malformed calls get a problem document, and nothing is done.
+//! Unauthenticated and invalid calls get a problem document and are not passed to the handler.
 
 use expect_test::expect;
 
 use crate::fake::start;
 
 #[tokio::test]
-async fn stranger_refused() {
+async fn unauthenticated_calls_refused() {
     let running = start();
     for (method, path) in [
         ("POST", "/v1/publish"),
@@ -19,14 +19,14 @@
         assert!(body.contains(r#""outcome":"not_run""#) && !body.contains("tenant-credential"));
     }
     assert_eq!(running.call("GET", "/health", "", "").await.0, 200);
-    assert!(running.handler.asked.lock().expect("a lock").is_empty());
+    assert!(running.handler.calls.lock().expect("a lock").is_empty());
     running.server.close().await;
 }
 
 #[tokio::test]
 async fn malformed_calls() {
     let running = start();
-    let mut told = String::new();
+    let mut outcomes = String::new();
     let large = "x".repeat(5_000);
     for (method, path, body) in [
         ("DELETE", "/v1/manifest", ""),
@@ -48,7 +48,7 @@
         ("PUT", "/v1/drain/vms/e1", "{}"),
         ("POST", "/v1/lift", r#"{"fingerprint": "xyz"}"#),
     ] {
-        told += &format!("{method} {path}: {}\n", running.outcome(method, path, body).await);
+        outcomes += &format!("{method} {path}: {}\n", running.outcome(method, path, body).await);
     }
     expect![[r#"
         DELETE /v1/manifest: 405 "method_not_allowed" "not_run": "this path takes GET"
@@ -61,15 +61,15 @@
         PUT /v1/drain/vms/a%40b: 400 "malformed_request" "not_run": "1 to 128 bytes, no white space, no control characters, none of @#/\\\"?%, not \".\" or \"..\""
         PUT /v1/drain/vms/e1: 400 "malformed_request" "not_run": "missing field `draining` at line 1 column 2"
         POST /v1/lift: 400 "malformed_request" "not_run": "fingerprint: it is not allowed; allowed: up to 16 hexadecimal digits"
-    "#]].assert_eq(&told);
-    assert!(running.handler.asked.lock().expect("a lock").is_empty());
+    "#]].assert_eq(&outcomes);
+    assert!(running.handler.calls.lock().expect("a lock").is_empty());
     running.server.close().await;
 }
 
 #[tokio::test]
 async fn other_calls() {
     let running = start();
-    let mut told = String::new();
+    let mut outcomes = String::new();
     for (method, path, body) in [
         ("GET", "/v1/manifest", ""),
         ("GET", "/v1/status", ""),
@@ -79,7 +79,7 @@
         ("POST", "/v1/lift", r#"{"fingerprint": "ff"}"#),
         ("GET", "/metrics", ""),
     ] {
-        told += &format!("{method} {path}: {}\n", running.outcome(method, path, body).await);
+        outcomes += &format!("{method} {path}: {}\n", running.outcome(method, path, body).await);
     }
     expect![[r#"
         GET /v1/manifest: 503 "not_ready" "not_run": "this VM does not know the configuration in force; ask another one"
@@ -90,7 +90,7 @@
         POST /v1/lift: 504 "append_unknown" "unknown": "the record may stand in the log; the same call again is safe"
         GET /metrics: 200 up 1
 
-    "#]].assert_eq(&told);
+    "#]].assert_eq(&outcomes);
     expect![[r#"
         [
             "drain Vm e1 true",
@@ -98,6 +98,6 @@
             "lift 255",
         ]
     "#]]
-    .assert_debug_eq(&*running.handler.asked.lock().expect("a lock"));
+    .assert_debug_eq(&*running.handler.calls.lock().expect("a lock"));
     running.server.close().await;
 }
--- a/operator/tests/suite/fake.rs
+++ b/operator/tests/suite/fake.rs
@@ -1,4 +1,4 @@
-//! A handler without a system behind it, and a client.
+//! A handler with scripted answers that records its calls, and a client.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -17,16 +17,16 @@
 
 pub const TOKEN: &str = "operator-token";
 
-/// Gives the answer it was told to, and keeps what it was asked.
+/// Answers publications with `answer`, and records calls that change something in `calls`.
 #[derive(Default)]
 pub struct FakeHandler {
     pub answer: Mutex<Option<PublishAnswer>>,
-    pub asked: Mutex<Vec<String>>,
+    pub calls: Mutex<Vec<String>>,
 }
 
 impl FakeHandler {
-    fn note(&self, call: String) {
-        self.asked.lock().expect("a lock").push(call);
+    fn record_call(&self, call: String) {
+        self.calls.lock().expect("a lock").push(call);
     }
 }
 
@@ -37,7 +37,7 @@
     }
 
     async fn publish(&self, call: PublishCall) -> PublishAnswer {
-        self.note(format!("publish {} on {}", call.publish_id, call.base));
+        self.record_call(format!("publish {} on {}", call.publish_id, call.base));
         let answer = self.answer.lock().expect("a lock").clone();
         answer.unwrap_or(PublishAnswer::NotReady)
     }
@@ -47,7 +47,7 @@
     }
 
     async fn drain(&self, kind: DrainKind, name: &str, draining: bool) -> WriteAnswer {
-        self.note(format!("drain {kind:?} {name} {draining}"));
+        self.record_call(format!("drain {kind:?} {name} {draining}"));
         if name == "gone" { WriteAnswer::UnknownName } else { WriteAnswer::Written }
     }
 
@@ -56,7 +56,7 @@
     }
 
     async fn lift(&self, fingerprint: RequestFingerprint) -> WriteAnswer {
-        self.note(format!("lift {fingerprint}"));
+        self.record_call(format!("lift {fingerprint}"));
         WriteAnswer::Unknown
     }
 
@@ -77,11 +77,13 @@
     }
 }
 
+/// A server on a free port with its handler.
 pub struct Running {
     pub server: OperatorServer,
     pub handler: Arc<FakeHandler>,
 }
 
+/// Starts a server that allows 4,096 bytes for a body and accepts [`TOKEN`] as the only token.
 pub fn start() -> Running {
     let handler = Arc::new(FakeHandler::default());
     let settings = OperatorSettings {
@@ -94,7 +96,7 @@
 }
 
 impl Running {
-    /// Sends a call and gives status, content type and body.
+    /// Sends a call and returns status, content type and body of the response.
     pub async fn call(
         &self,
         method: &str,
@@ -116,7 +118,8 @@
         (status, kind, String::from_utf8(body.to_vec()).expect("text"))
     }
 
-    /// Sends a call as an operator and gives the status, and of a problem its reason and outcome.
+    /// Sends a call with the operator's token. Returns the status with the body, or for a problem
+    /// document with its reason, outcome and detail.
     pub async fn outcome(&self, method: &str, path: &str, body: &str) -> String {
         let (status, kind, body) = self.call(method, path, TOKEN, body).await;
         if kind != "application/problem+json" {
--- a/operator/tests/suite/main.rs
+++ b/operator/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' face, one file a feature.
+//! Tests of the HTTP interface for operators against a handler with scripted answers.
 
 mod bad_calls;
 mod fake;
--- a/operator/tests/suite/publish_answers.rs
+++ b/operator/tests/suite/publish_answers.rs
@@ -1,4 +1,4 @@
-//! Each end of a publication has a status, a reason and an outcome of its own.
+//! The status, reason and outcome for each result of a publication.
 
 use coltsfoothook_decision::check::{FaultKind, ManifestFault};
 use coltsfoothook_decision::id::ConfigVersion;
@@ -8,7 +8,7 @@
 use crate::fake::start;
 
 #[tokio::test]
-async fn every_end() {
+async fn every_result() {
     let running = start();
     let fault = ManifestFault {
         path: "adapters[\"a\"].model".to_owned(),
@@ -16,7 +16,7 @@
         detail: "there is no model \"b\"".to_owned(),
         allowed: "the name of a model in the manifest".to_owned(),
     };
-    let mut told = String::new();
+    let mut outcomes = String::new();
     for answer in [
         PublishAnswer::Accepted(ConfigVersion(8)),
         PublishAnswer::Repeated(ConfigVersion(8)),
@@ -28,7 +28,7 @@
     ] {
         *running.handler.answer.lock().expect("a lock") = Some(answer);
         let body = r#"{"base": 7, "publish_id": "build-1", "change": {"delta": {}}}"#;
-        told += &format!("{}\n", running.outcome("POST", "/v1/publish", body).await);
+        outcomes += &format!("{}\n", running.outcome("POST", "/v1/publish", body).await);
     }
     expect![[r#"
         200 {"version":8,"repeated":false}
@@ -38,6 +38,6 @@
         504 "append_unknown" "unknown": "the record may stand in the log; the same call again is safe"
         503 "log_unavailable" "not_run": "the platform's log does not take the record; nothing changed"
         503 "not_ready" "not_run": "this VM does not know the configuration in force; ask another one"
-    "#]].assert_eq(&told);
+    "#]].assert_eq(&outcomes);
     running.server.close().await;
 }
