--- a/caller/tests/suite/bad_input.rs
+++ b/caller/tests/suite/bad_input.rs
@@ -54,7 +54,7 @@
         let answer = call(server.address(), "POST", "/v1/chat/completions", &body).await;
         assert_refused(&answer, 400, "malformed_request");
     }
-    assert_eq!(handler.begun.load(Ordering::SeqCst), 0);
+    assert_eq!(handler.started.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
@@ -81,7 +81,7 @@
         let text = request("POST", "/v1/completions", &format!("{header}\r\n"), body);
         assert_refused(&send(server.address(), &text).await, status, reason);
     }
-    assert_eq!(handler.begun.load(Ordering::SeqCst), 0);
+    assert_eq!(handler.started.load(Ordering::SeqCst), 0);
 }
 
 #[tokio::test]
--- a/caller/tests/suite/caller_gone.rs
+++ b/caller/tests/suite/caller_disconnect.rs
@@ -19,7 +19,7 @@
     let mut stream = TcpStream::connect(server.address()).await.expect("connect");
     let text = request("POST", "/v1/completions", "", BODY);
     stream.write_all(text.as_bytes()).await.expect("write");
-    wait_for_count(&handler.begun, 1).await;
+    wait_for_count(&handler.started, 1).await;
     drop(stream);
     wait_for_count(&handler.dropped, 1).await;
 }
--- a/caller/tests/suite/fake.rs
+++ b/caller/tests/suite/fake.rs
@@ -32,7 +32,7 @@
     pub(crate) completions: Mutex<Vec<CompletionCall>>,
     pub(crate) services: Mutex<Vec<ServiceCall>>,
     pub(crate) jobs: Mutex<Vec<JobCall>>,
-    pub(crate) begun: AtomicUsize,
+    pub(crate) started: AtomicUsize,
     pub(crate) dropped: Arc<AtomicUsize>,
     next: AtomicU64,
 }
@@ -98,7 +98,7 @@
 
     async fn complete(&self, call: CompletionCall) -> Result<CompletionAnswer, CallProblem> {
         self.completions.lock().expect("lock").push(call);
-        self.begun.fetch_add(1, Ordering::SeqCst);
+        self.started.fetch_add(1, Ordering::SeqCst);
         let script = self.script.lock().expect("lock").take();
         let answer = |content_type: &str, body| CompletionAnswer {
             status: StatusCode::OK,
--- a/caller/tests/suite/graceful_close.rs
+++ b/caller/tests/suite/graceful_close.rs
@@ -23,7 +23,7 @@
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(text.as_bytes()).await.expect("write");
     chunks.send(Ok(Bytes::from_static(b"data: 1\n\n"))).expect("send");
-    wait_for_count(&handler.begun, 1).await;
+    wait_for_count(&handler.started, 1).await;
     let mut closing = tokio::spawn(server.close());
     let ended = tokio::time::timeout(Duration::from_millis(600), &mut closing).await;
     assert!(ended.is_err(), "closing waits for the stream");
--- a/caller/tests/suite/main.rs
+++ b/caller/tests/suite/main.rs
@@ -4,10 +4,10 @@
 mod fake;
 
 mod bad_input;
-mod caller_gone;
-mod cut_stream;
+mod caller_disconnect;
 mod good_calls;
 mod graceful_close;
 mod problem_table;
 mod slow_sender;
 mod tls_listener;
+mod truncated_stream;
--- a/caller/tests/suite/problem_table.rs
+++ b/caller/tests/suite/problem_table.rs
@@ -112,7 +112,7 @@
 }
 
 /// `Retry-After` is rounded up to whole seconds. Rounded down, it would make clients retry too
-/// early and be refused retryable.
+/// early and be refused again.
 #[tokio::test]
 async fn refusal_has_retry_after() {
     let problem = CallProblem::refused(RefusalReason::TenantLimit, 1_200, "120 requests a second");
--- a/caller/tests/suite/slow_sender.rs
+++ b/caller/tests/suite/slow_sender.rs
@@ -40,7 +40,7 @@
         (problem["reason"].as_str(), problem["outcome"].as_str()),
         (Some("slow_sender"), Some("not_run"))
     );
-    assert_eq!(handler.begun.load(Ordering::SeqCst), 0);
+    assert_eq!(handler.started.load(Ordering::SeqCst), 0);
 }
 
 /// Connections with an incomplete head are closed after the timeout. Connections beyond the limit
--- a/operator/tests/suite/fake.rs
+++ b/operator/tests/suite/fake.rs
@@ -17,7 +17,8 @@
 
 pub const TOKEN: &str = "operator-token";
 
-/// Answers publications with `answer`, and records calls that change something in `calls`.
+/// Answers publications with `answer`, or `NotReady` if it is not set. Records publications, drains
+/// and lifts in `calls`.
 #[derive(Default)]
 pub struct FakeHandler {
     pub answer: Mutex<Option<PublishAnswer>>,
