--- a/caller/tests/suite/main.rs
+++ b/caller/tests/suite/main.rs
@@ -1,14 +1,14 @@
-//! Tests of the callers' face against a handler that answers as each test asks.
+//! Tests of the HTTP interface for callers against a handler with scripted answers.
 
 mod client;
 mod fake;
 
 mod bad_input;
-mod caller_gone;
-mod cut_stream;
+mod caller_disconnect;
 mod encoded_names;
 mod good_calls;
 mod graceful_close;
 mod problem_table;
 mod slow_sender;
-mod tls_face;
+mod tls_listener;
+mod truncated_stream;
