--- a/engine/src/client.rs
+++ b/engine/src/client.rs
@@ -1,4 +1,4 @@
-//! What the system asks of a model engine.
+//! The engine interface: orders, queries and runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 use crate::error::{OrderError, RunError};
 use crate::wire::{CacheEventPage, KvExport, LoadOrder, RoleOrder, UnloadOrder};
 
-/// Speaks to model engines.
+/// Client interface of a model engine. Every call names the engine by its address.
 #[async_trait]
 pub trait EngineClient: Send + Sync {
-    /// Loads an adapter version under a slot name; returns when the engine says that it is loaded.
+    /// Loads an adapter version under a slot name and returns once the engine reports it as loaded.
     async fn load(&self, address: SocketAddr, order: &LoadOrder) -> Result<(), OrderError>;
 
-    /// Unloads a slot. A slot that is not there counts as unloaded.
+    /// Unloads a slot. Succeeds if the slot does not exist.
     async fn unload(&self, address: SocketAddr, order: &UnloadOrder) -> Result<(), OrderError>;
 
-    /// Changes the engine's role.
+    /// Sets which part of generation the engine runs; see [`EngineRole`](crate::EngineRole).
     async fn role(&self, address: SocketAddr, order: &RoleOrder) -> Result<(), OrderError>;
 
-    /// What the engine says of itself; it may lag behind.
+    /// Reads the engine's load report, which may lag behind its actual state.
     async fn report(&self, address: SocketAddr) -> Result<EngineReport, OrderError>;
 
-    /// Runs a request, at most once. Returns with the head of the answer.
+    /// Sends a request at most once and returns when the response head has arrived.
     async fn run(&self, address: SocketAddr, call: RunCall) -> Result<RunAnswer, RunError>;
 
-    /// Reads a stream again from the token `from` on.
+    /// Resumes the stream of run `id` at token number `from`.
     async fn resume(
         &self,
         address: SocketAddr,
@@ -39,13 +39,13 @@
         from: u32,
     ) -> Result<RunAnswer, RunError>;
 
-    /// Stops a run. One that is over or unknown counts as stopped.
+    /// Cancels a run. Succeeds if the run has ended or is unknown.
     async fn cancel(&self, address: SocketAddr, id: &RequestId) -> Result<(), OrderError>;
 
-    /// Takes the KV cache of a run out.
+    /// Reads the KV cache of run `id` for import into another engine.
     async fn export_kv(&self, address: SocketAddr, id: &RequestId) -> Result<KvExport, OrderError>;
 
-    /// Puts a KV cache in, for a run with the same id to start from.
+    /// Stores a KV cache from which a run with the same id will start.
     async fn import_kv(
         &self,
         address: SocketAddr,
@@ -53,7 +53,7 @@
         kv: &KvExport,
     ) -> Result<(), OrderError>;
 
-    /// Changes of the prefix cache from number `from` on; late and with gaps.
+    /// Reads prefix cache events from number `from` on. Events may be late, and some may be missing.
     async fn cache_events(
         &self,
         address: SocketAddr,
@@ -61,18 +61,18 @@
     ) -> Result<CacheEventPage, OrderError>;
 }
 
-/// The kinds of orders, for logs and metrics.
+/// Kind of an order, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineOrder {
-    /// Load a slot.
+    /// Loads an adapter version into a slot.
     Load,
-    /// Unload a slot.
+    /// Removes a slot's adapter.
     Unload,
-    /// Change the role.
+    /// Changes the engine's role.
     Role,
 }
 
-/// Which call of the OpenAI-compatible interface runs.
+/// Endpoint of the engine's OpenAI-compatible API.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RunPath {
     /// `/v1/completions`.
@@ -83,7 +83,7 @@
 }
 
 impl RunPath {
-    /// The path.
+    /// Returns the endpoint's URL path.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -93,30 +93,30 @@
     }
 }
 
-/// A request to run.
+/// Parameters of one run.
 #[derive(Clone, Debug, Default)]
 pub struct RunCall {
-    /// Which call.
+    /// Endpoint that the body is posted to.
     pub path: RunPath,
-    /// The JSON body with `model` set to the slot's name and with the engine's `priority`.
+    /// JSON body in which `model` is the slot's name and `priority` is set for the engine.
     pub body: Bytes,
-    /// The request's id, by which its stream is resumed and cancelled.
+    /// Id under which the run can be resumed and cancelled.
     pub id: RequestId,
-    /// The caller's key, passed on for the engine's own account.
+    /// The caller's idempotency key, forwarded to the engine; `None` sends no such header.
     pub key: Option<IdempotencyKey>,
-    /// Whether it may run more than once; one that may not gets a connection of its own.
+    /// Whether the request may run more than once. If not, it is sent on a new connection.
     pub repeatable: bool,
-    /// How long to wait for the head of the answer; none means the setting.
+    /// Timeout for the response head; `None` applies the configured `head_ms`.
     pub within: Option<Duration>,
 }
 
-/// An answer whose body is still to be read.
+/// Successful response whose body has not been read yet.
 #[derive(Debug)]
 pub struct RunAnswer {
-    /// The status, a success.
+    /// A 2xx status.
     pub status: StatusCode,
-    /// The content type; `text/event-stream` for a stream.
+    /// Value of `Content-Type`: `text/event-stream` for a stream, `application/json` if absent.
     pub content_type: String,
-    /// The body. An error in it means that the answer was cut; see [`RunError::from`].
+    /// Response body. Convert an error while reading it with [`RunError::from`].
     pub body: AnswerBody,
 }
--- a/engine/src/error.rs
+++ b/engine/src/error.rs
@@ -1,65 +1,65 @@
-//! How runs and orders fail.
+//! Errors of runs and orders.
 
 use coltsfoothook_exchange::{ExchangeError, ExchangeStage};
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Why a run has no whole answer, by the stage that was reached.
+/// Failure of a run, by the stage that it reached.
 #[derive(Clone, Debug, Snafu, PartialEq, Eq)]
 pub enum RunError {
-    /// No byte was sent: it did not run.
+    /// No byte was sent: the request did not run.
     #[snafu(display("not sent: {cause}"))]
     NotSent {
-        /// For logs.
+        /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// The engine does not know the slot: it did not run.
+    /// The engine has no such slot: the request did not run.
     #[snafu(display("slot not loaded"))]
     SlotMissing,
-    /// The engine refused it before it ran.
+    /// The engine refused the request before running it.
     #[snafu(display("refused with {status}: {reason}"))]
     Refused {
-        /// The status.
+        /// A client error status or 503.
         status: StatusCode,
-        /// The engine's words, cut to a bound.
+        /// The engine's error message, truncated.
         reason: String,
     },
-    /// The engine began and says that it failed.
+    /// The engine returned a server error: the request may have run in part.
     #[snafu(display("failed with {status}: {reason}"))]
     Failed {
-        /// The status.
+        /// A status that is neither a client error nor 503.
         status: StatusCode,
-        /// The engine's words, cut to a bound.
+        /// The engine's error message, truncated.
         reason: String,
     },
-    /// It was sent and no answer came: whether it ran is unknown.
+    /// The request was sent but no response arrived: whether it ran is unknown.
     #[snafu(display("sent, no answer: {cause}"))]
     Sent {
-        /// For logs.
+        /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// The answer began and was cut.
+    /// The response ended before its end was received.
     #[snafu(display("answer cut: {cause}"))]
     Broken {
-        /// For logs.
+        /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// A stage outlasted its time.
+    /// A stage exceeded its timeout.
     #[snafu(display("timed out at {stage:?}"))]
     Timeout {
-        /// Which stage. At [`ExchangeStage::Connect`] it did not run.
+        /// Stage that timed out. At [`ExchangeStage::Connect`] the request did not run.
         stage: ExchangeStage,
     },
-    /// The answer is longer than its bound.
+    /// The response body exceeds the size limit.
     #[snafu(display("answer longer than {limit} bytes"))]
     TooLarge {
-        /// The bound in bytes.
+        /// The limit in bytes.
         limit: usize,
     },
 }
 
 impl RunError {
-    /// Whether the request certainly did not run.
+    /// Returns whether the request is known not to have run, so that a retry cannot run it twice.
     #[must_use]
     pub fn certainly_not_run(&self) -> bool {
         matches!(
@@ -84,48 +84,48 @@
     }
 }
 
-/// Why an order or a question has no good answer.
+/// Failure of an order or a query.
 #[derive(Clone, Debug, Snafu, PartialEq, Eq)]
 pub enum OrderError {
-    /// The engine did not see it.
+    /// The engine did not receive the order.
     #[snafu(display("not sent: {cause}"))]
     OrderNotSent {
-        /// For logs.
+        /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// The engine may have seen it, or may yet carry it out: the effect is unknown.
+    /// The engine may have executed the order or may still execute it.
     #[snafu(display("effect unknown: {cause}"))]
     EffectUnknown {
-        /// For logs.
+        /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// The engine has seen a higher fencing number; the sender is no longer the owner.
+    /// The engine has received a higher fencing number: the sender is no longer the owner.
     #[snafu(display("stale fencing number"))]
     StaleFencing,
-    /// No slot is free; nothing was loaded.
+    /// The engine has no free slot; nothing was loaded.
     #[snafu(display("all slots are in use"))]
     SlotsFull,
-    /// The engine tried to load and says that it failed.
+    /// The engine reported that loading the adapter failed.
     #[snafu(display("load failed: {reason}"))]
     LoadFailed {
-        /// The engine's words, cut to a bound.
+        /// The engine's error message, truncated.
         reason: String,
     },
-    /// What the order names is not there.
+    /// The slot, run or endpoint that the call names does not exist.
     #[snafu(display("not found"))]
     NotFound,
-    /// The engine refuses it; nothing was done.
+    /// The engine refused the order without executing it.
     #[snafu(display("refused with {status}: {reason}"))]
     OrderRefused {
-        /// The status.
+        /// A client error status or 503.
         status: StatusCode,
-        /// The engine's words, cut to a bound.
+        /// The engine's error message, truncated.
         reason: String,
     },
-    /// The answer is not one of an engine.
+    /// The response body could not be decoded.
     #[snafu(display("answer not understood: {cause}"))]
     BadAnswer {
-        /// For logs.
+        /// The decoder's error, for logs.
         cause: String,
     },
 }
--- a/engine/src/http_engine.rs
+++ b/engine/src/http_engine.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP.
+//! [`EngineClient`] over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,14 +19,15 @@
 use crate::error::{OrderError, RunError};
 use crate::wire::{CacheEventPage, KvExport, LoadOrder, RoleOrder, UnloadOrder};
 
-/// Carries the request's id.
+/// Header of a run that carries the request's id.
 pub const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
-/// Carries the fencing number of an order.
+/// Header of an order that carries its fencing number, the sender's owner epoch.
 pub const FENCING_HEADER: HeaderName = HeaderName::from_static("x-fencing-number");
 const IDEMPOTENCY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The bound on an error's body and on the reason taken from it.
+/// Maximum size of an error body that is parsed; a longer one leaves only the status.
 const ERROR_BODY_BYTES: usize = 16 * 1024;
+/// Maximum length of an error message taken from a body, in characters.
 const REASON_CHARS: usize = 400;
 
 const CODE_SLOTS_FULL: &str = "slots_full";
@@ -36,18 +37,18 @@
 settings_struct! {
     /// Settings of [`HttpEngine`].
     pub struct EngineSettings {
-        /// How long a load may take until its effect is held to be unknown, in milliseconds.
+        /// Timeout of an adapter load in milliseconds; after it, whether the load takes effect is unknown.
         pub load_ms: u64 = 15_000, in 1..=3_600_000;
-        /// The same for other orders and questions.
+        /// Timeout of other orders and of queries in milliseconds.
         pub answer_ms: u64 = 1_000, in 1..=600_000;
-        /// The longest report, page or KV export that is read, in bytes.
+        /// Maximum size of a load report, page of cache events or KV export in bytes; a longer one is an error.
         pub max_answer_bytes: usize = 8 * 1024 * 1024, in 1_024..=1_073_741_824;
-        /// Connections, and times of runs.
+        /// Connections, and timeouts of runs.
         pub exchange: ExchangeSettings = ExchangeSettings { connect_ms: 500, head_ms: 120_000, ..Default::default() };
     }
 }
 
-/// The client; its connections are shared by all engines' calls.
+/// [`EngineClient`] over HTTP, with one connection pool for all engines.
 pub struct HttpEngine {
     settings: EngineSettings,
     client: ExchangeClient,
@@ -79,50 +80,50 @@
 struct ErrorDetail {
     #[serde(default)]
     message: String,
-    /// Text here, but a number at some engines.
+    /// An error code as text; some engines send a number instead, which is ignored.
     #[serde(default)]
     code: serde_json::Value,
 }
 
 impl HttpEngine {
-    /// A client without connections yet.
+    /// Creates a client; connections are opened on first use.
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         let client = ExchangeClient::new(settings.exchange.clone());
         Self { settings, client }
     }
 
-    async fn order(
+    async fn send_order(
         &self,
         address: SocketAddr,
         path: &str,
         body: &impl Serialize,
         fencing: OwnerEpoch,
-        within_ms: u64,
+        timeout_ms: u64,
     ) -> Result<(), OrderError> {
         let mut request = ExchangeRequest::post_json(path, json(body)?);
         request.headers.insert(FENCING_HEADER, HeaderValue::from(fencing.0));
-        self.ask(address, request, within_ms).await.map(drop)
+        self.request_body(address, request, timeout_ms).await.map(drop)
     }
 
-    async fn question<T: DeserializeOwned>(
+    async fn query<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: String,
     ) -> Result<T, OrderError> {
         let request = ExchangeRequest::get(path);
-        let body = self.ask(address, request, self.settings.answer_ms).await?;
+        let body = self.request_body(address, request, self.settings.answer_ms).await?;
         serde_json::from_slice(&body)
             .map_err(|error| OrderError::BadAnswer { cause: error.to_string() })
     }
 
-    async fn ask(
+    async fn request_body(
         &self,
         address: SocketAddr,
         mut request: ExchangeRequest,
-        within_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Bytes, OrderError> {
-        request.head_within = Some(Duration::from_millis(within_ms));
+        request.head_within = Some(Duration::from_millis(timeout_ms));
         let answer = self.client.send(address, request).await?;
         if !answer.status.is_success() {
             return Err(order_error(answer).await);
@@ -135,25 +136,26 @@
 impl EngineClient for HttpEngine {
     async fn load(&self, address: SocketAddr, order: &LoadOrder) -> Result<(), OrderError> {
         let body = LoadBody { lora_name: order.slot.as_str(), lora_path: &order.weights };
-        let within_ms = self.settings.load_ms;
-        self.order(address, "/v1/load_lora_adapter", &body, order.fencing, within_ms).await
+        let timeout_ms = self.settings.load_ms;
+        self.send_order(address, "/v1/load_lora_adapter", &body, order.fencing, timeout_ms).await
     }
 
     async fn unload(&self, address: SocketAddr, order: &UnloadOrder) -> Result<(), OrderError> {
         let body = UnloadBody { lora_name: order.slot.as_str() };
-        let within_ms = self.settings.answer_ms;
-        absent_is_done(
-            self.order(address, "/v1/unload_lora_adapter", &body, order.fencing, within_ms).await,
+        let timeout_ms = self.settings.answer_ms;
+        ignore_not_found(
+            self.send_order(address, "/v1/unload_lora_adapter", &body, order.fencing, timeout_ms)
+                .await,
         )
     }
 
     async fn role(&self, address: SocketAddr, order: &RoleOrder) -> Result<(), OrderError> {
         let body = RoleBody { role: order.role };
-        self.order(address, "/v1/role", &body, order.fencing, self.settings.answer_ms).await
+        self.send_order(address, "/v1/role", &body, order.fencing, self.settings.answer_ms).await
     }
 
     async fn report(&self, address: SocketAddr) -> Result<EngineReport, OrderError> {
-        self.question(address, "/v1/load_report".to_owned()).await
+        self.query(address, "/v1/load_report".to_owned()).await
     }
 
     async fn run(&self, address: SocketAddr, call: RunCall) -> Result<RunAnswer, RunError> {
@@ -165,9 +167,9 @@
         }
         request.fresh = !call.repeatable;
         request.head_within = call.within;
-        let result = run_answer(self.client.send(address, request).await?).await;
+        let result = run_response(self.client.send(address, request).await?).await;
         match result {
-            // The only thing that a run names is its slot.
+            // A run refers to no resource but its slot, so 404 means that the slot is missing.
             Err(RunError::Refused { status: StatusCode::NOT_FOUND, .. }) => {
                 Err(RunError::SlotMissing)
             }
@@ -183,7 +185,7 @@
     ) -> Result<RunAnswer, RunError> {
         let request =
             ExchangeRequest::get(format!("/v1/streams/{}?from={from}", path_segment(id.as_str())?));
-        run_answer(self.client.send(address, request).await?).await
+        run_response(self.client.send(address, request).await?).await
     }
 
     async fn cancel(&self, address: SocketAddr, id: &RequestId) -> Result<(), OrderError> {
@@ -191,11 +193,13 @@
             Method::DELETE,
             format!("/v1/streams/{}", path_segment(id.as_str())?),
         );
-        absent_is_done(self.ask(address, request, self.settings.answer_ms).await.map(drop))
+        ignore_not_found(
+            self.request_body(address, request, self.settings.answer_ms).await.map(drop),
+        )
     }
 
     async fn export_kv(&self, address: SocketAddr, id: &RequestId) -> Result<KvExport, OrderError> {
-        self.question(address, format!("/v1/kv/{}", path_segment(id.as_str())?)).await
+        self.query(address, format!("/v1/kv/{}", path_segment(id.as_str())?)).await
     }
 
     async fn import_kv(
@@ -207,7 +211,7 @@
         let mut request =
             ExchangeRequest::post_json(format!("/v1/kv/{}", path_segment(id.as_str())?), json(kv)?);
         request.method = Method::PUT;
-        self.ask(address, request, self.settings.answer_ms).await.map(drop)
+        self.request_body(address, request, self.settings.answer_ms).await.map(drop)
     }
 
     async fn cache_events(
@@ -215,7 +219,7 @@
         address: SocketAddr,
         from: u64,
     ) -> Result<CacheEventPage, OrderError> {
-        self.question(address, format!("/v1/cache_events?from={from}")).await
+        self.query(address, format!("/v1/cache_events?from={from}")).await
     }
 }
 
@@ -227,16 +231,16 @@
     HeaderValue::from_str(text).map_err(|error| RunError::NotSent { cause: error.to_string() })
 }
 
-/// An unload or a cancellation asks for an end state, so its absence is a success. Without this a
-/// lost answer, sent again, would look like a failure.
-fn absent_is_done(result: Result<(), OrderError>) -> Result<(), OrderError> {
+/// Treats `NotFound` as success for unload and cancel, which are idempotent: a retry after a lost
+/// response finds the slot or run already removed.
+fn ignore_not_found(result: Result<(), OrderError>) -> Result<(), OrderError> {
     match result {
         Err(OrderError::NotFound) => Ok(()),
         other => other,
     }
 }
 
-async fn run_answer(answer: ExchangeAnswer) -> Result<RunAnswer, RunError> {
+async fn run_response(answer: ExchangeAnswer) -> Result<RunAnswer, RunError> {
     if !answer.status.is_success() {
         return Err(run_error(answer).await);
     }
@@ -244,8 +248,8 @@
     Ok(RunAnswer { status: answer.status, content_type, body: answer.body })
 }
 
-/// A client error or "unavailable" is stated before a run begins; any other server error may come
-/// from the middle of one.
+/// Maps an error response of a run. Engines return client errors and 503 only before they begin a run;
+/// any other status may follow a partial run.
 async fn run_error(answer: ExchangeAnswer) -> RunError {
     let status = answer.status;
     let detail = match error_detail(answer).await {
@@ -282,7 +286,7 @@
 async fn error_detail(answer: ExchangeAnswer) -> Result<ErrorDetail, ExchangeError> {
     let body = match answer.body.collect(ERROR_BODY_BYTES).await {
         Ok(body) => body,
-        // The status alone says enough; only the reason is lost.
+        // The status is enough to classify the error; only the message is lost.
         Err(ExchangeError::TooLarge { .. }) => Bytes::new(),
         Err(error) => return Err(error),
     };
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of model engines: runs, orders, reports, streams and KV cache.
 //!
-//! [`RunError`] tells at which stage a run failed, since "not run" may be said only of a request
-//! whose bytes never reached the engine or which the engine refused. [`OrderError`] does the same
-//! for orders, whose effect an owner must not guess.
+//! [`RunError`] states the stage at which a run failed: a request is known not to have run only if no
+//! byte of it was sent or the engine refused it. [`OrderError`] likewise separates orders that had no
+//! effect from those whose effect is unknown.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), coltsfoothook_engine::RunError> {
--- a/engine/src/wire.rs
+++ b/engine/src/wire.rs
@@ -1,87 +1,87 @@
-//! What is sent to an engine and read from it, besides completions.
+//! Messages exchanged with an engine, except for completions.
 
 use coltsfoothook_decision::id::{OwnerEpoch, SlotName};
 use coltsfoothook_decision::value;
 
 value! {
-    /// Loads an adapter version.
+    /// Order to load an adapter version.
     #[derive(Eq)]
     pub struct LoadOrder {
-        /// The name under which the engine is to know it.
+        /// Model name under which runs will address the adapter version.
         pub slot: SlotName,
-        /// Where the weights are.
+        /// Location of the weights, sent to the engine as `lora_path`.
         pub weights: String,
-        /// The fencing number.
+        /// Epoch of the owner that sends the order; the engine refuses one lower than it has received.
         pub fencing: OwnerEpoch,
     }
 
-    /// Unloads a slot.
+    /// Order to unload a slot.
     #[derive(Eq)]
     pub struct UnloadOrder {
-        /// The slot.
+        /// Name given in the [`LoadOrder`].
         pub slot: SlotName,
-        /// The fencing number.
+        /// Epoch of the owner that sends the order; the engine refuses one lower than it has received.
         pub fencing: OwnerEpoch,
     }
 
-    /// Changes an engine's role.
+    /// Order to change an engine's role.
     #[derive(Copy, Eq)]
     pub struct RoleOrder {
-        /// The new role.
+        /// Role from now on.
         pub role: EngineRole,
-        /// The fencing number.
+        /// Epoch of the owner that sends the order; the engine refuses one lower than it has received.
         pub fencing: OwnerEpoch,
     }
 
-    /// What part of the work an engine takes.
+    /// Part of a run that an engine executes.
     #[derive(Copy, Eq, Default)]
     pub enum EngineRole {
-        /// Prompts and generation.
+        /// Both prefill and decode.
         #[default]
         Mixed,
-        /// Prompts alone; the KV cache is then exported.
+        /// Prompt processing only; the KV cache is then exported.
         Prefill,
-        /// Generation alone, from an imported KV cache.
+        /// Token generation only, from an imported KV cache.
         Decode,
     }
 
-    /// The KV cache of a run, as far as another engine must know it.
+    /// Description of a run's KV cache for the engine that continues the run.
     #[derive(Eq)]
     pub struct KvExport {
-        /// The weights that it belongs to; no other adapter may continue from it.
+        /// Weights that produced the cache; only a run on the same weights may continue from it.
         pub weights: String,
-        /// A hash of the prompt.
+        /// Hash of the prompt that the cache covers.
         pub prompt_hash: u64,
-        /// Tokens generated so far.
+        /// Number of tokens generated so far.
         pub tokens: u32,
     }
 
-    /// Changes of an engine's prefix cache.
+    /// Page of changes to an engine's prefix cache.
     #[derive(Eq)]
     pub struct CacheEventPage {
-        /// The events in order of their numbers; numbers that are missing were lost.
+        /// Events in ascending order of number; a gap means that events were lost.
         pub events: Vec<CacheEvent>,
-        /// From where to read on.
+        /// Number from which to read the next page.
         pub next: u64,
     }
 
-    /// A change of an engine's prefix cache.
+    /// Change to an engine's prefix cache.
     #[derive(Copy, Eq)]
     pub struct CacheEvent {
-        /// Its number.
+        /// Position in the engine's sequence of events.
         pub number: u64,
-        /// What happened.
+        /// Whether the prefix was stored or evicted.
         pub kind: CacheEventKind,
-        /// A hash of the prefix.
+        /// Hash of the prefix.
         pub prefix: u64,
     }
 
-    /// What happened to a prefix.
+    /// Kind of a prefix cache change.
     #[derive(Copy, Eq)]
     pub enum CacheEventKind {
-        /// It is cached from now on.
+        /// The prefix was added to the cache.
         Stored,
-        /// It made room for another.
+        /// The prefix was removed from the cache to free space.
         Evicted,
     }
 }
--- a/service/src/client.rs
+++ b/service/src/client.rs
@@ -1,4 +1,4 @@
-//! Passes calls on to a plain service.
+//! Forwards calls to a plain service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use http::{HeaderMap, HeaderName, Method, StatusCode, header};
 use snafu::Snafu;
 
-/// Headers that belong to one connection and are not passed on (RFC 9110, section 7.6.1), those that
-/// the exchange sets itself, and `Expect`, which the whole body that follows at once makes void.
+/// Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1), headers that the
+/// exchange sets itself, and `Expect`, which has no use because the body is sent with the headers.
 const HOP_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -26,17 +26,17 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// Not in the list of registered names, but still sent by old clients.
+/// Hop-by-hop header of HTTP/1.0 clients, for which the `http` crate has no constant.
 const KEEP_ALIVE: &str = "keep-alive";
 
-/// Calls plain services.
+/// Client interface of plain services.
 #[async_trait]
 pub trait ServiceClient: Send + Sync {
     /// Sends `call` at most once.
     ///
     /// # Errors
     ///
-    /// See [`ServiceError`]. An answer with an error status is an answer.
+    /// See [`ServiceError`]. A response with an error status is not an error.
     async fn call(
         &self,
         address: SocketAddr,
@@ -44,26 +44,26 @@
     ) -> Result<ServiceAnswer, ServiceError>;
 }
 
-/// A call.
+/// HTTP request to a service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// The method.
+    /// HTTP method, forwarded as is.
     pub method: Method,
-    /// Path and query at the service.
+    /// Path and query, sent unchanged.
     pub path: String,
-    /// Headers; those of a single connection are left out on the way.
+    /// Request headers; hop-by-hop headers are removed before sending.
     pub headers: HeaderMap,
-    /// The body.
+    /// Complete request body; may be empty.
     pub body: Bytes,
-    /// Whether it may run more than once. One that may not gets a connection of its own, since on a
-    /// kept one that died meanwhile its outcome would be unknown.
+    /// Whether the call may run more than once. If not, it is sent on a new connection: if a reused
+    /// connection had been closed by the service, it would be unknown whether the call ran.
     pub repeatable: bool,
-    /// How long to wait for the head of the answer; none means the setting.
+    /// Timeout for the response head; `None` applies the configured `head_ms`.
     pub within: Option<Duration>,
 }
 
 impl ServiceCall {
-    /// A repeatable `GET`.
+    /// Returns a repeatable `GET` without headers or body.
     #[must_use]
     pub fn get(path: &str) -> Self {
         Self {
@@ -77,54 +77,54 @@
     }
 }
 
-/// An answer whose body is still to be read.
+/// Response whose body has not been read yet.
 #[derive(Debug)]
 pub struct ServiceAnswer {
-    /// The status.
+    /// Any status, also that of an error.
     pub status: StatusCode,
-    /// The headers, without those of the connection.
+    /// Response headers without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body. An error in it means that the answer was cut; see [`ServiceError::from`].
+    /// Response body. Convert an error while reading it with [`ServiceError::from`].
     pub body: AnswerBody,
 }
 
-/// Why there is no answer, by the stage that was reached.
+/// Failure of a call, by the stage that it reached.
 #[derive(Clone, Debug, Snafu, PartialEq, Eq)]
 pub enum ServiceError {
-    /// No byte was sent: it did not run.
+    /// No byte was sent: the call did not run.
     #[snafu(display("not sent: {cause}"))]
     NotSent {
-        /// For logs.
+        /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// It was sent and no answer came: whether it ran is unknown.
+    /// The call was sent but no response arrived: whether it ran is unknown.
     #[snafu(display("sent, no answer: {cause}"))]
     Sent {
-        /// For logs.
+        /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// It ran, at least in part, and the answer was cut.
+    /// The call ran, at least in part, and the response ended before its end was received.
     #[snafu(display("answer cut: {cause}"))]
     Broken {
-        /// For logs.
+        /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// A stage outlasted its time.
+    /// A stage exceeded its timeout.
     #[snafu(display("timed out at {stage:?}"))]
     Timeout {
-        /// Which stage. At [`ExchangeStage::Connect`] it did not run.
+        /// Stage that timed out. At [`ExchangeStage::Connect`] the call did not run.
         stage: ExchangeStage,
     },
-    /// The answer is longer than its bound.
+    /// The response body exceeds the size limit.
     #[snafu(display("answer longer than {limit} bytes"))]
     TooLarge {
-        /// The bound in bytes.
+        /// The limit in bytes.
         limit: usize,
     },
 }
 
 impl ServiceError {
-    /// Whether the call certainly did not run.
+    /// Returns whether the call is known not to have run, so that a retry cannot run it twice.
     #[must_use]
     pub fn certainly_not_run(&self) -> bool {
         matches!(self, Self::NotSent { .. } | Self::Timeout { stage: ExchangeStage::Connect })
@@ -146,18 +146,18 @@
 settings_struct! {
     /// Settings of [`HttpService`].
     pub struct ServiceSettings {
-        /// Connections and times.
+        /// Connections and timeouts.
         pub exchange: ExchangeSettings = ExchangeSettings::default();
     }
 }
 
-/// Plain services over HTTP.
+/// [`ServiceClient`] over HTTP, with one connection pool for all services.
 pub struct HttpService {
     client: ExchangeClient,
 }
 
 impl HttpService {
-    /// A client without connections yet.
+    /// Creates a client; connections are opened on first use.
     #[must_use]
     pub fn new(settings: ServiceSettings) -> Self {
         Self { client: ExchangeClient::new(settings.exchange) }
@@ -174,28 +174,28 @@
         let request = ExchangeRequest {
             method: call.method,
             path: call.path,
-            headers: end_to_end(call.headers),
+            headers: without_hop_headers(call.headers),
             body: call.body,
             fresh: !call.repeatable,
             head_within: call.within,
             piece_within: None,
         };
         let answer = self.client.send(address, request).await?;
-        let headers = end_to_end(answer.headers);
+        let headers = without_hop_headers(answer.headers);
         Ok(ServiceAnswer { status: answer.status, headers, body: answer.body })
     }
 }
 
-/// Leaves out the headers of one connection, also those that `Connection` names.
-fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+/// Removes hop-by-hop headers, including those listed in `Connection`.
+fn without_hop_headers(mut headers: HeaderMap) -> HeaderMap {
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in HOP_HEADERS.iter().chain(&named) {
+    for name in HOP_HEADERS.iter().chain(&listed) {
         headers.remove(name);
     }
     headers.remove(KEEP_ALIVE);
--- a/service/src/lib.rs
+++ b/service/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of plain services.
 //!
-//! A call is passed on with its method, path, headers and body. Some calls may not be repeated, so
-//! [`ServiceError`] tells at which stage a call failed, and [`HttpService`] sends each at most once.
+//! A call is forwarded with its method, path, headers and body. Some calls must not be repeated, so
+//! [`HttpService`] sends each at most once, and [`ServiceError`] states the stage at which a call failed.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), coltsfoothook_service::ServiceError> {
