--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! A parsed file, and where things stand in it.
+//! A parsed settings file with the position of each key.
 
 use std::fmt;
 
@@ -6,28 +6,29 @@
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 
-/// Keys that name an entry of a list, so that it can be found as `adapters["x"]`.
-const NAMING_KEYS: [&str; 5] = ["name", "version", "class", "region", "id"];
+/// Keys whose value identifies an entry of a list, as in `adapters["x"]`; the first one that an entry
+/// has is used.
+const NAME_KEYS: [&str; 5] = ["name", "version", "class", "region", "id"];
 
-/// A place in a file, both counted from 1; the column counts characters.
+/// Index in a file. Line and column start at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct FaultPlace {
-    /// The line.
+pub struct FilePosition {
+    /// Line number.
     pub line: usize,
-    /// The column.
+    /// Column in characters, not bytes.
     pub column: usize,
 }
 
-/// A fault with its place in a file.
+/// Fault in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocatedFault {
-    /// Where the offending key stands, or the nearest thing around a key that is missing.
-    pub place: FaultPlace,
-    /// The path of the key, such as `intake.body_bytes`; empty for the file as a whole.
+    /// Index of the offending key, or of the innermost existing parent of a missing key.
+    pub place: FilePosition,
+    /// Path of the key, such as `intake.body_bytes`; empty for a fault of the whole file.
     pub path: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub problem: String,
-    /// What is allowed; empty where the problem says it.
+    /// Allowed values; empty if `problem` states them.
     pub allowed: String,
 }
 
@@ -41,23 +42,23 @@
         if self.allowed.is_empty() {
             return Ok(());
         }
-        let joint = if self.problem.ends_with('?') { " " } else { "; " };
-        write!(f, "{joint}allowed: {}", self.allowed)
+        let separator = if self.problem.ends_with('?') { " " } else { "; " };
+        write!(f, "{separator}allowed: {}", self.allowed)
     }
 }
 
-/// A step of a path.
+/// Step of a path into a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PathStep {
-    /// Into an object, by key.
+    /// Property of an object.
     Key(String),
-    /// Into a list, by position.
-    Position(usize),
-    /// Into a list, by the name of an entry or by the text itself.
+    /// List entry by index.
+    Index(usize),
+    /// List entry by the value of its name key, or by its own value if it is a string.
     Name(String),
 }
 
-/// A parsed file with comments, which knows where each key stands.
+/// Parsed JSON with comments that keeps the position of each key.
 pub struct SettingsDocument<'a> {
     text: &'a str,
     root: Value<'a>,
@@ -68,8 +69,8 @@
     ///
     /// # Errors
     ///
-    /// If the text is no such JSON or is nested too deeply, with the place; if a key stands twice
-    /// in an object, with the place of each repeat.
+    /// Returns the position of a syntax error, which includes too deep nesting, or the position of each
+    /// duplicate key in an object.
     pub fn parse(text: &'a str) -> Result<Self, Vec<LocatedFault>> {
         let options = ParseOptions {
             allow_comments: true,
@@ -85,32 +86,33 @@
         };
         let parsed = parse_to_ast(text, &CollectOptions::default(), &options);
         let parsed = parsed.map_err(|error| {
-            let place = place_of(text, error.range().start);
-            vec![whole_fault(place, format!("syntax error: {}", error.kind()))]
+            let place = position_at(text, error.range().start);
+            vec![file_fault(place, format!("syntax error: {}", error.kind()))]
         })?;
         let Some(root) = parsed.value else {
-            return Err(vec![whole_fault(place_of(text, 0), "the file is empty".to_owned())]);
+            return Err(vec![file_fault(position_at(text, 0), "the file is empty".to_owned())]);
         };
         let document = Self { text, root };
-        let mut repeats = Vec::new();
-        document.find_repeats(&document.root, "", &mut repeats);
-        if repeats.is_empty() { Ok(document) } else { Err(repeats) }
+        let mut duplicates = Vec::new();
+        document.find_duplicates(&document.root, "", &mut duplicates);
+        if duplicates.is_empty() { Ok(document) } else { Err(duplicates) }
     }
 
-    /// The document without comments and places.
+    /// Converts the document to a JSON value without comments and positions.
     #[must_use]
     pub fn to_json(&self) -> serde_json::Value {
-        plain_value(&self.root)
+        json_value(&self.root)
     }
 
-    /// Where the thing at `path` stands: `servers[2].address`, `adapters["x"].versions["7"]`. For
-    /// something that is missing, the place of the innermost thing around it.
+    /// Returns the position of the value at `path`, such as `servers[2].address` or
+    /// `adapters["x"].versions["7"]`, its key included. For a missing value, returns the position of its
+    /// innermost existing parent.
     #[must_use]
-    pub fn locate(&self, path: &str) -> FaultPlace {
+    pub fn locate(&self, path: &str) -> FilePosition {
         self.locate_steps(&parse_path(path))
     }
 
-    pub(crate) fn locate_steps(&self, steps: &[PathStep]) -> FaultPlace {
+    pub(crate) fn locate_steps(&self, steps: &[PathStep]) -> FilePosition {
         let mut value = &self.root;
         let mut start = value.start();
         for step in steps {
@@ -118,28 +120,33 @@
             value = next;
             start = next_start;
         }
-        place_of(self.text, start)
+        position_at(self.text, start)
     }
 
-    fn find_repeats(&self, value: &Value<'_>, path: &str, repeats: &mut Vec<LocatedFault>) {
+    fn find_duplicates(&self, value: &Value<'_>, path: &str, duplicates: &mut Vec<LocatedFault>) {
         match value {
             Value::Object(object) => {
-                self.object_repeats(object, path, repeats);
+                self.object_duplicates(object, path, duplicates);
                 for property in &object.properties {
                     let inner = join_path(path, property.name.as_str());
-                    self.find_repeats(&property.value, &inner, repeats);
+                    self.find_duplicates(&property.value, &inner, duplicates);
                 }
             }
             Value::Array(array) => {
                 for (at, element) in array.elements.iter().enumerate() {
-                    self.find_repeats(element, &format!("{path}[{at}]"), repeats);
+                    self.find_duplicates(element, &format!("{path}[{at}]"), duplicates);
                 }
             }
             _ => {}
         }
     }
 
-    fn object_repeats(&self, object: &Object<'_>, path: &str, repeats: &mut Vec<LocatedFault>) {
+    fn object_duplicates(
+        &self,
+        object: &Object<'_>,
+        path: &str,
+        duplicates: &mut Vec<LocatedFault>,
+    ) {
         let mut properties: Vec<&ObjectProp<'_>> = object.properties.iter().collect();
         properties.sort_by(|a, b| {
             a.name.as_str().cmp(b.name.as_str()).then(a.range.start.cmp(&b.range.start))
@@ -148,11 +155,11 @@
             if pair[0].name.as_str() != pair[1].name.as_str() {
                 continue;
             }
-            let first = place_of(self.text, pair[0].range.start);
-            repeats.push(LocatedFault {
-                place: place_of(self.text, pair[1].range.start),
+            let first = position_at(self.text, pair[0].range.start);
+            duplicates.push(LocatedFault {
+                place: position_at(self.text, pair[1].range.start),
                 path: join_path(path, pair[1].name.as_str()),
-                problem: format!("the key stands in line {} already", first.line),
+                problem: format!("duplicate key, already set in line {}", first.line),
                 allowed: "each key once".to_owned(),
             });
         }
@@ -163,33 +170,34 @@
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
 
-fn whole_fault(place: FaultPlace, problem: String) -> LocatedFault {
+fn file_fault(place: FilePosition, problem: String) -> LocatedFault {
     LocatedFault { place, path: String::new(), problem, allowed: String::new() }
 }
 
-/// The place of a byte of `text`.
-fn place_of(text: &str, offset: usize) -> FaultPlace {
+/// Converts a byte offset in `text` to a position.
+fn position_at(text: &str, offset: usize) -> FilePosition {
     let before = text.get(..offset.min(text.len())).unwrap_or(text);
     let line_start = before.rfind('\n').map_or(0, |at| at + 1);
-    FaultPlace {
+    FilePosition {
         line: before.matches('\n').count() + 1,
         column: before[line_start..].chars().count() + 1,
     }
 }
 
-/// Goes one step down, and tells where the thing reached starts, its key included.
+/// Follows one step. Returns the value reached and its start offset, which is that of its key if it
+/// has one.
 fn descend<'v, 'a>(value: &'v Value<'a>, step: &PathStep) -> Option<(&'v Value<'a>, usize)> {
     match (value, step) {
         (Value::Object(object), PathStep::Key(key) | PathStep::Name(key)) => {
             let property = object.get(key)?;
             Some((&property.value, property.range.start))
         }
-        (Value::Array(array), PathStep::Position(at)) => {
+        (Value::Array(array), PathStep::Index(at)) => {
             let element = array.elements.get(*at)?;
             Some((element, element.start()))
         }
         (Value::Array(array), PathStep::Name(name)) => {
-            // The last one, since a fault about a repeated name concerns the repeat.
+            // The last match, because a fault about a duplicate name concerns the later entry.
             let element = array.elements.iter().rfind(|element| is_named(element, name))?;
             Some((element, element.start()))
         }
@@ -199,17 +207,17 @@
 
 fn is_named(element: &Value<'_>, name: &str) -> bool {
     if let Value::Object(object) = element {
-        let naming = NAMING_KEYS.iter().find_map(|key| object.get(key));
-        return naming.is_some_and(|property| text_of(&property.value) == Some(name));
+        let naming = NAME_KEYS.iter().find_map(|key| object.get(key));
+        return naming.is_some_and(|property| string_value(&property.value) == Some(name));
     }
-    text_of(element) == Some(name)
+    string_value(element) == Some(name)
 }
 
-fn text_of<'v>(value: &'v Value<'_>) -> Option<&'v str> {
+fn string_value<'v>(value: &'v Value<'_>) -> Option<&'v str> {
     value.as_string_lit().map(|literal| literal.value.as_ref())
 }
 
-/// Splits `a.b[2]["c.d"].e` into steps. A part that cannot be read ends the path.
+/// Splits `a.b[2]["c.d"].e` into steps. Stops at the first part that is malformed.
 pub(crate) fn parse_path(path: &str) -> Vec<PathStep> {
     let mut steps = Vec::new();
     let mut rest = path;
@@ -220,7 +228,7 @@
         } else if let Some(inner) = rest.strip_prefix('[') {
             let Some((digits, next)) = inner.split_once(']') else { break };
             let Ok(at) = digits.parse() else { break };
-            (PathStep::Position(at), next)
+            (PathStep::Index(at), next)
         } else {
             let bare = rest.strip_prefix('.').unwrap_or(rest);
             let end = bare.find(['.', '[']).unwrap_or(bare.len());
@@ -235,34 +243,35 @@
     steps
 }
 
-/// Reads a name up to `"]`, with the escapes of Rust's debug format.
+/// Reads a name up to `"]` and returns it with the text that follows. A backslash is dropped and the
+/// character after it is taken literally, which undoes the `\"` and `\\` of Rust's debug format.
 fn quoted_name(text: &str) -> Option<(String, &str)> {
     let mut name = String::new();
-    let mut letters = text.char_indices();
-    while let Some((at, letter)) = letters.next() {
-        match letter {
+    let mut chars = text.char_indices();
+    while let Some((at, char)) = chars.next() {
+        match char {
             '"' => return text[at + 1..].strip_prefix(']').map(|rest| (name, rest)),
-            '\\' => name.push(letters.next()?.1),
+            '\\' => name.push(chars.next()?.1),
             other => name.push(other),
         }
     }
     None
 }
 
-fn plain_value(value: &Value<'_>) -> serde_json::Value {
+fn json_value(value: &Value<'_>) -> serde_json::Value {
     match value {
         Value::NullKeyword(_) => serde_json::Value::Null,
         Value::BooleanLit(literal) => literal.value.into(),
         Value::StringLit(literal) => literal.value.as_ref().into(),
         Value::NumberLit(literal) => {
-            // A number that JSON cannot hold, such as 1e999, is left to fail as text.
+            // A number out of range, such as 1e999, becomes a string, which the type check rejects.
             let number = literal.value.parse::<serde_json::Number>();
             number.map_or_else(|_| literal.value.into(), serde_json::Value::Number)
         }
-        Value::Array(array) => array.elements.iter().map(plain_value).collect(),
+        Value::Array(array) => array.elements.iter().map(json_value).collect(),
         Value::Object(object) => {
             let pairs = object.properties.iter();
-            pairs.map(|pair| (pair.name.as_str().to_owned(), plain_value(&pair.value))).collect()
+            pairs.map(|pair| (pair.name.as_str().to_owned(), json_value(&pair.value))).collect()
         }
     }
 }
--- a/settings/src/load.rs
+++ b/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! From a file to checked settings.
+//! Reading and validation of settings files.
 
 use std::fs::File;
 use std::io::Read;
@@ -13,37 +13,38 @@
 use crate::hint::nearest_name;
 use crate::value::SettingsFault;
 
-/// The most bytes in a settings file.
-pub const DEFAULT_FILE_BYTES: u64 = 1 << 20;
+/// Maximum size of a settings file in bytes.
+pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 const SOCKET_ADDRESS: &str = "an IP number and a port, such as 127.0.0.1:8080";
 
-/// The most passes over a document. Each tells a fault of shape or takes out what one leaves behind.
-const MOST_PASSES: usize = 128;
+/// Maximum number of decoding passes over a document. Each pass finds at most one fault and removes the
+/// part of the document that caused it.
+const MAX_PASSES: usize = 128;
 
-/// Settings that can tell what is wrong with their values.
+/// Settings whose values can be validated. Implemented by `settings_struct!`.
 pub trait CheckedSettings {
-    /// Every value outside its range, with the path of its key.
+    /// Returns all invalid values: out of range, missing though required, or refused by a rule.
     fn check(&self) -> Vec<SettingsFault>;
 }
 
-/// Why settings were refused.
+/// Failure to load settings.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// The file cannot be read, is too large or is not UTF-8.
     #[snafu(display("{}: cannot read the file: {source}", file.display()))]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// The file has faults; the message has one line for each.
+    /// The content is faulty. The message has one line per fault.
     #[snafu(display("{}", fault_lines(file, faults)))]
     Faulty {
-        /// The file.
+        /// Path of the file, or the name passed to [`parse_settings`].
         file: PathBuf,
-        /// The faults.
+        /// All faults found, ordered by position; not empty.
         faults: Vec<LocatedFault>,
     },
 }
@@ -53,83 +54,83 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// If the file cannot be read or is larger than [`DEFAULT_FILE_BYTES`], and every fault in it.
+/// Fails if the file cannot be read, is larger than [`MAX_FILE_BYTES`] or has faults, and lists all
+/// of them.
 pub fn load_settings<T>(path: &Path) -> Result<T, SettingsError>
 where
     T: DeserializeOwned + CheckedSettings,
 {
-    let text = read_text(path, DEFAULT_FILE_BYTES).context(UnreadableSnafu { file: path })?;
+    let text = read_text(path, MAX_FILE_BYTES).context(UnreadableSnafu { file: path })?;
     parse_settings(path, &text)
 }
 
-/// Checks settings that stand in `text`; `file` only names them in errors.
+/// Parses and validates settings from `text`; `file` is used only in error messages.
 ///
 /// # Errors
 ///
-/// Every fault in the text.
+/// Returns all faults in the text.
 pub fn parse_settings<T>(file: impl AsRef<Path>, text: &str) -> Result<T, SettingsError>
 where
     T: DeserializeOwned + CheckedSettings,
 {
-    let outcome = SettingsDocument::parse(text).and_then(|document| checked(&document));
+    let outcome = SettingsDocument::parse(text).and_then(|document| decode_and_validate(&document));
     outcome.map_err(|faults| SettingsError::Faulty { file: file.as_ref().to_owned(), faults })
 }
 
-/// Reads a document of any type, without a check of its values. Faults of its shape (unknown keys,
-/// wrong types) are told all at once.
+/// Decodes a document of any type without validating its values.
 ///
 /// # Errors
 ///
-/// Every fault of its shape.
+/// Returns all unknown keys, missing fields and wrong types.
 pub fn parse_document<T: DeserializeOwned>(
     document: &SettingsDocument<'_>,
 ) -> Result<T, Vec<LocatedFault>> {
-    let shape = read_shape(document);
-    match shape.value {
-        Some(value) if shape.faults.is_empty() => Ok(value),
+    let decoded = decode(document);
+    match decoded.value {
+        Some(value) if decoded.faults.is_empty() => Ok(value),
         _ => {
-            let mut faults = shape.faults;
+            let mut faults = decoded.faults;
             faults.sort_by_key(|fault| fault.place);
             Err(faults)
         }
     }
 }
 
-/// Reads a text file of at most `most_bytes` bytes.
+/// Reads a text file of at most `max_bytes` bytes.
 ///
 /// # Errors
 ///
-/// If it cannot be read, is larger or is no UTF-8 text.
-pub fn read_text(path: &Path, most_bytes: u64) -> std::io::Result<String> {
+/// Fails if the file cannot be read, is larger or is not UTF-8.
+pub fn read_text(path: &Path, max_bytes: u64) -> std::io::Result<String> {
     let mut text = String::new();
     let file = File::open(path)?;
-    file.take(most_bytes.saturating_add(1)).read_to_string(&mut text)?;
-    if text.len() as u64 > most_bytes {
-        let message = format!("it has more than {most_bytes} bytes");
+    file.take(max_bytes.saturating_add(1)).read_to_string(&mut text)?;
+    if text.len() as u64 > max_bytes {
+        let message = format!("the file is larger than {max_bytes} bytes");
         return Err(std::io::Error::new(std::io::ErrorKind::InvalidData, message));
     }
     Ok(text)
 }
 
-fn checked<T>(document: &SettingsDocument<'_>) -> Result<T, Vec<LocatedFault>>
+fn decode_and_validate<T>(document: &SettingsDocument<'_>) -> Result<T, Vec<LocatedFault>>
 where
     T: DeserializeOwned + CheckedSettings,
 {
-    let shape = read_shape::<T>(document);
-    let mut faults = shape.faults;
-    let Some(value) = shape.value else {
+    let decoded = decode::<T>(document);
+    let mut faults = decoded.faults;
+    let Some(value) = decoded.value else {
         faults.sort_by_key(|fault| fault.place);
         return Err(faults);
     };
     for fault in value.check() {
-        let steps = shape.gaps.in_file(&parse_path(&fault.path));
+        let steps = decoded.removed_entries.path_in_file(&parse_path(&fault.path));
         let path = path_text(&steps);
-        // What was taken out stands at its default now and is told already.
-        if faults.iter().any(|told| told.path == path) {
+        // A removed value has its default here, and its fault has been recorded by the decoder.
+        if faults.iter().any(|known| known.path == path) {
             continue;
         }
         let place = document.locate_steps(&steps);
@@ -139,23 +140,24 @@
     if faults.is_empty() { Ok(value) } else { Err(faults) }
 }
 
-/// What could be read of a document, and what stood in the way.
-struct DocumentShape<T> {
+/// Result of decoding a document with faults.
+struct Decoded<T> {
+    /// The value without the faulty parts; `None` if it could not be decoded even without them.
     value: Option<T>,
     faults: Vec<LocatedFault>,
-    gaps: ListGaps,
+    removed_entries: RemovedEntries,
 }
 
-/// Reads a document; what cannot be read is told, taken out and the rest read again, since serde
-/// stops at the first error and an operator wants all of them.
-fn read_shape<T: DeserializeOwned>(document: &SettingsDocument<'_>) -> DocumentShape<T> {
+/// Decodes a document and collects all its faults. Serde stops at the first error, so the part that
+/// caused it is removed and the rest decoded again.
+fn decode<T: DeserializeOwned>(document: &SettingsDocument<'_>) -> Decoded<T> {
     let mut json = document.to_json();
     let mut faults: Vec<LocatedFault> = Vec::new();
-    let mut gaps = ListGaps::default();
-    let mut taken_out: Vec<Vec<PathStep>> = Vec::new();
-    for _ in 0..MOST_PASSES {
+    let mut removed_entries = RemovedEntries::default();
+    let mut removed_paths: Vec<Vec<PathStep>> = Vec::new();
+    for _ in 0..MAX_PASSES {
         let error = match serde_path_to_error::deserialize::<_, T>(&json) {
-            Ok(value) => return DocumentShape { value: Some(value), faults, gaps },
+            Ok(value) => return Decoded { value: Some(value), faults, removed_entries },
             Err(error) => error,
         };
         let mut steps = steps_of(error.path());
@@ -163,44 +165,45 @@
         if let Some(missing) = quoted_after(&message, "missing field `") {
             steps.push(PathStep::Key(missing.to_owned()));
         }
-        let places = gaps.in_file(&steps);
-        let consequence = taken_out.contains(&places);
-        if !consequence {
-            faults.push(shape_fault(document, &places, &message));
+        let file_steps = removed_entries.path_in_file(&steps);
+        let already_removed = removed_paths.contains(&file_steps);
+        if !already_removed {
+            faults.push(decode_fault(document, &file_steps, &message));
         }
-        // A key that is missing takes what it is missing from with it, or the pass would end there.
-        let missing = consequence || quoted_after(&message, "missing field `").is_some();
-        let cut = if missing { steps.len().saturating_sub(1) } else { steps.len() };
-        let Some(gone) = take_out(&mut json, &steps[..cut], &mut gaps) else { break };
-        taken_out.push(gone);
+        // A missing key cannot be removed, so the object that lacks it is removed instead. The same applies
+        // to a required key that an earlier pass removed.
+        let missing = already_removed || quoted_after(&message, "missing field `").is_some();
+        let depth = if missing { steps.len().saturating_sub(1) } else { steps.len() };
+        let Some(path) = remove_at(&mut json, &steps[..depth], &mut removed_entries) else { break };
+        removed_paths.push(path);
     }
-    DocumentShape { value: None, faults, gaps }
+    Decoded { value: None, faults, removed_entries }
 }
 
-/// Entries that were taken out of lists, so that later positions can be told as in the file.
+/// Entries that were removed from lists; they map an index in the remaining document to the file's.
 #[derive(Default)]
-struct ListGaps {
-    /// Paths of taken entries, in terms of the file, sorted.
+struct RemovedEntries {
+    /// Paths in the file, sorted.
     entries: Vec<Vec<PathStep>>,
 }
 
-impl ListGaps {
-    /// Turns a path in what is left of the document into one in the file.
-    fn in_file(&self, steps: &[PathStep]) -> Vec<PathStep> {
+impl RemovedEntries {
+    /// Converts a path in the remaining document to a path in the file.
+    fn path_in_file(&self, steps: &[PathStep]) -> Vec<PathStep> {
         let mut path: Vec<PathStep> = Vec::with_capacity(steps.len());
         for step in steps {
-            let PathStep::Position(at) = step else {
+            let PathStep::Index(at) = step else {
                 path.push(step.clone());
                 continue;
             };
-            let mut position = *at;
+            let mut index = *at;
             for entry in &self.entries {
-                let Some((PathStep::Position(gone), list)) = entry.split_last() else { continue };
-                if list == path && *gone <= position {
-                    position += 1;
+                let Some((PathStep::Index(removed), list)) = entry.split_last() else { continue };
+                if list == path && *removed <= index {
+                    index += 1;
                 }
             }
-            path.push(PathStep::Position(position));
+            path.push(PathStep::Index(index));
         }
         path
     }
@@ -213,7 +216,7 @@
 
 fn steps_of(path: &serde_path_to_error::Path) -> Vec<PathStep> {
     let step = |segment: &Segment| match segment {
-        Segment::Seq { index } => Some(PathStep::Position(*index)),
+        Segment::Seq { index } => Some(PathStep::Index(*index)),
         Segment::Map { key } => Some(PathStep::Key(key.clone())),
         Segment::Enum { variant } => Some(PathStep::Key(variant.clone())),
         Segment::Unknown => None,
@@ -221,8 +224,12 @@
     path.iter().filter_map(step).collect()
 }
 
-fn shape_fault(document: &SettingsDocument<'_>, steps: &[PathStep], message: &str) -> LocatedFault {
-    let (problem, allowed) = told_plainly(message);
+fn decode_fault(
+    document: &SettingsDocument<'_>,
+    steps: &[PathStep],
+    message: &str,
+) -> LocatedFault {
+    let (problem, allowed) = describe_error(message);
     LocatedFault { place: document.locate_steps(steps), path: path_text(steps), problem, allowed }
 }
 
@@ -232,15 +239,15 @@
         match step {
             PathStep::Key(key) if path.is_empty() => path.push_str(key),
             PathStep::Key(key) => path.push_str(&format!(".{key}")),
-            PathStep::Position(at) => path.push_str(&format!("[{at}]")),
+            PathStep::Index(at) => path.push_str(&format!("[{at}]")),
             PathStep::Name(name) => path.push_str(&format!("[{name:?}]")),
         }
     }
     path
 }
 
-/// Turns serde's message into the problem and what is allowed, with a hint for a mistyped name.
-fn told_plainly(message: &str) -> (String, String) {
+/// Converts serde's message to a problem and the allowed values, with a suggestion for a mistyped name.
+fn describe_error(message: &str) -> (String, String) {
     for (start, what) in [("unknown field `", "key"), ("unknown variant `", "value")] {
         let Some(given) = quoted_after(message, start) else { continue };
         let allowed = message.split_once("expected ").map_or("", |(_, names)| names);
@@ -271,9 +278,9 @@
     (message.to_owned(), allowed.to_owned())
 }
 
-/// What serde expected, in the words of the reference.
+/// Converts the type that serde expected to the wording of the settings reference.
 fn expected_type(expected: &str) -> String {
-    let most = match expected {
+    let max = match expected {
         "u8" => u64::from(u8::MAX),
         "u16" => u64::from(u16::MAX),
         "u32" => u64::from(u32::MAX),
@@ -284,32 +291,37 @@
         "a boolean" => return "true or false".to_owned(),
         other => return other.strip_prefix("struct ").map_or(other, |_| "an object").to_owned(),
     };
-    format!("a whole number from 0 to {most}")
+    format!("a whole number from 0 to {max}")
 }
 
 fn quoted_after<'a>(message: &'a str, start: &str) -> Option<&'a str> {
     message.strip_prefix(start)?.split('`').next()
 }
 
-/// Takes the key or entry at `steps` out of the document and gives its path in the file.
-fn take_out(json: &mut Value, steps: &[PathStep], gaps: &mut ListGaps) -> Option<Vec<PathStep>> {
+/// Removes the key or entry at `steps` from the document and returns its path in the file, or `None` if
+/// there is nothing to remove.
+fn remove_at(
+    json: &mut Value,
+    steps: &[PathStep],
+    removed_entries: &mut RemovedEntries,
+) -> Option<Vec<PathStep>> {
     let (last, outer) = steps.split_last()?;
     let mut inner = json;
     for step in outer {
         inner = match step {
             PathStep::Key(key) | PathStep::Name(key) => inner.get_mut(key.as_str())?,
-            PathStep::Position(at) => inner.get_mut(*at)?,
+            PathStep::Index(at) => inner.get_mut(*at)?,
         };
     }
-    let path = gaps.in_file(steps);
+    let path = removed_entries.path_in_file(steps);
     match last {
         PathStep::Key(key) | PathStep::Name(key) => {
             inner.as_object_mut()?.remove(key)?;
         }
-        PathStep::Position(at) => {
+        PathStep::Index(at) => {
             let list = inner.as_array_mut().filter(|list| *at < list.len())?;
             list.remove(*at);
-            gaps.add(path.clone());
+            removed_entries.add(path.clone());
         }
     }
     Some(path)
--- a/settings/src/reference.rs
+++ b/settings/src/reference.rs
@@ -1,25 +1,25 @@
-//! The reference of settings, made from their declarations.
+//! Generation of the settings reference from the declarations.
 
 use std::fmt::Write;
 
 use crate::value::SettingValue;
 
-/// A row of the reference.
+/// Row of the reference: one setting, or a list of structs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReferenceRow {
-    /// The path of the key.
+    /// Path of the key, such as `intake.body_bytes`; `[]` stands for each entry of a list.
     pub key: String,
-    /// The type of its values.
+    /// Type of the value in prose, such as `whole number`.
     pub type_name: String,
-    /// The default as it would stand in a file, or `required`.
+    /// Default as text, `none` for an absent option, or `required`.
     pub default: String,
-    /// The range, if it has one.
+    /// Allowed range with its unit; empty if there is none.
     pub range: String,
-    /// What it means.
+    /// The field's doc comment on one line.
     pub meaning: String,
 }
 
-/// The rows of a settings struct, those of the structs within it included.
+/// Returns the rows of a settings struct and of all structs nested in it.
 #[must_use]
 pub fn reference_rows<T: SettingValue + Default>() -> Vec<ReferenceRow> {
     let mut rows = Vec::new();
@@ -27,16 +27,16 @@
     rows
 }
 
-/// A Markdown section with a table of `rows`, under `title`.
+/// Formats `rows` as a Markdown section with a table, headed by `title`.
 #[must_use]
 pub fn reference_page(title: &str, rows: &[ReferenceRow]) -> String {
     let mut page = format!("## {title}\n\n");
     page.push_str("| key | type | default | range | meaning |\n|---|---|---|---|---|\n");
     for row in rows {
         let default =
-            if row.default == REQUIRED { REQUIRED.to_owned() } else { coded(&row.default) };
+            if row.default == REQUIRED { REQUIRED.to_owned() } else { code_span(&row.default) };
         let meaning = row.meaning.replace('|', "\\|");
-        // Writing into a string does not fail.
+        // Writing to a string is infallible.
         let _ = writeln!(
             page,
             "| `{}` | {} | {default} | {} | {meaning} |",
@@ -46,15 +46,16 @@
     page
 }
 
-/// What stands in place of the default of a setting that must be given.
+/// Text in the default column of a setting that has no default.
 pub(crate) const REQUIRED: &str = "required";
 
-fn coded(text: &str) -> String {
+fn code_span(text: &str) -> String {
     if text.is_empty() { String::new() } else { format!("`{text}`") }
 }
 
 impl ReferenceRow {
-    /// Fills the row of the field `key` inside the row of its struct.
+    /// Returns the row of the field `key` of the struct that `self` describes. `meaning` holds the lines
+    /// of the field's doc comment.
     #[doc(hidden)]
     #[must_use]
     pub fn field<T: SettingValue>(&self, key: &str, value: &T, meaning: &[&str]) -> Self {
@@ -63,13 +64,13 @@
         Self {
             key,
             type_name: T::type_name(),
-            default: value.shown(),
+            default: value.reference_text(),
             range: String::new(),
             meaning: lines.join(" ").trim().to_owned(),
         }
     }
 
-    /// Marks the row's setting as required.
+    /// Replaces the default by `required`.
     #[doc(hidden)]
     #[must_use]
     pub fn required(mut self) -> Self {
@@ -77,7 +78,7 @@
         self
     }
 
-    /// States the row's range.
+    /// Sets the text of the range column.
     #[doc(hidden)]
     #[must_use]
     pub fn with_range(mut self, range: String) -> Self {
--- a/settings/src/secret.rs
+++ b/settings/src/secret.rs
@@ -1,4 +1,4 @@
-//! Secrets, which stand in files of their own that the settings name.
+//! Secrets, each read from a file that the settings refer to.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,12 +8,13 @@
 
 use crate::load::read_text;
 
-/// The most bytes in a file with a secret, such as a chain of certificates.
+/// Maximum size of a secret file in bytes; large enough for a certificate chain.
 const SECRET_FILE_BYTES: u64 = 256 * 1024;
 
-/// The path of a file that holds a secret; a relative one starts at the process's working directory.
+/// Path of a file that holds a secret. A relative path is resolved against the process's working
+/// directory.
 ///
-/// The file is read again on each call, so that a secret is replaced without a restart.
+/// The file is read on each call of [`SecretFile::read`], so a secret can be replaced without a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SecretFile {
@@ -21,24 +22,24 @@
 }
 
 impl SecretFile {
-    /// Names the file at `path`.
+    /// Refers to the file at `path`, which is not opened until [`SecretFile::read`].
     #[must_use]
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Self { path: path.into() }
     }
 
-    /// Where the file lies.
+    /// Returns the path as given; empty if the setting is unset.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Reads the secret, without the white space around it.
+    /// Reads the secret and trims surrounding white space.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, is larger than 256 KiB, is no UTF-8 text or holds nothing. The
-    /// error names the file and never what stands in it.
+    /// Fails if the file cannot be read, is larger than 256 KiB, is not UTF-8 or contains only white
+    /// space. The error includes the path but never the content.
     pub fn read(&self) -> Result<SecretText, SecretError> {
         let text = read_text(&self.path, SECRET_FILE_BYTES);
         let text = text.context(UnreadableSnafu { path: &self.path })?;
@@ -48,18 +49,18 @@
     }
 }
 
-/// A secret's text. It prints as `***`, so that neither logs nor error messages give it away.
+/// Text of a secret. Its `Debug` output is `***`, which keeps it out of logs and error messages.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SecretText(String);
 
 impl SecretText {
-    /// Wraps a secret that came from elsewhere, such as standard input.
+    /// Wraps a secret that was not read from a [`SecretFile`], such as one from standard input.
     #[must_use]
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// The secret itself, for the one place that needs it.
+    /// Returns the plain text, which the caller must not log.
     #[must_use]
     pub fn expose(&self) -> &str {
         &self.0
@@ -72,21 +73,21 @@
     }
 }
 
-/// Why a secret could not be read.
+/// Failure to read a secret.
 #[derive(Debug, Snafu)]
 pub enum SecretError {
-    /// The file cannot be read.
+    /// The file cannot be read, is too large or is not UTF-8.
     #[snafu(display("cannot read the secret in {}: {source}", path.display()))]
     Unreadable {
-        /// The file.
+        /// Path as given in the settings.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// The file holds nothing.
+    /// The file is empty or contains only white space.
     #[snafu(display("the secret in {} is empty", path.display()))]
     Empty {
-        /// The file.
+        /// Path as given in the settings.
         path: PathBuf,
     },
 }
--- a/settings/src/structure.rs
+++ b/settings/src/structure.rs
@@ -1,9 +1,9 @@
-//! The macros that declare settings.
+//! Macros that declare settings.
 
-/// Declares a struct of settings; see the crate's page for the grammar and an example.
+/// Declares a struct of settings; see the crate documentation for the grammar and an example.
 ///
-/// Nothing may follow the word `required`: the lifetime in its pattern only gives the expansion
-/// something to repeat on.
+/// Nothing may follow the word `required`. The lifetime in its pattern never matches; it only gives the
+/// expansion a metavariable to repeat on.
 #[macro_export]
 macro_rules! settings_struct {
     (
@@ -38,16 +38,16 @@
                 "object".to_owned()
             }
 
-            fn shown(&self) -> String {
+            fn reference_text(&self) -> String {
                 String::new()
             }
 
             fn check_value(&self, key: &str, faults: &mut $crate::FaultList) {
-                faults.within(key, |faults| {
+                faults.with_prefix(key, |faults| {
                     $(
                         $crate::SettingValue::check_value(&self.$field, stringify!($field), faults);
                         $($crate::check_range(&self.$field, stringify!($field), &($range), faults);)?
-                        $($($never)? $crate::check_given(&self.$field, stringify!($field), faults);)?
+                        $($($never)? $crate::check_present(&self.$field, stringify!($field), faults);)?
                     )*
                     $($check(self, faults);)?
                 });
@@ -77,7 +77,7 @@
     };
 }
 
-/// Declares an enum of settings, each variant with its text in the file.
+/// Declares an enum for a setting with a fixed set of values; each variant has its text in the file.
 #[macro_export]
 macro_rules! settings_choice {
     (
@@ -106,7 +106,7 @@
                 texts.join(" or ")
             }
 
-            fn shown(&self) -> String {
+            fn reference_text(&self) -> String {
                 match self {
                     $(Self::$variant => format!("{:?}", $text),)*
                 }
--- a/settings/src/value.rs
+++ b/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! What a setting may be, and how its value is checked and shown.
+//! Types of settings, with their validation and their text in the reference.
 
 use std::fmt::Display;
 use std::net::{IpAddr, SocketAddr};
@@ -12,18 +12,18 @@
 use crate::reference::ReferenceRow;
 use crate::secret::SecretFile;
 
-/// A value outside what is allowed.
+/// Invalid value of a setting, without a position in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// The path of the key.
+    /// Path of the key, such as `servers[2].address`.
     pub path: String,
-    /// What is wrong, with the value.
+    /// Description of the fault.
     pub problem: String,
-    /// The range or the values that are allowed.
+    /// Allowed range or values.
     pub allowed: String,
 }
 
-/// Collects faults under the path of the struct that is being checked.
+/// Collects the faults found during validation and keeps the path of the struct being validated.
 #[derive(Debug, Default)]
 pub struct FaultList {
     prefix: String,
@@ -31,77 +31,78 @@
 }
 
 impl FaultList {
-    /// Adds a fault of the field `key` of the struct that is being checked.
+    /// Records a fault of the field `key` of the current struct.
     pub fn add(&mut self, key: &str, problem: impl Into<String>, allowed: impl Into<String>) {
         let path = join_path(&self.prefix, key);
         self.faults.push(SettingsFault { path, problem: problem.into(), allowed: allowed.into() });
     }
 
-    /// Runs `check` with paths below the field `key`.
-    pub fn within(&mut self, key: &str, check: impl FnOnce(&mut Self)) {
+    /// Runs `check` with the field `key` as the current struct.
+    pub fn with_prefix(&mut self, key: &str, check: impl FnOnce(&mut Self)) {
         let inner = join_path(&self.prefix, key);
         let outer = std::mem::replace(&mut self.prefix, inner);
         check(self);
         self.prefix = outer;
     }
 
-    /// The faults found.
+    /// Returns the recorded faults in the order in which they were found.
     #[must_use]
     pub fn into_faults(self) -> Vec<SettingsFault> {
         self.faults
     }
 }
 
-/// The type of a setting.
+/// Type that a setting can have.
 pub trait SettingValue {
-    /// The type's name in the reference.
+    /// Returns the type's name for the reference.
     fn type_name() -> String;
 
-    /// The value as it would stand in a file.
-    fn shown(&self) -> String;
+    /// Returns the value's text in the default column of the reference; empty for a struct.
+    fn reference_text(&self) -> String;
 
-    /// Whether it counts as not given, for settings that are required.
+    /// Returns whether a required setting with this value counts as missing.
     fn is_unset(&self) -> bool {
         false
     }
 
-    /// Checks the value by the rules of its type; ranges come on top.
+    /// Records faults by the rules of the type. Ranges and `required` are checked separately.
     fn check_value(&self, _key: &str, _faults: &mut FaultList) {}
 
-    /// Adds the value's rows to the reference: one, or those of its fields for a struct.
+    /// Adds the value's rows to the reference: `row`, or the rows of its fields for a struct.
     fn add_rows(&self, row: ReferenceRow, rows: &mut Vec<ReferenceRow>) {
         rows.push(row);
     }
 
-    /// Adds the rows of the fields of a struct that stands in a list or may be left out.
+    /// Adds the field rows of a struct type that is an element of a list or optional.
     fn add_inner_rows(_row: &ReferenceRow, _rows: &mut Vec<ReferenceRow>) {}
 }
 
-/// Whether a value lies in a range, and how the range is told.
+/// Range check of a setting of type `Self` whose range is given in `R`.
 pub trait RangeCheck<R> {
-    /// What is wrong, if anything.
-    fn out_of(&self, range: &RangeInclusive<R>) -> Option<String>;
+    /// Returns a description of the fault if the value is out of range.
+    fn range_fault(&self, range: &RangeInclusive<R>) -> Option<String>;
 
-    /// What the range counts, after its numbers; empty for the value itself.
+    /// Returns the unit to print after the range, with a leading space; empty if the range limits the
+    /// value itself.
     fn unit() -> &'static str {
         ""
     }
 }
 
 impl<T: PartialOrd + Display> RangeCheck<T> for T {
-    fn out_of(&self, range: &RangeInclusive<T>) -> Option<String> {
+    fn range_fault(&self, range: &RangeInclusive<T>) -> Option<String> {
         (!range.contains(self)).then(|| format!("{self} is out of range"))
     }
 }
 
 impl<T: PartialOrd + Display> RangeCheck<T> for Option<T> {
-    fn out_of(&self, range: &RangeInclusive<T>) -> Option<String> {
-        self.as_ref().and_then(|value| value.out_of(range))
+    fn range_fault(&self, range: &RangeInclusive<T>) -> Option<String> {
+        self.as_ref().and_then(|value| value.range_fault(range))
     }
 }
 
 impl RangeCheck<usize> for String {
-    fn out_of(&self, range: &RangeInclusive<usize>) -> Option<String> {
+    fn range_fault(&self, range: &RangeInclusive<usize>) -> Option<String> {
         (!range.contains(&self.len())).then(|| format!("it has {} bytes", self.len()))
     }
 
@@ -111,7 +112,7 @@
 }
 
 impl<T> RangeCheck<usize> for Vec<T> {
-    fn out_of(&self, range: &RangeInclusive<usize>) -> Option<String> {
+    fn range_fault(&self, range: &RangeInclusive<usize>) -> Option<String> {
         (!range.contains(&self.len())).then(|| format!("it has {} entries", self.len()))
     }
 
@@ -120,21 +121,21 @@
     }
 }
 
-macro_rules! plain_values {
+macro_rules! unquoted_values {
     ($($type:ty: $name:literal;)*) => {$(
         impl SettingValue for $type {
             fn type_name() -> String {
                 $name.to_owned()
             }
 
-            fn shown(&self) -> String {
+            fn reference_text(&self) -> String {
                 self.to_string()
             }
         }
     )*};
 }
 
-plain_values! {
+unquoted_values! {
     bool: "true or false";
     u16: "whole number";
     u32: "whole number";
@@ -151,7 +152,7 @@
                 $name.to_owned()
             }
 
-            fn shown(&self) -> String {
+            fn reference_text(&self) -> String {
                 format!("{:?}", $text(self))
             }
 
@@ -177,7 +178,7 @@
                 $name.to_owned()
             }
 
-            fn shown(&self) -> String {
+            fn reference_text(&self) -> String {
                 format!("{:?}", self.as_str())
             }
 
@@ -187,7 +188,7 @@
 
             fn check_value(&self, key: &str, faults: &mut FaultList) {
                 if !self.is_unset() && !is_good_name(self.as_str()) {
-                    faults.add(key, "the name is not allowed", NAME_RULE);
+                    faults.add(key, "invalid name", NAME_RULE);
                 }
             }
         }
@@ -205,8 +206,8 @@
         T::type_name()
     }
 
-    fn shown(&self) -> String {
-        self.as_ref().map_or_else(|| "none".to_owned(), T::shown)
+    fn reference_text(&self) -> String {
+        self.as_ref().map_or_else(|| "none".to_owned(), T::reference_text)
     }
 
     fn is_unset(&self) -> bool {
@@ -230,8 +231,8 @@
         format!("list of: {}", T::type_name())
     }
 
-    fn shown(&self) -> String {
-        let values: Vec<_> = self.iter().map(T::shown).collect();
+    fn reference_text(&self) -> String {
+        let values: Vec<_> = self.iter().map(T::reference_text).collect();
         format!("[{}]", values.join(", "))
     }
 
@@ -252,7 +253,7 @@
     }
 }
 
-/// Adds a fault if `value` lies outside `range`.
+/// Records a fault if `value` is outside `range`.
 #[doc(hidden)]
 pub fn check_range<R: Display, T: RangeCheck<R>>(
     value: &T,
@@ -260,20 +261,20 @@
     range: &RangeInclusive<R>,
     faults: &mut FaultList,
 ) {
-    if let Some(problem) = value.out_of(range) {
+    if let Some(problem) = value.range_fault(range) {
         faults.add(key, problem, range_text(value, range));
     }
 }
 
-/// Adds a fault if `value` is not given.
+/// Records a fault if the required `value` is missing.
 #[doc(hidden)]
-pub fn check_given<T: SettingValue>(value: &T, key: &str, faults: &mut FaultList) {
+pub fn check_present<T: SettingValue>(value: &T, key: &str, faults: &mut FaultList) {
     if value.is_unset() {
         faults.add(key, "it must be given", T::type_name());
     }
 }
 
-/// How a range is told.
+/// Formats a range with its unit; `value` only selects the type.
 #[doc(hidden)]
 pub fn range_text<R: Display, T: RangeCheck<R>>(_value: &T, range: &RangeInclusive<R>) -> String {
     format!("{} to {}{}", range.start(), range.end(), T::unit())
--- a/settings/tests/suite/bad_files.rs
+++ b/settings/tests/suite/bad_files.rs
@@ -1,4 +1,4 @@
-//! Files with faults: each fault is told with line, column, key and what is allowed, all at once.
+//! All faults of a file are reported together, each with line, column, key and allowed values.
 
 use std::path::Path;
 
@@ -8,24 +8,24 @@
 use crate::sample::SampleSettings;
 
 fn check(text: &str, expected: Expect) {
-    let error = parse_settings::<SampleSettings>("vm.json", text).expect_err("a faulty file");
+    let error = parse_settings::<SampleSettings>("vm.json", text).expect_err("the file is faulty");
     expected.assert_eq(&error.to_string());
 }
 
 #[test]
-fn good_file() {
+fn valid_file() {
     let text = r#"{
-        // Comments and a trailing comma are fine.
-        "vm": "e1", /* so is this */
+        // Line comments and trailing commas are accepted.
+        "vm": "e1", /* and block comments */
         "door": { "mode": "loopback", },
     }"#;
-    let settings = parse_settings::<SampleSettings>("vm.json", text).expect("a good file");
+    let settings = parse_settings::<SampleSettings>("vm.json", text).expect("the file is valid");
     assert_eq!(settings.vm.as_str(), "e1");
     assert_eq!(settings.door.body_bytes, 4096);
 }
 
 #[test]
-fn broken_syntax() {
+fn syntax_errors() {
     check(
         "{\n  \"vm\": \"e1\"\n  \"least_ms\": 5\n}",
         expect!["vm.json:2:13: syntax error: Expected comma"],
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn all_at_once() {
-    // An operator sees every fault in one run: keys, types, values and rules over several fields.
+fn reports_all_faults() {
+    // Unknown keys, wrong types, invalid values and rules over several fields are reported in one run.
     check(
         r#"{
   "vm": "a b",
@@ -61,7 +61,7 @@
   "colour": 1
 }"#,
         expect![[r#"
-            vm.json:2:3: vm: the name is not allowed; allowed: 1 to 128 bytes, no white space, no control characters, none of @#/\"?%, not "." or ".."
+            vm.json:2:3: vm: invalid name; allowed: 1 to 128 bytes, no white space, no control characters, none of @#/\"?%, not "." or ".."
             vm.json:3:13: door.address: invalid socket address syntax; allowed: an IP number and a port, such as 127.0.0.1:8080
             vm.json:3:37: door.mode: unknown value `tsl`; did you mean `tls`? allowed: `tls` or `loopback`
             vm.json:3:52: door.body_bytes: 70000 is out of range; allowed: 1 to 65536
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn entries_of_lists() {
-    // A faulty entry hides neither the faults of the entries after it nor their places.
+fn faulty_list_entries() {
+    // A faulty entry must not hide the faults of later entries or shift their positions.
     check(
         r#"{ "vm": "e1", "peers": [
   { "vm": 1 },
@@ -98,10 +98,10 @@
 }
 
 #[test]
-fn repeated_key() {
+fn duplicate_key() {
     check(
         "{ \"vm\": \"e1\",\n  \"vm\": \"e2\" }",
-        expect!["vm.json:2:3: vm: the key stands in line 1 already; allowed: each key once"],
+        expect!["vm.json:2:3: vm: duplicate key, already set in line 1; allowed: each key once"],
     );
 }
 
@@ -124,7 +124,8 @@
 
 #[test]
 fn missing_file() {
-    let error = load_settings::<SampleSettings>(Path::new("no/such.json")).expect_err("no file");
+    let error = load_settings::<SampleSettings>(Path::new("no/such.json"))
+        .expect_err("the file does not exist");
     let text = error.to_string();
     assert!(text.starts_with("no/such.json: cannot read the file: No such file"), "{text}");
 }
--- a/settings/tests/suite/main.rs
+++ b/settings/tests/suite/main.rs
@@ -1,7 +1,7 @@
-//! Tests of settings, one file a feature.
+//! Integration tests of the settings crate, one module per feature.
 
 mod bad_files;
-mod odd_text;
+mod malformed_text;
 mod reference_table;
 mod sample;
 mod secret_files;
--- a/settings/tests/suite/sample.rs
+++ b/settings/tests/suite/sample.rs
@@ -1,4 +1,4 @@
-//! Settings as a process would declare them.
+//! Settings struct for the tests, with one field per kind of setting.
 
 use std::net::SocketAddr;
 
@@ -6,33 +6,33 @@
 use coltsfoothook_settings::{FaultList, SecretFile, settings_choice, settings_struct};
 
 settings_choice! {
-    /// How callers reach a process.
+    /// Transport for callers.
     pub enum ListenMode {
-        /// With TLS.
+        /// TLS on any interface.
         Tls = "tls",
-        /// Without.
+        /// No TLS, loopback interface only.
         Loopback = "loopback",
     }
 }
 
 settings_struct! {
-    /// A door to the process.
-    pub struct DoorSettings {
-        /// Where it listens.
+    /// Settings of a listener.
+    pub struct ListenerSettings {
+        /// Address to listen on.
         pub address: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 8080));
-        /// How callers reach it.
+        /// Transport for callers.
         pub mode: ListenMode = ListenMode::Tls;
-        /// The most bytes in a body.
+        /// Maximum size of a body in bytes.
         pub body_bytes: usize = 4096, in 1..=65_536;
     }
 }
 
 settings_struct! {
-    /// A peer.
+    /// Settings of a peer.
     pub struct PeerSettings {
-        /// Its name.
+        /// Name of the peer's VM.
         pub vm: VmName = VmName::default(), required;
-        /// Its share of the load.
+        /// Relative share of the load.
         pub weight: f64 = 1.0, in 0.0..=10.0;
     }
 }
@@ -40,18 +40,18 @@
 settings_struct! {
     /// Settings of a process.
     pub struct SampleSettings {
-        /// The name of the VM,
+        /// Name of the VM,
         /// as peers know it.
         pub vm: VmName = VmName::default(), required;
-        /// Where callers come in.
-        pub door: DoorSettings = DoorSettings::default();
-        /// Whom to ask first.
+        /// Listener for callers.
+        pub door: ListenerSettings = ListenerSettings::default();
+        /// Peers to query first.
         pub peers: Vec<PeerSettings> = Vec::new(), in 0..=4;
-        /// The key between VMs.
+        /// Key for connections between VMs.
         pub key: Option<SecretFile> = None;
-        /// The shortest wait in milliseconds.
+        /// Minimum wait in milliseconds.
         pub least_ms: u64 = 10, in 1..=1_000;
-        /// The longest wait in milliseconds.
+        /// Maximum wait in milliseconds.
         pub most_ms: u64 = 100, in 1..=1_000;
     }
     check check_waits
