--- a/telemetry/src/family.rs
+++ b/telemetry/src/family.rs
@@ -8,8 +8,8 @@
 /// Prefix of all metric names.
 const NAMESPACE: &str = "coltsfoothook";
 
-/// Bucket bounds in seconds: from a millisecond, the overhead of the system itself, up to the waiting time
-/// of an audit request.
+/// Bucket bounds in seconds: from a millisecond, the overhead of the system itself, to a minute, since
+/// audit requests may wait for minutes.
 const SECONDS_BUCKETS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
 /// Bucket bounds in seconds of histograms per tenant. There are fewer of them to limit the number of series:
