--- a/ctl/src/arguments.rs
+++ b/ctl/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line: subcommands, options and help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -23,11 +23,11 @@
   5 stale base; 6 not now, the log is down or the VM is not ready; 7 token refused
   After 3, 4 and 6 the same command again is safe.";
 
-/// A command with its arguments.
+/// A subcommand with its options and positional arguments.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, descr(DESCRIPTION), footer(FOOTER))]
 pub(crate) enum CtlCommand {
-    /// Checks a manifest, or a delta on a manifest, without a connection
+    /// Checks a manifest, or a delta against a manifest, offline
     #[bpaf(command)]
     Check {
         /// The manifest that FILE is a delta on
@@ -39,7 +39,7 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Publishes a manifest or a delta; repeating the same command is safe
+    /// Publishes a manifest or a delta; repeating the command is safe
     #[bpaf(command)]
     Publish {
         #[bpaf(external)]
@@ -47,10 +47,10 @@
         /// The version that the change builds on; 0 for the first manifest
         #[bpaf(argument("VERSION"))]
         base: u64,
-        /// The publication's id; by default made from the change and its base
+        /// The publication's id; by default a hash of the change and its base
         #[bpaf(argument("ID"))]
         publish_id: Option<String>,
-        /// The longest time in milliseconds to wait until the version is in force at every VM
+        /// Waits up to this many milliseconds until the version is in force at every VM
         #[bpaf(argument("MS"))]
         everywhere_ms: Option<u64>,
         /// FILE is a delta instead of a whole manifest
@@ -94,7 +94,7 @@
         #[bpaf(external)]
         drain_target: DrainTarget,
     },
-    /// Tells why a request went where it did
+    /// Shows how a request was routed and why
     #[bpaf(command)]
     Explain {
         #[bpaf(external)]
@@ -105,7 +105,7 @@
         #[bpaf(positional("REQUEST_ID"))]
         id: String,
     },
-    /// Follows a request through log files of gateways, and says what its end means
+    /// Shows the log lines that concern a request and explains its outcome
     #[bpaf(command)]
     Trace {
         #[bpaf(external)]
@@ -113,22 +113,22 @@
         /// The request's id
         #[bpaf(positional("REQUEST_ID"))]
         id: String,
-        /// Log files, best of all VMs
+        /// Log files of gateways, preferably of all VMs
         #[bpaf(positional("FILE"), some("a log file is needed"))]
         files: Vec<PathBuf>,
     },
-    /// Shows where requests were late, refused or lost, from log files of gateways
+    /// Counts late, refused and failed requests in log files of gateways
     #[bpaf(command)]
     Losses {
-        /// After how many milliseconds to the first piece a request is late
+        /// Milliseconds until the first piece of an answer after which a request counts as late
         #[bpaf(argument("MS"), fallback(1_000))]
         late_ms: u64,
-        /// How many seconds are counted together
+        /// Length in seconds of an interval of the table by time
         #[bpaf(argument("SECONDS"), fallback(2))]
         every_s: u64,
         #[bpaf(external)]
         json: bool,
-        /// Log files, best of all VMs
+        /// Log files of gateways, preferably of all VMs
         #[bpaf(positional("FILE"), some("a log file is needed"))]
         files: Vec<PathBuf>,
     },
@@ -146,14 +146,14 @@
     /// Prints the hash of a credential read from standard input, for the manifest
     #[bpaf(command)]
     HashCredential {
-        /// Makes a new credential and prints it too
+        /// Generates a new credential and prints it with its hash
         generate: bool,
         #[bpaf(external)]
         json: bool,
     },
 }
 
-/// What is drained.
+/// The VM or server that a drain applies to.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) enum DrainTarget {
     /// An entry VM
@@ -172,13 +172,13 @@
     },
 }
 
-/// How entry VMs are reached. What stands here goes before the settings file.
+/// How entry VMs are reached. These options override the settings file.
 #[derive(Clone, Debug, Default, Bpaf)]
 pub(crate) struct ConnectArguments {
     /// Settings file in JSON with comments; see docs/SETTINGS.md
     #[bpaf(argument("FILE"))]
     pub(crate) settings: Option<PathBuf>,
-    /// Operators' address of an entry VM; give several to have the next asked when one is away
+    /// Operators' address of an entry VM; give several to try the next when one is unreachable
     #[bpaf(long("entry"), argument("ADDRESS"))]
     pub(crate) entries: Vec<SocketAddr>,
     /// File with the operator's token
@@ -190,7 +190,7 @@
     /// The name in the entry VMs' certificates; without it, their IP numbers
     #[bpaf(argument("NAME"))]
     pub(crate) server_name: Option<String>,
-    /// Speaks without TLS to addresses other than loopback ones, token included
+    /// Connects without TLS to non-loopback addresses; sends the token unencrypted
     pub(crate) plain: bool,
 }
 
--- a/ctl/src/client.rs
+++ b/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to whichever entry VM answers.
+//! HTTP calls to entry VMs, with failover between them and retries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,35 +21,37 @@
 use crate::settings::CtlSettings;
 use crate::tls::TlsClient;
 
-/// The longest time for a connection; a VM that is away must not use up the time of the call.
+/// Timeout of the TCP connection and of the TLS handshake. It is short so that an unreachable VM
+/// does not use up the time for the call.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause before a call is repeated, where the answer names none, and the longest one.
-const DEFAULT_PAUSE_MS: u64 = 500;
-const LONGEST_PAUSE_MS: u64 = 10_000;
+/// Retry delay if the answer has no `retry_after_ms`.
+const DEFAULT_RETRY_DELAY_MS: u64 = 500;
+/// Upper bound of the retry delay, also of the one that an answer asks for.
+const MAX_RETRY_DELAY_MS: u64 = 10_000;
 
-/// Talks to entry VMs, one after the other until one answers.
+/// Client of the operators' interface; tries the entry VMs in order until one answers.
 pub(crate) struct EntryClient {
     settings: CtlSettings,
     token: SecretText,
     tls: Option<TlsClient>,
 }
 
-/// Why one VM gave no answer.
+/// Why a VM gave no answer; says whether the call can have taken effect.
 enum CallFailure {
-    /// Nothing was sent.
+    /// The call was not sent.
     NotSent(String),
-    /// The call may have been carried out.
+    /// The call was sent and may have taken effect.
     NoAnswer(String),
 }
 
-/// An answer as it came.
+/// An HTTP answer with its body, not yet decoded.
 struct CallAnswer {
     status: StatusCode,
     body: Bytes,
 }
 
 impl EntryClient {
-    /// Puts the settings file and the command line together.
+    /// Makes a client from the settings file, overridden by the command line. Opens no connection.
     pub(crate) fn connect(arguments: ConnectArguments) -> Result<Self, CtlError> {
         let mut settings = match &arguments.settings {
             Some(file) => load_settings::<CtlSettings>(file)?,
@@ -79,23 +81,25 @@
             Some(ca_file) => Some(TlsClient::load(ca_file, settings.server_name.as_deref())?),
             None => None,
         };
-        let far = settings.entries.iter().find(|address| !address.ip().is_loopback());
-        if let (None, false, Some(address)) = (&tls, settings.plain, far) {
-            // Without this, one missing option would send the token over the network in the clear.
-            let message =
-                format!("{address} needs TLS: give --ca-file FILE, or --plain to do without");
+        let remote_address = settings.entries.iter().find(|address| !address.ip().is_loopback());
+        if let (None, false, Some(address)) = (&tls, settings.plain, remote_address) {
+            // Otherwise one missing option would send the token unencrypted over the network.
+            let message = format!(
+                "{address} needs TLS: give --ca-file FILE, or --plain to connect without it"
+            );
             return Err(CtlError::usage(message));
         }
         Ok(Self { settings, token, tls })
     }
 
-    /// Reads something.
+    /// Sends a GET call to the first VM that answers.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// Changes something. The call is repeated while its outcome is not known or the log is down,
-    /// so it must be one that has the same effect when it is carried out twice.
+    /// Sends a call that changes state. Retries it while no VM is reachable or ready, its outcome
+    /// is unknown or the log is down, up to the configured attempts, so the call must be
+    /// idempotent.
     pub(crate) async fn change<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -104,36 +108,36 @@
     ) -> Result<T, CtlError> {
         let body = serde_json::to_vec(body);
         let body = Bytes::from(body.map_err(|error| CtlError::usage(error.to_string()))?);
-        let mut doubts = Vec::new();
+        let mut unconfirmed = Vec::new();
         for attempt in 1.. {
             let error = match self.call(method.clone(), path, body.clone()).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
             };
-            let pause_ms = match &error {
-                CtlError::Unknown { .. } | CtlError::NotReached { .. } => DEFAULT_PAUSE_MS,
-                CtlError::Problem { document } if worth_repeating(document) => {
-                    document.retry_after_ms.unwrap_or(DEFAULT_PAUSE_MS)
+            let delay_ms = match &error {
+                CtlError::Unknown { .. } | CtlError::NotReached { .. } => DEFAULT_RETRY_DELAY_MS,
+                CtlError::Problem { document } if is_retryable(document) => {
+                    document.retry_after_ms.unwrap_or(DEFAULT_RETRY_DELAY_MS)
                 }
                 _ => return Err(error),
             };
-            if may_have_effect(&error) {
-                doubts.push(error.to_string());
+            if may_have_taken_effect(&error) {
+                unconfirmed.push(error.to_string());
             }
             if attempt >= self.settings.attempts {
-                // "Not reached" at last does not undo an earlier attempt that may have had effect.
-                return Err(if doubts.is_empty() {
+                // An earlier attempt may have taken effect even if the last one reached no VM.
+                return Err(if unconfirmed.is_empty() {
                     error
                 } else {
-                    CtlError::Unknown { attempts: doubts }
+                    CtlError::Unknown { attempts: unconfirmed }
                 });
             }
-            tokio::time::sleep(Duration::from_millis(pause_ms.min(LONGEST_PAUSE_MS))).await;
+            tokio::time::sleep(Duration::from_millis(delay_ms.min(MAX_RETRY_DELAY_MS))).await;
         }
-        Err(CtlError::Unknown { attempts: doubts })
+        Err(CtlError::Unknown { attempts: unconfirmed })
     }
 
-    /// Sends a call to each VM in turn until one gives a final answer.
+    /// Sends a call to the VMs in order until one gives an answer other than "not ready".
     async fn call<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -181,15 +185,15 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .map_err(|error| CallFailure::NotSent(error.to_string()))?;
-        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-        let stream = connecting
-            .map_err(|_| CallFailure::NotSent("no connection in time".to_owned()))?
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let stream = connected
+            .map_err(|_| CallFailure::NotSent("connection timed out".to_owned()))?
             .map_err(|error| CallFailure::NotSent(error.to_string()))?;
         let Some(tls) = &self.tls else { return self.exchange(stream, request).await };
         let handshake = tls.connector().connect(tls.name(address), stream);
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, handshake)
             .await
-            .map_err(|_| CallFailure::NotSent("no TLS handshake in time".to_owned()))?
+            .map_err(|_| CallFailure::NotSent("TLS handshake timed out".to_owned()))?
             .map_err(|error| CallFailure::NotSent(error.to_string()))?;
         self.exchange(stream, request).await
     }
@@ -207,11 +211,11 @@
             handshake.map_err(|error| CallFailure::NotSent(error.to_string()))?;
         let driver = tokio::spawn(connection);
         let limit = Duration::from_millis(self.settings.timeout_ms);
-        let most = self.settings.answer_bytes;
+        let max_bytes = self.settings.answer_bytes;
         let answer = async {
             let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), most).collect().await;
+            let body = Limited::new(response.into_body(), max_bytes).collect().await;
             let body = body.map_err(|error| error.to_string())?.to_bytes();
             Ok::<_, String>(CallAnswer { status, body })
         };
@@ -219,18 +223,18 @@
         driver.abort();
         match answered {
             Ok(answer) => answer.map_err(CallFailure::NoAnswer),
-            Err(_) => Err(CallFailure::NoAnswer("no answer in time".to_owned())),
+            Err(_) => Err(CallFailure::NoAnswer("the answer timed out".to_owned())),
         }
     }
 }
 
-fn worth_repeating(document: &ProblemDocument) -> bool {
-    let repeated =
+fn is_retryable(document: &ProblemDocument) -> bool {
+    let retryable =
         [ProblemReason::AppendUnknown, ProblemReason::LogUnavailable, ProblemReason::NotReady];
-    repeated.iter().any(|reason| document.reason == reason.as_str())
+    retryable.iter().any(|reason| document.reason == reason.as_str())
 }
 
-fn may_have_effect(error: &CtlError) -> bool {
+fn may_have_taken_effect(error: &CtlError) -> bool {
     match error {
         CtlError::Unknown { .. } => true,
         CtlError::Problem { document } => document.reason == ProblemReason::AppendUnknown.as_str(),
@@ -241,10 +245,10 @@
 fn read_answer<T: DeserializeOwned>(answer: &CallAnswer) -> Result<T, CtlError> {
     if answer.status.is_success() {
         let parsed = serde_json::from_slice(&answer.body);
-        return parsed.map_err(|error| CtlError::OddAnswer { message: error.to_string() });
+        return parsed.map_err(|error| CtlError::MalformedAnswer { message: error.to_string() });
     }
     match serde_json::from_slice::<ProblemDocument>(&answer.body) {
         Ok(document) => Err(CtlError::Problem { document: Box::new(document) }),
-        Err(_) => Err(CtlError::OddAnswer { message: format!("status {}", answer.status) }),
+        Err(_) => Err(CtlError::MalformedAnswer { message: format!("status {}", answer.status) }),
     }
 }
--- a/ctl/src/command.rs
+++ b/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! From the command line to the report.
+//! Parses the command line, executes the command and prints its report.
 
 use std::fs::File;
 use std::io::Read;
@@ -20,31 +20,31 @@
 use crate::document::ManifestFile;
 use crate::error::{CtlError, CtlExit};
 use crate::losses::losses;
-use crate::publish::{PublishOrder, hexadecimal, publish};
+use crate::publish::{PublishRequest, hexadecimal, publish};
 use crate::report::CtlReport;
 use crate::show::{explain_text, status_text};
 use crate::trace::trace;
 
-/// Random bytes in a new credential.
+/// Number of random bytes in a generated credential.
 const CREDENTIAL_BYTES: usize = 32;
 
-/// Where a command's input comes from and its output goes.
+/// Standard streams of a command: its input, and buffers for its output.
 #[derive(Default)]
 pub struct CtlStreams {
-    /// What was written to standard output.
+    /// Text for standard output; [`run`] appends to it.
     pub out: String,
-    /// What was written to standard error.
+    /// Text for standard error; [`run`] appends to it.
     pub err: String,
-    /// Reads standard input; without it the input is empty.
+    /// Reads standard input to its end; with `None` the input is empty.
     pub read_input: Option<fn() -> std::io::Result<String>>,
 }
 
-/// Runs the program with `arguments`, the program's own name left out.
+/// Runs the program with `arguments`, which exclude the program's name, and returns the exit code.
 pub fn run(arguments: &[&str], streams: &mut CtlStreams) -> CtlExit {
     let arguments = Args::from(arguments).set_name("coltsfoothook-ctl");
     let command = match ctl_command().run_inner(arguments) {
         Ok(command) => command,
-        Err(failure) => return show_failure(failure, streams),
+        Err(failure) => return print_parse_failure(failure, streams),
     };
     let json = command.wants_json();
     let report = execute(command, streams).unwrap_or_else(|error| CtlReport::failed(&error));
@@ -58,7 +58,7 @@
     report.exit
 }
 
-fn show_failure(failure: ParseFailure, streams: &mut CtlStreams) -> CtlExit {
+fn print_parse_failure(failure: ParseFailure, streams: &mut CtlStreams) -> CtlExit {
     match failure {
         ParseFailure::Stdout(text, full) => {
             streams.out.push_str(&format!("{}\n", text.monochrome(full)));
@@ -117,14 +117,14 @@
             file,
             ..
         } => {
-            let order = PublishOrder {
+            let request = PublishRequest {
                 base: ConfigVersion(base),
                 publish_id,
                 everywhere: everywhere_ms.map(Duration::from_millis),
                 delta,
             };
             let file = ManifestFile::read(&file)?;
-            publish(&EntryClient::connect(connect_arguments)?, &file, order).await
+            publish(&EntryClient::connect(connect_arguments)?, &file, request).await
         }
         CtlCommand::Diff { connect_arguments, file, .. } => diff(connect_arguments, &file).await,
         CtlCommand::Status { connect_arguments, loaded, .. } => {
@@ -137,7 +137,7 @@
         }
         CtlCommand::Explain { connect_arguments, id, .. } => {
             let client = EntryClient::connect(connect_arguments)?;
-            let path = format!("/v1/explain/{}", encoded(&id));
+            let path = format!("/v1/explain/{}", encode_segment(&id));
             let answer: ExplainAnswer = client.get(&path).await?;
             Ok(CtlReport::done(explain_text(&answer.replies), &answer))
         }
@@ -185,10 +185,10 @@
 }
 
 async fn diff(connect: ConnectArguments, file: &Path) -> Result<CtlReport, CtlError> {
-    let wanted = ManifestFile::read(file)?.manifest()?;
+    let new_manifest = ManifestFile::read(file)?.manifest()?;
     let client = EntryClient::connect(connect)?;
     let in_force: ManifestAnswer = client.get("/v1/manifest").await?;
-    let diff = ManifestDiff::between(&in_force.manifest, &wanted);
+    let diff = ManifestDiff::between(&in_force.manifest, &new_manifest);
     let version = in_force.version;
     let mut text = format!("changes against version {version}: {}", diff.lines.len());
     for line in &diff.lines {
@@ -214,7 +214,7 @@
         DrainTarget::Server { name } => ("servers", name),
     };
     let client = EntryClient::connect(connect)?;
-    let path = format!("/v1/drain/{kind}/{}", encoded(name));
+    let path = format!("/v1/drain/{kind}/{}", encode_segment(name));
     let call = DrainCall { draining: !undo };
     let _: WrittenAnswer = client.change(Method::PUT, &path, &call).await?;
     let text = if undo { "takes work again" } else { "gets no new work and finishes what it has" };
@@ -223,7 +223,7 @@
 }
 
 fn hash_credential(generate: bool, streams: &CtlStreams) -> Result<CtlReport, CtlError> {
-    let credential = if generate { new_credential() } else { given_credential(streams) }
+    let credential = if generate { generate_credential() } else { read_credential(streams) }
         .map_err(|error| CtlError::usage(format!("no credential: {error}")))?;
     let hash = CredentialHash::of(&credential).to_hex();
     if generate {
@@ -233,7 +233,7 @@
     Ok(CtlReport::done(hash.clone(), &json!({ "hash": hash })))
 }
 
-fn given_credential(streams: &CtlStreams) -> std::io::Result<String> {
+fn read_credential(streams: &CtlStreams) -> std::io::Result<String> {
     let input = streams.read_input.map_or_else(|| Ok(String::new()), |read| read())?;
     let credential = input.trim();
     if credential.is_empty() {
@@ -242,21 +242,21 @@
     Ok(credential.to_owned())
 }
 
-fn new_credential() -> std::io::Result<String> {
+fn generate_credential() -> std::io::Result<String> {
     let mut bytes = [0; CREDENTIAL_BYTES];
     File::open("/dev/urandom")?.read_exact(&mut bytes)?;
     Ok(hexadecimal(&bytes))
 }
 
-/// A name as a segment of a path.
-fn encoded(name: &str) -> String {
+/// Percent-encodes a name as one segment of a path.
+fn encode_segment(name: &str) -> String {
     let mut segment = String::new();
     for byte in name.bytes() {
         match byte {
             b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'~' => {
                 segment.push(char::from(byte));
             }
-            // Dots are encoded too, so that no name reads as a step up in the path.
+            // Dots are encoded too, so that no name can act as `..`.
             other => segment.push_str(&format!("%{other:02X}")),
         }
     }
--- a/ctl/src/diff.rs
+++ b/ctl/src/diff.rs
@@ -1,16 +1,17 @@
-//! What one manifest changes in another.
+//! Differences between two manifests.
 
 use coltsfoothook_decision::manifest::{ManifestDelta, ServingManifest};
 use serde::Serialize;
 
-/// The difference of two manifests in normal form.
+/// Difference between two manifests in normal form.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct ManifestDiff {
-    /// A line for each entry: `+` put in, `-` taken out, `~` changed with the fields that differ.
+    /// One line per differing entry: `+` added, `-` removed, `~` changed, with the fields that
+    /// differ.
     pub(crate) lines: Vec<String>,
-    /// The delta that makes the one manifest of the other.
+    /// The delta that turns the old manifest into the new one, except for `only_whole`.
     pub(crate) delta: ManifestDelta,
-    /// Entries that a delta cannot take out; publishing the whole manifest does.
+    /// Entries that a delta cannot remove; publishing the whole manifest removes them.
     pub(crate) only_whole: Vec<String>,
 }
 
@@ -18,25 +19,30 @@
     pub(crate) fn between(old: &ServingManifest, new: &ServingManifest) -> Self {
         let mut diff = Self::default();
         let mut delta = ManifestDelta::default();
-        let out = &mut delta.remove;
+        let remove = &mut delta.remove;
         let put = &mut delta.put;
-        (put.models, out.models) = diff.list("models", &old.models, &new.models, |x| &x.name);
-        (put.adapters, out.adapters) =
-            diff.list("adapters", &old.adapters, &new.adapters, |x| &x.name);
-        (put.tenants, out.tenants) = diff.list("tenants", &old.tenants, &new.tenants, |x| &x.name);
-        (put.servers, out.servers) = diff.list("servers", &old.servers, &new.servers, |x| &x.name);
-        (put.services, out.services) =
-            diff.list("services", &old.services, &new.services, |x| &x.name);
-        (put.schedules, out.schedules) =
-            diff.list("schedules", &old.schedules, &new.schedules, |x| &x.name);
-        let (classes, classes_out) = diff.list("classes", &old.classes, &new.classes, |x| &x.class);
-        let (stores, stores_out) = diff.list("stores", &old.stores, &new.stores, |x| &x.region);
+        (put.models, remove.models) =
+            diff.compare_list("models", &old.models, &new.models, |x| &x.name);
+        (put.adapters, remove.adapters) =
+            diff.compare_list("adapters", &old.adapters, &new.adapters, |x| &x.name);
+        (put.tenants, remove.tenants) =
+            diff.compare_list("tenants", &old.tenants, &new.tenants, |x| &x.name);
+        (put.servers, remove.servers) =
+            diff.compare_list("servers", &old.servers, &new.servers, |x| &x.name);
+        (put.services, remove.services) =
+            diff.compare_list("services", &old.services, &new.services, |x| &x.name);
+        (put.schedules, remove.schedules) =
+            diff.compare_list("schedules", &old.schedules, &new.schedules, |x| &x.name);
+        let (classes, removed_classes) =
+            diff.compare_list("classes", &old.classes, &new.classes, |x| &x.class);
+        let (stores, removed_stores) =
+            diff.compare_list("stores", &old.stores, &new.stores, |x| &x.region);
         put.classes = classes;
         put.stores = stores;
-        for class in classes_out {
+        for class in removed_classes {
             diff.only_whole.push(format!("classes[{:?}]", class.as_str()));
         }
-        for region in stores_out {
+        for region in removed_stores {
             diff.only_whole.push(format!("stores[{:?}]", region.as_str()));
         }
         if old.policy != new.policy {
@@ -47,8 +53,9 @@
         diff
     }
 
-    /// Compares two sorted lists in one pass; gives what to put in and which names to take out.
-    fn list<T, K>(
+    /// Compares two lists sorted by `key` and records a line per difference. Returns the entries to
+    /// put and the names to remove.
+    fn compare_list<T, K>(
         &mut self,
         list: &str,
         old: &[T],
@@ -60,31 +67,31 @@
         K: Clone + Ord + AsRef<str>,
     {
         let mut put = Vec::new();
-        let mut taken_out = Vec::new();
+        let mut removed = Vec::new();
         for entry in old {
             let name = key(entry);
             if new.binary_search_by(|other| key(other).cmp(name)).is_err() {
                 self.lines.push(format!("- {list}[{:?}]", name.as_ref()));
-                taken_out.push(name.clone());
+                removed.push(name.clone());
             }
         }
         for entry in new {
             let name = key(entry);
-            let place = format!("{list}[{:?}]", name.as_ref());
+            let entry_path = format!("{list}[{:?}]", name.as_ref());
             match old.binary_search_by(|other| key(other).cmp(name)) {
                 Ok(at) if old[at] == *entry => continue,
                 Ok(at) => {
-                    self.lines.push(format!("~ {place}: {}", changed_fields(&old[at], entry)))
+                    self.lines.push(format!("~ {entry_path}: {}", changed_fields(&old[at], entry)))
                 }
-                Err(_) => self.lines.push(format!("+ {place}")),
+                Err(_) => self.lines.push(format!("+ {entry_path}")),
             }
             put.push(entry.clone());
         }
-        (put, taken_out)
+        (put, removed)
     }
 }
 
-/// The names of the fields in which two entries differ.
+/// Lists the names of the top-level fields in which two entries differ, separated by commas.
 fn changed_fields<T: Serialize>(old: &T, new: &T) -> String {
     let fields = |value: &T| serde_json::to_value(value).unwrap_or_default();
     let (old, new) = (fields(old), fields(new));
@@ -104,7 +111,8 @@
 
     use super::*;
 
-    /// A manifest with those of six adapters and tenants whose kind is not 0; kinds differ in fields.
+    /// Makes a manifest from the kinds of six adapters and six tenants: kind 0 is absent, and the
+    /// other kinds differ in their fields.
     fn manifest(adapters: &[u8], tenants: &[u8]) -> ServingManifest {
         let present = |kinds: &[u8]| -> Vec<(usize, u8)> {
             kinds.iter().copied().enumerate().filter(|(_, kind)| *kind > 0).collect()
@@ -135,7 +143,7 @@
 
     proptest! {
         #[test]
-        fn delta_makes_it(kinds in prop::collection::vec(0..3_u8, 24)) {
+        fn delta_yields_new_manifest(kinds in prop::collection::vec(0..3_u8, 24)) {
             let old = manifest(&kinds[..6], &kinds[6..12]);
             let new = manifest(&kinds[12..18], &kinds[18..]);
             let diff = ManifestDiff::between(&old, &new);
--- a/ctl/src/document.rs
+++ b/ctl/src/document.rs
@@ -1,4 +1,4 @@
-//! Manifests and deltas in files.
+//! Reads manifests and deltas from files and locates their faults.
 
 use std::path::{Path, PathBuf};
 
@@ -11,10 +11,10 @@
 
 use crate::error::{CtlError, UnreadableSnafu};
 
-/// The most bytes in a manifest's file.
-const MOST_FILE_BYTES: u64 = 256 << 20;
+/// Maximum size of a manifest's or a delta's file.
+const MAX_FILE_BYTES: u64 = 256 << 20;
 
-/// A file's text, kept so that faults which are found later can still be placed in it.
+/// A manifest or delta file. Its text is kept to locate faults that are found after parsing.
 pub(crate) struct ManifestFile {
     path: PathBuf,
     text: String,
@@ -22,40 +22,41 @@
 
 impl ManifestFile {
     pub(crate) fn read(path: &Path) -> Result<Self, CtlError> {
-        let text = read_text(path, MOST_FILE_BYTES).context(UnreadableSnafu { file: path })?;
+        let text = read_text(path, MAX_FILE_BYTES).context(UnreadableSnafu { file: path })?;
         Ok(Self { path: path.to_owned(), text })
     }
 
-    /// The whole manifest that stands in the file, checked and in normal form.
+    /// Parses the file as a whole manifest, checks it and brings it into normal form.
     pub(crate) fn manifest(&self) -> Result<ServingManifest, CtlError> {
         let mut manifest: ServingManifest = self.parse()?;
         let faults = check_manifest(&manifest);
         if !faults.is_empty() {
-            return Err(self.faulty(&faults));
+            return Err(self.invalid(&faults));
         }
         normalize(&mut manifest);
         Ok(manifest)
     }
 
-    /// The delta that stands in the file; whether it fits its base is not checked.
+    /// Parses the file as a delta, without checking it against its base.
     pub(crate) fn delta(&self) -> Result<ManifestDelta, CtlError> {
         self.parse()
     }
 
-    /// The manifest that the delta in the file makes of `base`.
+    /// Parses the file as a delta and applies it to `base`.
     pub(crate) fn applied_to(&self, base: &ServingManifest) -> Result<ServingManifest, CtlError> {
-        apply_delta(base, &self.delta()?).map_err(|faults| self.faulty(&faults))
+        apply_delta(base, &self.delta()?).map_err(|faults| self.invalid(&faults))
     }
 
-    /// The faults with their places in the file.
-    pub(crate) fn faulty(&self, faults: &[ManifestFault]) -> CtlError {
-        // The text was parsed before, so it parses again.
+    /// Makes the error that lists the faults with their lines and columns in the file, in this
+    /// order.
+    pub(crate) fn invalid(&self, faults: &[ManifestFault]) -> CtlError {
+        // The text has been parsed before, so parsing does not fail here.
         let document = SettingsDocument::parse(&self.text).ok();
         let located = faults.iter().map(|fault| {
             let place = document.as_ref().map(|document| {
-                // A fault of what a delta makes stands where the delta puts the entry in.
-                let inside = document.locate(&format!("put.{}", fault.path));
-                document.locate(&fault.path).max(inside)
+                // A fault in the result of a delta is located at the delta's `put` entry.
+                let in_put = document.locate(&format!("put.{}", fault.path));
+                document.locate(&fault.path).max(in_put)
             });
             LocatedFault {
                 place: place.unwrap_or_default(),
@@ -66,11 +67,11 @@
         });
         let mut located: Vec<_> = located.collect();
         located.sort_by_key(|fault| fault.place);
-        CtlError::Faulty { file: self.path.clone(), faults: located }
+        CtlError::Invalid { file: self.path.clone(), faults: located }
     }
 
     fn parse<T: DeserializeOwned>(&self) -> Result<T, CtlError> {
         let parsed = SettingsDocument::parse(&self.text).and_then(|it| parse_document(&it));
-        parsed.map_err(|faults| CtlError::Faulty { file: self.path.clone(), faults })
+        parsed.map_err(|faults| CtlError::Invalid { file: self.path.clone(), faults })
     }
 }
--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, and the exit code that says so.
+//! Errors of commands and the exit codes they map to.
 
 use std::path::PathBuf;
 
@@ -7,25 +7,25 @@
 use coltsfoothook_settings::{LocatedFault, SecretError, SettingsError};
 use snafu::Snafu;
 
-/// Exit codes, for pipelines to act on.
+/// Exit codes. Their numbers are stable, for scripts to act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum CtlExit {
-    /// Done; for a publication: in force, now or by an earlier attempt.
+    /// The command succeeded. A publication is in force, by this attempt or an earlier one.
     Done = 0,
-    /// Refused for good: the file has faults, or the name is not known. Nothing changed.
+    /// Refused permanently: the file has faults, or the name is unknown. Nothing changed.
     Refused = 1,
-    /// The command line, a file or the settings cannot be used. Nothing was sent.
+    /// The command line, a file or the settings are invalid. Nothing was sent.
     Usage = 2,
     /// No entry VM could be reached. Nothing changed.
     NotReached = 3,
-    /// The outcome is not known; the same command again is safe.
+    /// The outcome is unknown. It is safe to repeat the same command.
     Unknown = 4,
-    /// Another publication came first. Nothing changed; build on the version in force.
+    /// Another publication was accepted first. Nothing changed; rebase on the version in force.
     StaleBase = 5,
-    /// Not now: the platform's log is down or the VM is not ready. Nothing changed.
-    NotNow = 6,
-    /// The operator's token was refused. Nothing changed.
+    /// Temporarily unavailable: the platform's log is down or the VM is not ready. Nothing changed.
+    Unavailable = 6,
+    /// The operator's token was rejected. Nothing changed.
     Unauthenticated = 7,
 }
 
@@ -44,7 +44,7 @@
     #[snafu(display("{source}"), context(false))]
     Keys { source: KeyError },
     #[snafu(display("{}", fault_lines(file, faults)))]
-    Faulty { file: PathBuf, faults: Vec<LocatedFault> },
+    Invalid { file: PathBuf, faults: Vec<LocatedFault> },
     #[snafu(display("no entry VM could be reached:\n  {}", attempts.join("\n  ")))]
     NotReached { attempts: Vec<String> },
     #[snafu(display(
@@ -54,8 +54,8 @@
     Unknown { attempts: Vec<String> },
     #[snafu(display("{}: {}", document.title, document.detail))]
     Problem { document: Box<ProblemDocument> },
-    #[snafu(display("the entry VM's answer cannot be read: {message}"))]
-    OddAnswer { message: String },
+    #[snafu(display("malformed answer from the entry VM: {message}"))]
+    MalformedAnswer { message: String },
 }
 
 fn fault_lines(file: &std::path::Path, faults: &[LocatedFault]) -> String {
@@ -64,12 +64,12 @@
 }
 
 impl CtlError {
-    /// A mistake in the command line.
+    /// Makes the error for an invalid command line.
     pub(crate) fn usage(message: impl Into<String>) -> Self {
         Self::Usage { message: message.into() }
     }
 
-    /// The exit code that tells it.
+    /// Returns the exit code for the error.
     pub(crate) fn exit(&self) -> CtlExit {
         match self {
             Self::Usage { .. }
@@ -77,9 +77,9 @@
             | Self::Settings { .. }
             | Self::Keys { .. }
             | Self::Secret { .. } => CtlExit::Usage,
-            Self::Faulty { .. } => CtlExit::Refused,
+            Self::Invalid { .. } => CtlExit::Refused,
             Self::NotReached { .. } => CtlExit::NotReached,
-            Self::Unknown { .. } | Self::OddAnswer { .. } => CtlExit::Unknown,
+            Self::Unknown { .. } | Self::MalformedAnswer { .. } => CtlExit::Unknown,
             Self::Problem { document } => problem_exit(&document.reason),
         }
     }
@@ -92,7 +92,7 @@
     } else if is(ProblemReason::AppendUnknown) || is(ProblemReason::Internal) {
         CtlExit::Unknown
     } else if is(ProblemReason::LogUnavailable) || is(ProblemReason::NotReady) {
-        CtlExit::NotNow
+        CtlExit::Unavailable
     } else if is(ProblemReason::Unauthenticated) {
         CtlExit::Unauthenticated
     } else {
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' program, as a function of its arguments.
+//! The operators' command line program as a library.
 //!
-//! [`run`] does what `coltsfoothook-ctl` does and writes to streams that it is given, so that tests
-//! and pipelines in one process see what an operator would see. The exit codes are those of
+//! [`run`] executes one `coltsfoothook-ctl` command and writes to the buffers of [`CtlStreams`], so
+//! that tests can run commands in their own process. It returns one of the exit codes of
 //! [`CtlExit`]; docs/OPERATORS.md lists them with the commands.
 //!
 //! ```
--- a/ctl/src/losses.rs
+++ b/ctl/src/losses.rs
@@ -1,4 +1,4 @@
-//! Where requests were late, refused or lost, from log files of gateways.
+//! Statistics of late, refused and failed requests, from log files of gateways.
 
 use std::path::PathBuf;
 
@@ -9,33 +9,38 @@
 use crate::report::CtlReport;
 use crate::table::TextTable;
 
-/// Bounds of the groups that adapters are told in, by how often they were asked for: the hottest are few
-/// and bring most requests, the coldest are asked for once or twice.
+/// Groups of adapters by rank in number of requests: the first rank after the group, and its label.
+/// The first few adapters receive most of the requests, the last ones one or two each.
 const RANKS: [(usize, &str); 4] =
     [(10, "first 10"), (50, "next 40"), (200, "next 150"), (usize::MAX, "all others")];
-/// Reasons that are shown, the most frequent first.
-const MOST_REASONS: usize = 12;
+/// Maximum number of reasons, and of causes, that are shown.
+const MAX_REASONS: usize = 12;
 
-/// What became of a group of requests.
+/// Counts of outcomes in a group of requests.
 #[derive(Clone, Debug, Default)]
 struct LossCount {
-    asked: u64,
+    requests: u64,
     done: u64,
     refused: u64,
-    left: u64,
+    /// Requests whose caller closed the connection.
+    cancelled: u64,
     late: u64,
-    /// Streams that began in time and paused for too long.
+    /// Streams that started in time and then paused for too long.
     paused: u64,
+    /// Sum over the requests.
     stall_ms: u64,
+    /// Sum over the requests.
     held_ms: u64,
-    firsts_ms: Vec<u64>,
+    /// Time to the first piece of each request that was done, unsorted.
+    first_piece_ms: Vec<u64>,
+    /// Adapter loads that servers accepted.
     loads: u64,
 }
 
 impl LossCount {
-    /// Counts the end of a request; one whose first piece came after `late_ms` is late.
+    /// Counts a finished request. It is late if its first piece came after more than `late_ms`.
     fn add(&mut self, line: &LogLine, late_ms: u64) {
-        self.asked += 1;
+        self.requests += 1;
         self.stall_ms += line.number("stall_ms");
         self.held_ms += line.number("held_ms");
         self.paused += u64::from(line.field("late") == Some("pause"));
@@ -44,61 +49,64 @@
                 let first_ms = line.number("first_ms");
                 self.done += 1;
                 self.late += u64::from(first_ms > late_ms);
-                self.firsts_ms.push(first_ms);
+                self.first_piece_ms.push(first_ms);
             }
             Some("refused") => self.refused += 1,
-            Some("caller_left") => self.left += 1,
+            Some("caller_left") => self.cancelled += 1,
             _ => {}
         }
     }
 
     fn failed(&self) -> u64 {
-        self.asked - self.done - self.refused - self.left
+        self.requests - self.done - self.refused - self.cancelled
     }
 
+    /// Returns a percentile of the time to the first piece, or zero if no request was done.
     fn first_ms(&self, percent: usize) -> u64 {
-        let mut firsts = self.firsts_ms.clone();
-        firsts.sort_unstable();
-        firsts.get(firsts.len() * percent / 100).or(firsts.last()).copied().unwrap_or(0)
+        let mut sorted_ms = self.first_piece_ms.clone();
+        sorted_ms.sort_unstable();
+        sorted_ms.get(sorted_ms.len() * percent / 100).or(sorted_ms.last()).copied().unwrap_or(0)
     }
 
     fn cells(&self, name: &str) -> Vec<String> {
-        let figures = [
-            self.asked,
+        let counts = [
+            self.requests,
             self.done,
             self.late,
             self.paused,
             self.refused,
             self.failed(),
-            self.left,
+            self.cancelled,
             self.first_ms(50),
             self.first_ms(95),
-            self.stall_ms / self.asked.max(1),
-            self.held_ms / self.asked.max(1),
+            self.stall_ms / self.requests.max(1),
+            self.held_ms / self.requests.max(1),
             self.loads,
         ];
-        let cells = figures.iter().map(u64::to_string);
+        let cells = counts.iter().map(u64::to_string);
         std::iter::once(name.to_owned()).chain(cells).collect()
     }
 
     fn json(&self, name: &str) -> Value {
         json!({
-            "name": name, "asked": self.asked, "done": self.done, "late": self.late, "paused": self.paused,
-            "refused": self.refused, "failed": self.failed(), "left": self.left,
+            "name": name, "asked": self.requests, "done": self.done, "late": self.late, "paused": self.paused,
+            "refused": self.refused, "failed": self.failed(), "left": self.cancelled,
             "first_ms_p50": self.first_ms(50), "first_ms_p95": self.first_ms(95),
-            "stall_ms_mean": self.stall_ms / self.asked.max(1),
-            "held_ms_mean": self.held_ms / self.asked.max(1), "loads": self.loads,
+            "stall_ms_mean": self.stall_ms / self.requests.max(1),
+            "held_ms_mean": self.held_ms / self.requests.max(1), "loads": self.loads,
         })
     }
 }
 
-/// Counts by a key, sorted by it.
+/// Counts per key, sorted by key unless built otherwise.
 #[derive(Debug, Default)]
 struct LossGroups {
     groups: Vec<(String, LossCount)>,
 }
 
 impl LossGroups {
+    /// Returns the counts of a key, adding them if missing. Requires the groups to be sorted by
+    /// key.
     fn get(&mut self, key: &str) -> &mut LossCount {
         let found = self.groups.binary_search_by(|(name, _)| name.as_str().cmp(key));
         let at = found.unwrap_or_else(|at| {
@@ -122,7 +130,8 @@
     }
 }
 
-/// Counts what became of requests by route, by how often their adapter is asked for, by time and by reason.
+/// Counts outcomes of requests by route, by the rank of their adapter, by server, by interval of
+/// `every_s` seconds and by reason.
 pub(crate) fn losses(files: &[PathBuf], late_ms: u64, every_s: u64) -> Result<CtlReport, CtlError> {
     let lines = read_lines(files)?;
     let ended: Vec<&LogLine> = lines.iter().filter(|line| line.is_any(&["request_done"])).collect();
@@ -143,22 +152,22 @@
     }
     let ranks = by_rank(&lines, &ended, late_ms);
     let reasons = reasons(&ended);
-    let mut shown = TextTable::new(&["outcome and reason", "requests"]);
+    let mut reason_table = TextTable::new(&["outcome and reason", "requests"]);
     for (reason, count) in &reasons {
-        shown.row(vec![reason.clone(), count.to_string()]);
+        reason_table.row(vec![reason.clone(), count.to_string()]);
     }
     let causes = late_causes(&ended);
-    let mut late = TextTable::new(&["late because of", "requests"]);
+    let mut cause_table = TextTable::new(&["late because of", "requests"]);
     for (cause, count) in &causes {
-        late.row(vec![cause.clone(), count.to_string()]);
+        cause_table.row(vec![cause.clone(), count.to_string()]);
     }
     let text = [
         routes.table("route"),
         ranks.table("adapters by use"),
         servers.table("server"),
         times.table("from"),
-        late.lines(),
-        shown.lines(),
+        cause_table.lines(),
+        reason_table.lines(),
     ];
     let json = json!({
         "late_ms": late_ms, "routes": routes.json(), "adapters": ranks.json(),
@@ -167,13 +176,14 @@
     Ok(CtlReport::done(text.join("\n").trim_end(), &json))
 }
 
-/// Whether a line tells of the load of an adapter that a server accepted.
+/// Returns whether a line records an adapter load that a server accepted.
 fn is_load(line: &LogLine) -> bool {
     line.is_any(&["order_given"])
         && line.field("order") == Some("load")
         && line.field("outcome") == Some("accepted")
 }
 
+/// Counts outcomes by the rank of the adapters in number of requests.
 fn by_rank(lines: &[LogLine], ended: &[&LogLine], late_ms: u64) -> LossGroups {
     let mut adapters = LossGroups::default();
     for line in ended {
@@ -184,7 +194,7 @@
     for line in lines.iter().filter(|line| is_load(line)) {
         adapters.get(line.field("subject").unwrap_or_default()).loads += 1;
     }
-    adapters.groups.sort_by_key(|(_, count)| std::cmp::Reverse(count.asked));
+    adapters.groups.sort_by_key(|(_, count)| std::cmp::Reverse(count.requests));
     let mut ranks: Vec<(String, LossCount)> =
         RANKS.iter().map(|(_, name)| ((*name).to_owned(), LossCount::default())).collect();
     for (rank, (_, count)) in adapters.groups.into_iter().enumerate() {
@@ -196,44 +206,45 @@
 
 impl LossCount {
     fn merge(&mut self, other: Self) {
-        self.asked += other.asked;
+        self.requests += other.requests;
         self.done += other.done;
         self.refused += other.refused;
-        self.left += other.left;
+        self.cancelled += other.cancelled;
         self.late += other.late;
         self.paused += other.paused;
         self.held_ms += other.held_ms;
         self.stall_ms += other.stall_ms;
         self.loads += other.loads;
-        self.firsts_ms.extend(other.firsts_ms);
+        self.first_piece_ms.extend(other.first_piece_ms);
     }
 }
 
-/// What made answers late, as the gateways found.
+/// Counts the causes of late answers that the gateways logged.
 fn late_causes(ended: &[&LogLine]) -> Vec<(String, usize)> {
-    counted(ended.iter().filter_map(|line| line.field("late")).map(str::to_owned).collect())
+    count_texts(ended.iter().filter_map(|line| line.field("late")).map(str::to_owned).collect())
 }
 
+/// Counts the outcomes and reasons of requests that were not done.
 fn reasons(ended: &[&LogLine]) -> Vec<(String, usize)> {
-    let lost = ended.iter().filter(|line| line.field("outcome") != Some("done"));
-    let named = lost.map(|line| {
+    let not_done = ended.iter().filter(|line| line.field("outcome") != Some("done"));
+    let named = not_done.map(|line| {
         let outcome = line.field("outcome").unwrap_or("unknown");
         format!("{outcome}: {}", line.field("reason").unwrap_or("no reason"))
     });
-    counted(named.collect())
+    count_texts(named.collect())
 }
 
-/// How often each text comes, the most frequent first.
-fn counted(mut named: Vec<String>) -> Vec<(String, usize)> {
-    named.sort_unstable();
+/// Counts equal texts and returns the most frequent ones, the most frequent first.
+fn count_texts(mut texts: Vec<String>) -> Vec<(String, usize)> {
+    texts.sort_unstable();
     let mut counts: Vec<(String, usize)> =
-        named.chunk_by(|a, b| a == b).map(|same| (same[0].clone(), same.len())).collect();
+        texts.chunk_by(|a, b| a == b).map(|same| (same[0].clone(), same.len())).collect();
     counts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    counts.truncate(MOST_REASONS);
+    counts.truncate(MAX_REASONS);
     counts
 }
 
-/// A time of the day.
+/// Formats milliseconds since midnight as `HH:MM:SS`.
 fn clock(ms: u64) -> String {
     let seconds = ms / 1_000;
     format!("{:02}:{:02}:{:02}", seconds / 3_600, seconds / 60 % 60, seconds % 60)
--- a/ctl/src/publish.rs
+++ b/ctl/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing a change, so that repeating it is safe.
+//! Idempotent publication of manifests and deltas.
 
 use std::time::{Duration, Instant};
 
@@ -15,14 +15,14 @@
 use crate::error::CtlError;
 use crate::report::CtlReport;
 
-/// The pause between two looks at the status of all VMs.
-const EVERYWHERE_PAUSE: Duration = Duration::from_millis(200);
-/// Bytes of the hash that an id is made of; collisions are out of reach.
+/// Interval between polls of the VMs' status.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of bytes of the SHA-256 hash in a derived id; enough to make collisions negligible.
 const ID_BYTES: usize = 16;
 
-/// The id of a publication, made from what it changes and its base. The same file published again
-/// on the same base has the same id, so a pipeline that repeats a step changes nothing twice; a
-/// change and its later reversal have different bases and so different ids.
+/// Derives the id of a publication from its change and its base, so that publishing the same change
+/// on the same base again is recognised as a repeat. A change and its later reversal have different
+/// bases and so different ids.
 fn derived_id(base: ConfigVersion, change: &ConfigChange) -> Result<String, CtlError> {
     let json = serde_json::to_vec(change).map_err(|error| CtlError::usage(error.to_string()))?;
     let mut hasher = Sha256::new();
@@ -31,37 +31,41 @@
     Ok(format!("ctl-{}", hexadecimal(&hasher.finalize()[..ID_BYTES])))
 }
 
-/// Bytes in hexadecimal.
+/// Formats bytes as lower-case hexadecimal digits.
 pub(crate) fn hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A publication as asked for on the command line.
-pub(crate) struct PublishOrder {
+/// A publication as requested on the command line.
+pub(crate) struct PublishRequest {
     pub(crate) base: ConfigVersion,
+    /// With `None` the id is derived from the change and its base.
     pub(crate) publish_id: Option<String>,
+    /// How long to wait until the version is in force at every VM; `None` does not wait.
     pub(crate) everywhere: Option<Duration>,
+    /// Whether the file is a delta.
     pub(crate) delta: bool,
 }
 
-/// Publishes what stands in `file` and reports what became of it.
+/// Publishes the manifest or delta in `file` and reports the resulting version.
 pub(crate) async fn publish(
     client: &EntryClient,
     file: &ManifestFile,
-    order: PublishOrder,
+    request: PublishRequest,
 ) -> Result<CtlReport, CtlError> {
-    let change = if order.delta {
+    let change = if request.delta {
         ConfigChange::Delta(file.delta()?)
     } else {
         ConfigChange::Whole(file.manifest()?)
     };
-    let publish_id = match order.publish_id {
+    let publish_id = match request.publish_id {
         Some(publish_id) => publish_id,
-        None => derived_id(order.base, &change)?,
+        None => derived_id(request.base, &change)?,
     };
-    let call = PublishCall { base: order.base, publish_id, change };
+    let call = PublishCall { base: request.base, publish_id, change };
     let sent = client.change(Method::POST, "/v1/publish", &call).await;
-    let published: PublishedAnswer = sent.map_err(|error| explained(error, file, order.base))?;
+    let published: PublishedAnswer =
+        sent.map_err(|error| with_details(error, file, request.base))?;
     let what = if published.repeated { "was in force already, as" } else { "is in force as" };
     let mut text = format!("the change {what} version {}", published.version);
     let mut json = json!({
@@ -70,24 +74,25 @@
         "repeated": published.repeated,
         "publish_id": call.publish_id,
     });
-    if let Some(limit) = order.everywhere {
-        let reached = everywhere(client, published.version, limit).await?;
+    if let Some(limit) = request.everywhere {
+        let reached = wait_everywhere(client, published.version, limit).await?;
         text = format!("{text}, at every VM after {} ms", reached.after_ms);
         json["everywhere"] = serde_json::to_value(&reached).unwrap_or_default();
     }
     Ok(CtlReport::done(text, &json))
 }
 
-/// Adds what an operator needs to go on: places in the file, or what won the race.
-fn explained(error: CtlError, file: &ManifestFile, base: ConfigVersion) -> CtlError {
+/// Adds to an error what an operator needs to proceed: the locations of faults in the file, or the
+/// version in force.
+fn with_details(error: CtlError, file: &ManifestFile, base: ConfigVersion) -> CtlError {
     let CtlError::Problem { mut document } = error else { return error };
     if !document.faults.is_empty() {
-        return file.faulty(&document.faults);
+        return file.invalid(&document.faults);
     }
     if let Some(in_force) = document.in_force {
         document.detail = format!(
             "version {in_force} is in force and this change builds on {base}; nothing changed. \
-             Look at `diff`, then publish with --base {in_force}"
+             Check `diff`, then publish with --base {in_force}"
         );
     }
     CtlError::Problem { document }
@@ -99,8 +104,9 @@
     after_ms: u64,
 }
 
-/// Waits until every VM that is known has `version` in force.
-async fn everywhere(
+/// Polls the status until every known VM has `version` or a later one in force. After `limit` the
+/// outcome is unknown.
+async fn wait_everywhere(
     client: &EntryClient,
     version: ConfigVersion,
     limit: Duration,
@@ -108,20 +114,22 @@
     let start = Instant::now();
     loop {
         let status: FleetStatus = client.get("/v1/status").await?;
-        let behind = status
+        let outdated = status
             .vms
             .iter()
             .filter(|vm| vm.reply.as_ref().is_none_or(|reply| reply.config < version));
-        let behind: Vec<&str> = behind.map(|vm| vm.vm.as_str()).collect();
-        if behind.is_empty() {
+        let outdated: Vec<&str> = outdated.map(|vm| vm.vm.as_str()).collect();
+        if outdated.is_empty() {
             let after_ms = u64::try_from(start.elapsed().as_millis()).unwrap_or(u64::MAX);
             return Ok(EverywhereReport { vms: status.vms.len(), after_ms });
         }
         if start.elapsed() >= limit {
-            let message =
-                format!("version {version} is accepted but not seen at {}", behind.join(", "));
+            let message = format!(
+                "version {version} is accepted but not yet in force at {}",
+                outdated.join(", ")
+            );
             return Err(CtlError::Unknown { attempts: vec![message] });
         }
-        tokio::time::sleep(EVERYWHERE_PAUSE).await;
+        tokio::time::sleep(STATUS_POLL_INTERVAL).await;
     }
 }
--- a/ctl/src/report.rs
+++ b/ctl/src/report.rs
@@ -1,33 +1,33 @@
-//! What a command has to say, for a human and for a pipeline.
+//! Reports of commands, as text and as JSON.
 
 use serde::Serialize;
 use serde_json::{Value, json};
 
 use crate::error::{CtlError, CtlExit};
 
-/// The end of a command.
+/// Result of a command.
 pub(crate) struct CtlReport {
-    /// The exit code.
+    /// The exit code of the process.
     pub(crate) exit: CtlExit,
-    /// For a human; ends without a line break.
+    /// Output without `--json`; ends without a line break.
     pub(crate) text: String,
-    /// For a pipeline: an object.
+    /// Output with `--json`: an object.
     pub(crate) json: Value,
 }
 
 impl CtlReport {
-    /// A command that was done.
+    /// Makes the report of a command that succeeded.
     pub(crate) fn done(text: impl Into<String>, json: &impl Serialize) -> Self {
         let json = serde_json::to_value(json).unwrap_or_default();
         Self { exit: CtlExit::Done, text: text.into(), json }
     }
 
-    /// A command that failed.
+    /// Makes the report of a command that failed.
     pub(crate) fn failed(error: &CtlError) -> Self {
         let exit = error.exit();
         let mut json = json!({ "exit": exit as u8, "error": error.to_string() });
         match error {
-            CtlError::Faulty { file, faults } => {
+            CtlError::Invalid { file, faults } => {
                 let faults = faults.iter().map(|fault| {
                     json!({
                         "file": file.display().to_string(),
--- a/ctl/src/settings.rs
+++ b/ctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! How the program reaches entry VMs.
+//! Settings of the operators' program.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,9 +6,9 @@
 use coltsfoothook_settings::{FaultList, SecretFile, settings_struct};
 
 settings_struct! {
-    /// Settings of the operators' program; each can also be given on the command line.
+    /// Settings of the operators' program; the command line overrides some of them.
     pub struct CtlSettings {
-        /// Operators' addresses of entry VMs; the next is asked when one cannot be reached.
+        /// Operators' addresses of entry VMs; the next is tried when one cannot be reached.
         pub entries: Vec<SocketAddr> = Vec::new(), in 0..=64;
         /// The file with the operator's token.
         pub token_file: Option<SecretFile> = None;
@@ -16,13 +16,13 @@
         pub ca_file: Option<PathBuf> = None;
         /// The name in the entry VMs' certificates; without it, their IP numbers.
         pub server_name: Option<String> = None;
-        /// Whether to speak without TLS to addresses other than loopback ones, token included.
+        /// Whether to connect without TLS to non-loopback addresses, sending the token unencrypted.
         pub plain: bool = false;
-        /// The longest time for a call, in milliseconds.
+        /// The timeout of a call, in milliseconds.
         pub timeout_ms: u64 = 20_000, in 100..=600_000;
-        /// How often a call is sent when its outcome is not known or the log is down.
+        /// How often a change is tried in total while its outcome is unknown or the log is down.
         pub attempts: u32 = 3, in 1..=100;
-        /// The most bytes in an answer.
+        /// The maximum size of an answer, in bytes.
         pub answer_bytes: usize = 64 << 20, in 1_024..=1 << 30;
     }
     check check_tls
@@ -30,6 +30,6 @@
 
 fn check_tls(settings: &CtlSettings, faults: &mut FaultList) {
     if settings.plain && settings.ca_file.is_some() {
-        faults.add("plain", "it contradicts ca_file", "one of the two");
+        faults.add("plain", "it conflicts with ca_file", "one of the two");
     }
 }
--- a/ctl/src/show.rs
+++ b/ctl/src/show.rs
@@ -1,4 +1,4 @@
-//! Status and explanations as text.
+//! Formats the VMs' status and explanations of requests as text.
 
 use std::fmt::Write;
 
@@ -7,7 +7,7 @@
 
 use crate::table::TextTable;
 
-/// The status of all VMs for a human.
+/// Formats the status of all VMs as tables and warnings; lists the loaded adapters if `loaded`.
 pub(crate) fn status_text(status: &FleetStatus, loaded: bool) -> String {
     let mut text = vm_table(status).lines();
     text.push('\n');
@@ -17,7 +17,7 @@
         text.push_str(&slot_table(status).lines());
     }
     for warning in warnings(status) {
-        // Writing into a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "\nwarning: {warning}");
     }
     text.trim_end().to_owned()
@@ -101,20 +101,21 @@
     table
 }
 
-/// What a healthy system does not show.
+/// Returns a warning for each VM that does not answer, outdated configuration, broken invariant and
+/// group with several owners.
 fn warnings(status: &FleetStatus) -> Vec<String> {
     let mut warnings = Vec::new();
     let replies = || status.vms.iter().filter_map(|vm| vm.reply.as_ref());
-    let silent: Vec<&str> =
+    let unresponsive: Vec<&str> =
         status.vms.iter().filter(|vm| vm.reply.is_none()).map(|vm| vm.vm.as_str()).collect();
-    if !silent.is_empty() {
-        warnings.push(format!("no answer from {}", silent.join(", ")));
+    if !unresponsive.is_empty() {
+        warnings.push(format!("no answer from {}", unresponsive.join(", ")));
     }
     let newest = replies().map(|reply| reply.config).max().unwrap_or_default();
-    let old: Vec<&str> =
+    let outdated: Vec<&str> =
         replies().filter(|reply| reply.config < newest).map(|reply| reply.vm.vm.as_str()).collect();
-    if !old.is_empty() {
-        warnings.push(format!("version {newest} is not in force at {}", old.join(", ")));
+    if !outdated.is_empty() {
+        warnings.push(format!("version {newest} is not in force at {}", outdated.join(", ")));
     }
     for reply in replies() {
         for count in reply.invariants.iter().filter(|count| count.broken > 0) {
@@ -128,14 +129,14 @@
     claims.sort_unstable();
     for pair in claims.windows(2).filter(|pair| pair[0].0 == pair[1].0) {
         warnings.push(format!(
-            "{} and {} both take group {} to be theirs; the older one yields when it reads the log",
+            "{} and {} both claim ownership of group {}; the older owner yields when it reads the log",
             pair[0].1, pair[1].1, pair[0].0
         ));
     }
     warnings
 }
 
-/// The steps of a request for a human.
+/// Formats the steps of a request as a table.
 pub(crate) fn explain_text(replies: &[ExplainReply]) -> String {
     let mut table = TextTable::new(&["VM", "MS", "STEP", "DETAIL"]);
     for reply in replies {
--- a/ctl/src/table.rs
+++ b/ctl/src/table.rs
@@ -1,20 +1,20 @@
-//! Text in columns.
+//! Plain text tables.
 
-/// A table with a head.
+/// A table whose first row is its header.
 pub(crate) struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    pub(crate) fn new(head: &[&str]) -> Self {
-        Self { rows: vec![head.iter().map(|&cell| cell.to_owned()).collect()] }
+    pub(crate) fn new(header: &[&str]) -> Self {
+        Self { rows: vec![header.iter().map(|&cell| cell.to_owned()).collect()] }
     }
 
     pub(crate) fn row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
-    /// Lines with aligned columns, without blanks at their ends.
+    /// Formats the rows as lines with aligned columns and without trailing spaces.
     pub(crate) fn lines(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or_default();
         let width_of = |column: usize| {
@@ -26,9 +26,9 @@
         for row in &self.rows {
             let mut line = String::new();
             for (cell, width) in row.iter().zip(&widths) {
-                let gap = width + 2 - cell.chars().count();
+                let padding = width + 2 - cell.chars().count();
                 line.push_str(cell);
-                line.extend(std::iter::repeat_n(' ', gap));
+                line.extend(std::iter::repeat_n(' ', padding));
             }
             text.push_str(line.trim_end());
             text.push('\n');
--- a/ctl/src/tls.rs
+++ b/ctl/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards entry VMs.
+//! TLS connections to entry VMs.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,7 +10,7 @@
 
 use crate::error::CtlError;
 
-/// Connects with TLS, trusting the authorities of one file alone.
+/// TLS client that trusts only the certificate authorities of one file.
 pub(crate) struct TlsClient {
     connector: TlsConnector,
     server_name: Option<ServerName<'static>>,
@@ -22,13 +22,14 @@
         let server_name = match server_name {
             None => None,
             Some(name) => Some(ServerName::try_from(name.to_owned()).map_err(|_| {
-                CtlError::usage(format!("{name:?} is no name that a certificate can have"))
+                CtlError::usage(format!("{name:?} is not a valid server name for a certificate"))
             })?),
         };
         Ok(Self { connector: TlsConnector::from(Arc::new(config)), server_name })
     }
 
-    /// The name that the certificate at `address` must have.
+    /// Returns the name that the certificate of the VM at `address` must carry: the configured
+    /// server name, else the IP address.
     pub(crate) fn name(&self, address: SocketAddr) -> ServerName<'static> {
         self.server_name.clone().unwrap_or_else(|| ServerName::IpAddress(address.ip().into()))
     }
--- a/ctl/tests/suite/check_offline.rs
+++ b/ctl/tests/suite/check_offline.rs
@@ -1,4 +1,4 @@
-//! Manifests are checked without a connection: all faults, each with its line and column.
+//! The `check` command reports all faults of a manifest, each with its line and column.
 
 use std::fmt::Write;
 
@@ -7,18 +7,19 @@
 
 use crate::fake::{directory, run_alone};
 
+/// Runs `check` on a file with `text`; returns the exit code and the output without the directory.
 fn check(test: &str, text: &str) -> (CtlExit, String) {
     let directory = directory("check_offline");
     let path = directory.join(format!("{test}.json"));
     std::fs::write(&path, text).expect("a file");
-    let ended = run_alone(&["check", &path.display().to_string()]);
-    let shown = (ended.out + &ended.err).replace(&format!("{}/", directory.display()), "");
-    (ended.exit, shown)
+    let result = run_alone(&["check", &path.display().to_string()]);
+    let output = (result.out + &result.err).replace(&format!("{}/", directory.display()), "");
+    (result.exit, output)
 }
 
 #[test]
-fn faults_of_shape() {
-    let (exit, shown) = check(
+fn syntax_faults() {
+    let (exit, output) = check(
         "shape",
         "{\n  \"models\": [{ \"name\": \"m\" }],\n  // a typo, a wrong type and a missing key\n  \"adaptors\": [],\n  \
          \"servers\": [{ \"name\": \"e\", \"address\": 80 }],\n  \"tenants\": [{ \"name\": \"t\" }]\n}",
@@ -28,12 +29,12 @@
         shape.json:4:3: adaptors: unknown key; did you mean `adapters`? allowed: `models`, `adapters`, `tenants`, `servers`, `services`, `classes`, `schedules`, `stores`, `policy`
         shape.json:5:30: servers[0].address: wrong type or value: integer `80`; allowed: an IP number and a port, such as 127.0.0.1:8080
         shape.json:6:15: tenants[0].credentials: it must be given
-    "#]].assert_eq(&shown);
+    "#]].assert_eq(&output);
 }
 
 #[test]
-fn faults_of_sense() {
-    let (exit, shown) = check(
+fn semantic_faults() {
+    let (exit, output) = check(
         "sense",
         r#"{
   "models": [{ "name": "m" }],
@@ -57,9 +58,10 @@
         sense.json:7:7: adapters["a"].default_version: the adapter has no version "2"; allowed: one of the adapter's versions
         sense.json:9:48: schedules["s"].version: adapter "a" has no version "3"; allowed: one of the adapter's versions
         sense.json:9:64: schedules["s"].due_s: 86400 is out of range; allowed: 0 to 86399
-    "#]].assert_eq(&shown);
+    "#]].assert_eq(&output);
 }
 
+/// A fault in a large manifest is located correctly, and the manifest passes once it is fixed.
 #[test]
 fn many_adapters() {
     let mut text = String::from("{ \"models\": [{ \"name\": \"m\" }], \"adapters\": [\n");
@@ -73,12 +75,12 @@
         .expect("text");
     }
     text.push_str("] }");
-    let (exit, shown) = check("many", &text);
+    let (exit, output) = check("many", &text);
     assert_eq!(exit, CtlExit::Refused);
     expect![[r#"
         many.json:15002:65: adapters["a15000"].versions[0].version: the name "" is not allowed; allowed: 1 to 128 bytes, no white space, no control characters, none of @#/\"?%, not "." or ".."
-    "#]].assert_eq(&shown);
-    let (exit, shown) = check("whole", &text.replace(r#""version": """#, r#""version": "1""#));
-    assert_eq!(exit, CtlExit::Done, "{shown}");
-    assert!(shown.contains("16000 adapters with 16000 versions"), "{shown}");
+    "#]].assert_eq(&output);
+    let (exit, output) = check("whole", &text.replace(r#""version": """#, r#""version": "1""#));
+    assert_eq!(exit, CtlExit::Done, "{output}");
+    assert!(output.contains("16000 adapters with 16000 versions"), "{output}");
 }
--- a/ctl/tests/suite/event_names.rs
+++ b/ctl/tests/suite/event_names.rs
@@ -1,11 +1,12 @@
-//! Every event in the table is written by some process, so that operators look for none in vain.
+//! Every event in the table is logged by some process, so that the documented list has no dead
+//! entry.
 
 use std::fs;
 use std::path::Path;
 
 use coltsfoothook_telemetry::EventName;
 
-/// The text of all sources below `directory`, without white space.
+/// Appends the text of all sources below `directory`, without white space.
 fn sources(directory: &Path, text: &mut String) {
     for entry in fs::read_dir(directory).expect("a directory") {
         let path = entry.expect("an entry").path();
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn all_written() {
+fn all_logged() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut text = String::new();
     for entry in fs::read_dir(root).expect("the workspace") {
@@ -28,10 +29,10 @@
             sources(&source, &mut text);
         }
     }
-    let written = |name: &EventName| {
+    let is_logged = |name: &EventName| {
         let (macro_use, direct) = (format!("event!({name:?}"), format!("EventName::{name:?}"));
         text.contains(&macro_use) || text.contains(&direct)
     };
-    let missing: Vec<_> = EventName::ALL.iter().filter(|name| !written(name)).collect();
+    let missing: Vec<_> = EventName::ALL.iter().filter(|name| !is_logged(name)).collect();
     assert_eq!(missing, Vec::<&EventName>::new());
 }
--- a/ctl/tests/suite/exit_codes.rs
+++ b/ctl/tests/suite/exit_codes.rs
@@ -1,4 +1,4 @@
-//! Each kind of end has an exit code of its own.
+//! Each kind of outcome has its own exit code.
 
 use coltsfoothook_ctl::{CtlExit, CtlStreams, run};
 
@@ -15,7 +15,7 @@
     let mut streams =
         CtlStreams { read_input: Some(|| Ok("abc\n".to_owned())), ..Default::default() };
     assert_eq!(run(&["hash-credential"], &mut streams), CtlExit::Done);
-    // The hash of "abc" that the standard of SHA-256 gives.
+    // The test vector for "abc" from the SHA-256 standard.
     assert_eq!(streams.out, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad\n");
 }
 
@@ -24,13 +24,13 @@
     let running = start("refused_calls");
     let token = running.file("wrong", "tenant-credential");
     let entry = running.address().to_string();
-    let stranger = run_alone(&["status", "--entry", &entry, "--token-file", &token]);
-    assert_eq!(stranger.exit, CtlExit::Unauthenticated);
-    assert!(!stranger.err.contains("tenant-credential"));
-    let away = run_alone(&["status", "--entry", "127.0.0.1:1", "--token-file", &token]);
-    assert_eq!(away.exit, CtlExit::NotReached);
-    let clear = run_alone(&["status", "--entry", "10.0.0.1:8081", "--token-file", &token]);
-    assert_eq!(clear.exit, CtlExit::Usage, "no token over the network in the clear");
+    let unauthorized = run_alone(&["status", "--entry", &entry, "--token-file", &token]);
+    assert_eq!(unauthorized.exit, CtlExit::Unauthenticated);
+    assert!(!unauthorized.err.contains("tenant-credential"));
+    let unreachable = run_alone(&["status", "--entry", "127.0.0.1:1", "--token-file", &token]);
+    assert_eq!(unreachable.exit, CtlExit::NotReached);
+    let unencrypted = run_alone(&["status", "--entry", "10.0.0.1:8081", "--token-file", &token]);
+    assert_eq!(unencrypted.exit, CtlExit::Usage, "no token over the network in the clear");
     assert_eq!(running.run(&["drain", "server", "engine-1"]).exit, CtlExit::Done);
     assert_eq!(running.run(&["drain", "--undo", "vm", "vm-2"]).exit, CtlExit::Done);
     assert_eq!(running.run(&["drain", "server", "gone"]).exit, CtlExit::Refused);
@@ -42,15 +42,16 @@
 
 #[test]
 fn rejected_change() {
-    // The server finds the faults of a delta, and the program names their places in the file.
+    // Faults that the server finds in a delta are reported with their lines and columns in the
+    // file.
     let running = start("rejected_change");
     let delta = "{\n  \"put\": {\n    \"adapters\": [\n      { \"name\": \"alarm\", \"model\": \"no\", \"versions\": [], \"tenants\": [] }\n    ]\n  }\n}";
     let file = running.file("delta.json", delta);
-    let ended = running.run(&["publish", "--delta", &file, "--base", "0"]);
-    assert_eq!(ended.exit, CtlExit::Refused);
+    let result = running.run(&["publish", "--delta", &file, "--base", "0"]);
+    assert_eq!(result.exit, CtlExit::Refused);
     assert!(
-        ended.err.contains("delta.json:4:26: adapters[\"alarm\"].model: there is no model \"no\""),
+        result.err.contains("delta.json:4:26: adapters[\"alarm\"].model: there is no model \"no\""),
         "{}",
-        ended.err
+        result.err
     );
 }
--- a/ctl/tests/suite/fake.rs
+++ b/ctl/tests/suite/fake.rs
@@ -1,4 +1,5 @@
-//! An operators' face in front of the real fold, with a log that can lose answers.
+//! A fake entry VM: the operators' interface over a real configuration fold, with injectable log
+//! faults.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,21 +16,24 @@
 };
 use tokio::runtime::Runtime;
 
-/// What the log does to the next appends, the first one first.
+/// Fault of the log, injected into one append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFault {
-    /// The record is appended and the answer is lost.
+    /// The record is appended, but the answer is lost.
     LostAnswer,
     /// The record is not appended.
     Outage,
 }
 
+/// State of the fake entry VM.
 #[derive(Default)]
 pub struct FakeState {
     pub fold: ConfigFold,
     pub offset: u64,
+    /// Faults of the next appends, in order; further appends succeed.
     pub faults: Vec<LogFault>,
     pub status: Option<FleetStatus>,
+    /// Drain calls received, as `name draining`.
     pub drained: Vec<String>,
 }
 
@@ -53,11 +57,12 @@
         let PublishCall { base, publish_id, change } = call;
         let offset = state.offset;
         state.offset += 1;
-        let rulings = state.fold.fold(offset, ConfigRecord::Publish { base, publish_id, change });
+        let resolutions =
+            state.fold.fold(offset, ConfigRecord::Publish { base, publish_id, change });
         if fault == Some(LogFault::LostAnswer) {
             return PublishAnswer::Unknown;
         }
-        match rulings[0].verdict.clone() {
+        match resolutions[0].verdict.clone() {
             ConfigVerdict::Accepted(version) => PublishAnswer::Accepted(version),
             ConfigVerdict::Repeated(version) => PublishAnswer::Repeated(version),
             ConfigVerdict::Stale { in_force, .. } => PublishAnswer::Stale { in_force },
@@ -101,8 +106,8 @@
     }
 }
 
-/// A running entry and a directory for the files of one test.
-pub struct Running {
+/// A running fake entry VM with a directory for the files of one test.
+pub struct RunningEntry {
     _runtime: Runtime,
     _server: OperatorServer,
     address: SocketAddr,
@@ -110,24 +115,26 @@
     pub entry: Arc<FakeEntry>,
 }
 
-/// What a command printed.
-pub struct Ended {
+/// Exit code and output of a command.
+pub struct CommandResult {
     pub exit: CtlExit,
     pub out: String,
     pub err: String,
 }
 
+/// Creates the directory for the files of one test.
 pub fn directory(test: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&directory).expect("a directory");
     directory
 }
 
-pub fn start(test: &str) -> Running {
+pub fn start(test: &str) -> RunningEntry {
     start_with(test, None)
 }
 
-pub fn start_with(test: &str, tls: Option<rustls::ServerConfig>) -> Running {
+/// Starts a fake entry VM on a free port and writes the token and settings files for it.
+pub fn start_with(test: &str, tls: Option<rustls::ServerConfig>) -> RunningEntry {
     let runtime = Runtime::new().expect("a runtime");
     let entry = Arc::new(FakeEntry { state: Mutex::default() });
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -137,9 +144,9 @@
     });
     let server = started.expect("a free port");
     let (address, directory) = (server.address(), directory(test));
-    let running = Running { _runtime: runtime, _server: server, address, directory, entry };
+    let running = RunningEntry { _runtime: runtime, _server: server, address, directory, entry };
     running.file("token", "operator-token\n");
-    // Nothing listens at the first address, so every command has to go on to the second one.
+    // Nothing listens on the first address, so every command has to fail over to the second one.
     let text = format!(
         r#"{{ "entries": ["127.0.0.1:1", "{address}"], "token_file": "{}", "attempts": 2 }}"#,
         running.path("token").display()
@@ -148,7 +155,7 @@
     running
 }
 
-impl Running {
+impl RunningEntry {
     pub fn path(&self, name: &str) -> PathBuf {
         self.directory.join(name)
     }
@@ -162,18 +169,18 @@
         self.address
     }
 
-    /// Runs a command with the settings of this entry.
-    pub fn run(&self, arguments: &[&str]) -> Ended {
+    /// Runs a command with the settings file for this entry VM.
+    pub fn run(&self, arguments: &[&str]) -> CommandResult {
         let settings = self.path("ctl.json").display().to_string();
-        let mut all = vec![arguments[0], "--settings", &settings];
-        all.extend(&arguments[1..]);
-        run_alone(&all)
+        let mut with_settings = vec![arguments[0], "--settings", &settings];
+        with_settings.extend(&arguments[1..]);
+        run_alone(&with_settings)
     }
 }
 
-/// Runs a command as it is.
-pub fn run_alone(arguments: &[&str]) -> Ended {
+/// Runs a command without adding arguments.
+pub fn run_alone(arguments: &[&str]) -> CommandResult {
     let mut streams = CtlStreams::default();
     let exit = run(arguments, &mut streams);
-    Ended { exit, out: streams.out, err: streams.err }
+    CommandResult { exit, out: streams.out, err: streams.err }
 }
--- a/ctl/tests/suite/loss_report.rs
+++ b/ctl/tests/suite/loss_report.rs
@@ -1,4 +1,4 @@
-//! Where requests were lost, counted from log files.
+//! The `losses` command counts outcomes of requests in log files.
 
 use coltsfoothook_ctl::CtlExit;
 use expect_test::expect;
@@ -16,13 +16,13 @@
 ts=2026-06-08T13:31:04.300Z level=info at=vm-1 event=request_done request_id=r5 route=tickets outcome=caller_left
 ";
 
-/// Each end counts once in each table, loads with their adapter and their time.
+/// Each finished request counts once per table; a load counts with its adapter, server and time.
 #[test]
-fn split() {
+fn counts_by_group() {
     let path = directory("loss_report").join("all.log");
     std::fs::write(&path, LOG).expect("a file");
-    let ended = run_alone(&["losses", &path.display().to_string()]);
-    assert_eq!(ended.exit, CtlExit::Done);
+    let result = run_alone(&["losses", &path.display().to_string()]);
+    assert_eq!(result.exit, CtlExit::Done);
     expect![[r#"
         route    asked  done  late  paused  refused  failed  left  p50 ms  p95 ms  stall ms  held ms  loads
         alarms   4      3     1     1       1        0       0     400     1400    425       125      0
@@ -50,5 +50,5 @@
         failed: answer cut: reset  1
         refused: adapter_wait      1
     "#]]
-    .assert_eq(&ended.out);
+    .assert_eq(&result.out);
 }
--- a/ctl/tests/suite/main.rs
+++ b/ctl/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' program, one file a feature.
+//! Tests of the operators' program, one file per feature.
 
 mod check_offline;
 mod doc_links;
--- a/ctl/tests/suite/manual_examples.rs
+++ b/ctl/tests/suite/manual_examples.rs
@@ -1,4 +1,4 @@
-//! The examples of docs/OPERATORS.md can be used as they stand.
+//! The examples in docs/OPERATORS.md are valid as printed.
 
 use std::path::PathBuf;
 
@@ -9,13 +9,14 @@
 
 const MANUAL: &str = include_str!("../../../docs/OPERATORS.md");
 
-/// The text of the example called `name`.
+/// Returns the text of the example called `name`.
 fn example(name: &str) -> &'static str {
     let marker = format!("<!-- example: {name} -->\n```json\n");
     let (_, rest) = MANUAL.split_once(&marker).expect("the example is there");
     rest.split_once("```").expect("the example ends").0
 }
 
+/// Writes the example called `name` to a file.
 fn file(name: &str) -> PathBuf {
     let path = directory("manual_examples").join(format!("{name}.json"));
     std::fs::write(&path, example(name)).expect("a file");
--- a/ctl/tests/suite/publish_twice.rs
+++ b/ctl/tests/suite/publish_twice.rs
@@ -1,4 +1,4 @@
-//! Racing and repeated publications.
+//! Concurrent and repeated publications.
 
 use coltsfoothook_ctl::CtlExit;
 
@@ -8,10 +8,10 @@
 const SECOND: &str = r#"{ "models": [{ "name": "base-8b" }, { "name": "base-70b" }] }"#;
 
 #[test]
-fn same_again() {
-    // A pipeline is restarted after its publication went through and publishes the same file on
-    // the same base. It is told that the change is in force; no second version comes of it.
-    let running = start("same_again");
+fn repeated_publication() {
+    // A pipeline is restarted after its publication succeeded and publishes the same change again.
+    // The command reports the version in force and makes no second one.
+    let running = start("repeated_publication");
     let file = running.file("manifest.json", FIRST);
     let first = running.run(&["publish", &file, "--base", "0"]);
     assert_eq!(
@@ -26,8 +26,8 @@
 
 #[test]
 fn race_lost() {
-    // Two operators build on version 0. The second one to reach the log is told which version is in
-    // force and nothing of its change is, so it cannot undo the first one's work unawares.
+    // Two operators build on version 0. The second publication to reach the log is refused with the
+    // version in force, so it cannot silently overwrite the first one.
     let running = start("race_lost");
     let first = running.file("first.json", FIRST);
     let second = running.file("second.json", SECOND);
@@ -42,7 +42,7 @@
 
 #[test]
 fn diff_as_delta() {
-    // What `diff --json` gives can be published as a delta and makes the wanted manifest.
+    // The delta that `diff --json` prints can be published and yields the new manifest.
     let running = start("diff_as_delta");
     let old = r#"{ "models": [{ "name": "a" }, { "name": "b" }],
         "stores": [{ "region": "nbo", "loads_per_s": 5, "full_speed": 2 }] }"#;
--- a/ctl/tests/suite/status_table.rs
+++ b/ctl/tests/suite/status_table.rs
@@ -1,4 +1,4 @@
-//! The status of all VMs as an operator reads it.
+//! The `status` command as text and as JSON.
 
 use coltsfoothook_operator::FleetStatus;
 use expect_test::expect;
@@ -6,6 +6,7 @@
 
 use crate::fake::start;
 
+/// One healthy VM, one that lags with a broken rule, and one without an answer.
 fn sample_status() -> FleetStatus {
     serde_json::from_value(json!({
         "asked": "vm-1",
@@ -54,6 +55,6 @@
         warning: rule at_most_once broken at vm-2, count 1
     "#]].assert_eq(&running.run(&["status", "--loaded"]).out);
     let json = running.run(&["status", "--json"]).out;
-    let read: FleetStatus = serde_json::from_str(&json).expect("the status");
-    assert_eq!(read, sample_status());
+    let parsed: FleetStatus = serde_json::from_str(&json).expect("the status");
+    assert_eq!(parsed, sample_status());
 }
--- a/ctl/tests/suite/tls_calls.rs
+++ b/ctl/tests/suite/tls_calls.rs
@@ -1,4 +1,4 @@
-//! Calls with TLS: the server's certificate is checked before the token is sent.
+//! TLS calls verify the server's certificate before they send the token.
 
 use std::sync::Arc;
 
@@ -21,22 +21,22 @@
 }
 
 #[test]
-fn known_server_alone() {
-    // Somebody listens at an entry VM's address with a certificate of his own. The program must
-    // not give him the operator's token, and tells that no entry VM was reached.
+fn untrusted_server() {
+    // A server with an untrusted certificate listens on an entry VM's address. The program must not
+    // send it the operator's token and exits with "not reached".
     let named = |name: &str| generate_simple_self_signed([name.to_owned()]).expect("a certificate");
-    let (trusted, stranger) = (named("127.0.0.1"), named("127.0.0.1"));
-    let running = start_with("known_server_alone", Some(server_config(&trusted)));
+    let (trusted, untrusted) = (named("127.0.0.1"), named("127.0.0.1"));
+    let running = start_with("untrusted_server", Some(server_config(&trusted)));
     let entry = running.address().to_string();
     let token = running.path("token").display().to_string();
     let trusted = running.file("trusted.pem", &trusted.cert.pem());
-    let stranger = running.file("stranger.pem", &stranger.cert.pem());
+    let untrusted = running.file("untrusted.pem", &untrusted.cert.pem());
     let status = |ca_file: &str| {
         run_alone(&["status", "--entry", &entry, "--token-file", &token, "--ca-file", ca_file])
     };
     let good = status(&trusted);
     assert_eq!(good.exit, CtlExit::Done, "{}", good.err);
-    assert_eq!(status(&stranger).exit, CtlExit::NotReached);
+    assert_eq!(status(&untrusted).exit, CtlExit::NotReached);
     assert_eq!(status(&token).exit, CtlExit::Usage, "a file without certificates");
     let plain = run_alone(&["status", "--entry", &entry, "--token-file", &token]);
     assert_ne!(plain.exit, CtlExit::Done);
--- a/ctl/tests/suite/trace_files.rs
+++ b/ctl/tests/suite/trace_files.rs
@@ -1,4 +1,4 @@
-//! A request is followed through log files.
+//! The `trace` command finds the lines that concern a request in several log files.
 
 use coltsfoothook_ctl::CtlExit;
 use expect_test::expect;
@@ -27,14 +27,14 @@
         std::fs::write(&path, text).expect("a file");
         path.display().to_string()
     });
-    let ended = run_alone(&["trace", id, &paths[0], &paths[1]]);
-    (ended.exit, ended.out + &ended.err)
+    let result = run_alone(&["trace", id, &paths[0], &paths[1]]);
+    (result.exit, result.out + &result.err)
 }
 
-/// The lines of the request, of its adapter and of its server, in order of time over all files.
+/// Shows the lines of the request, of its adapter and of its server from all files, sorted by time.
 #[test]
 fn cut_answer() {
-    let (exit, shown) = trace("cut", "r1");
+    let (exit, output) = trace("cut", "r1");
     assert_eq!(exit, CtlExit::Done);
     expect![[r#"
         ts=2026-06-08T13:31:02.000Z level=info at=vm-1 event=adapter_asked adapter=a9 version=1 server=i-2 owner=vm-2
@@ -44,15 +44,15 @@
         ts=2026-06-08T13:31:08.900Z level=warn at=vm-2 event=server_gone server=i-2
         cause: failed, answer cut: reset: its server broke off; it may have run
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&output);
 }
 
 #[test]
 fn unknown_id() {
-    let (exit, shown) = trace("unknown", "r2");
+    let (exit, output) = trace("unknown", "r2");
     assert_eq!(exit, CtlExit::Refused);
     expect![[r#"
         no line names request r2
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&output);
 }
