--- a/standin/src/answer.rs
+++ b/standin/src/answer.rs
@@ -1,8 +1,8 @@
-//! The text that the model engine stand-in generates, and its check by callers.
+//! Generates and verifies the text of the model engine stand-in's answers.
 //!
-//! Each token names the adapter version whose weights were loaded, the hash of the prompt and its
-//! own number. So a caller can tell from the answer alone that the right adapter ran, that the
-//! answer is its own, and that nothing is missing, doubled or spliced from two answers.
+//! Each token contains the adapter version whose weights were loaded, the hash of the prompt and
+//! its own number. A caller can verify from the answer alone that the right adapter ran, that the
+//! answer belongs to its prompt, and that no token is missing, duplicated or from another answer.
 
 use std::fmt::Write;
 
@@ -10,11 +10,11 @@
 use coltsfoothook_decision::value;
 use snafu::Snafu;
 
-/// The scheme of weights in the store.
+/// URL scheme of weights in the weight store.
 const STORE_SCHEME: &str = "store://";
 
 value! {
-    /// What an answer says of itself.
+    /// What the tokens of an answer contain.
     #[derive(Eq)]
     pub struct AnswerProof {
         /// The adapter and version that ran, as `adapter@version`.
@@ -23,46 +23,47 @@
         pub prompt: u64,
         /// The number of the first token.
         pub first: u32,
-        /// How many tokens there are.
+        /// The number of tokens.
         pub tokens: u32,
     }
 }
 
-/// What is wrong with an answer.
+/// Why an answer is invalid.
 #[derive(Clone, Debug, Snafu, PartialEq, Eq)]
 pub enum AnswerFlaw {
-    /// There is no token in it.
+    /// The answer has no token.
     #[snafu(display("empty answer"))]
     EmptyAnswer,
-    /// A token is not one of the stand-in's.
-    #[snafu(display("token {token:?} is not one of the stand-in's"))]
-    StrangeToken {
+    /// A token does not have the stand-in's format.
+    #[snafu(display("token {token:?} does not have the stand-in's format"))]
+    UnrecognizedToken {
         /// The token.
         token: String,
     },
-    /// Tokens of two answers are mixed.
-    #[snafu(display("token {token:?} is of another answer"))]
+    /// A token belongs to another adapter or prompt than the first one.
+    #[snafu(display("token {token:?} belongs to another answer"))]
     MixedAnswer {
         /// The first token of the other answer.
         token: String,
     },
-    /// A token is missing, doubled or out of order.
-    #[snafu(display("token {found} stands where {expected} was due"))]
+    /// A token is missing, duplicated or out of order.
+    #[snafu(display("expected token {expected}, found {found}"))]
     TokenGap {
-        /// The number that was due.
+        /// The number that was expected.
         expected: u32,
         /// The number that was found.
         found: u32,
     },
 }
 
-/// The hash that an answer to `prompt` carries.
+/// Returns the hash that the tokens of an answer to `prompt` contain.
 #[must_use]
 pub fn prompt_hash(prompt: &str) -> u64 {
     stable_hash(&[prompt])
 }
 
-/// The name that answers of the weights at `path` carry: `store://alarms/v3` becomes `alarms@v3`.
+/// Returns the adapter label in tokens generated with the weights at `path`: `store://alarms/v3`
+/// becomes `alarms@v3`.
 pub(crate) fn weights_label(path: &str) -> String {
     let path = path.strip_prefix(STORE_SCHEME).unwrap_or(path);
     match path.rsplit_once('/') {
@@ -71,7 +72,8 @@
     }
 }
 
-/// Tokens `from..to` of the answer of `label` to the prompt with hash `prompt`.
+/// Generates the tokens `from..to` of the answer of adapter `label` to the prompt with hash
+/// `prompt`.
 #[must_use]
 pub fn answer_text(label: &str, prompt: u64, from: u32, to: u32) -> String {
     let mut text = String::new();
@@ -82,17 +84,17 @@
     text
 }
 
-/// Reads what an answer says of itself.
+/// Parses an answer and checks that its tokens are consistent. The caller has to compare the
+/// adapter, the prompt and the number of tokens with what it expects.
 ///
 /// # Errors
 ///
-/// The first flaw in it. That the adapter, the prompt and the count are the right ones is for the
-/// caller to compare.
+/// Returns the first inconsistency.
 pub fn read_answer(text: &str) -> Result<AnswerProof, AnswerFlaw> {
     let mut proof: Option<AnswerProof> = None;
     for token in text.split_whitespace() {
         let (adapter, prompt, number) = read_token(token)
-            .ok_or_else(|| AnswerFlaw::StrangeToken { token: token.to_owned() })?;
+            .ok_or_else(|| AnswerFlaw::UnrecognizedToken { token: token.to_owned() })?;
         let Some(proof) = &mut proof else {
             proof =
                 Some(AnswerProof { adapter: adapter.to_owned(), prompt, first: number, tokens: 1 });
@@ -116,9 +118,10 @@
     Some((adapter, u64::from_str_radix(prompt, 16).ok()?, number.parse().ok()?))
 }
 
-/// Where an answer goes on if `prompt` ends with tokens that `label` generated for what stands
-/// before them: the hash of that part and the number of the next token. So a stream that broke can
-/// be continued at another engine from the prompt and what was already sent.
+/// Finds where to continue an answer if `prompt` ends with tokens that `label` generated for the
+/// text before them. Returns the hash of that text and the number of the next token, or the hash of
+/// the whole prompt and 0. This lets another engine continue a broken stream from the prompt and
+/// the part of the answer that was already sent.
 pub(crate) fn continuation(label: &str, prompt: &str) -> (u64, u32) {
     let start = format!("{label}:");
     for (at, _) in prompt.match_indices(&start) {
@@ -138,7 +141,7 @@
     use super::*;
 
     #[test]
-    fn flaws_are_found() {
+    fn inconsistencies_are_found() {
         let text = answer_text("alarms@v3", 7, 0, 3);
         let whole = read_answer(&text).unwrap();
         assert_eq!((whole.adapter.as_str(), whole.prompt, whole.tokens), ("alarms@v3", 7, 3));
@@ -150,7 +153,7 @@
     }
 
     #[test]
-    fn sent_tokens_continue() {
+    fn sent_tokens_are_continued() {
         let hash = prompt_hash("chiller 4 ");
         let prompt = "chiller 4 ".to_owned() + &answer_text("a@1", hash, 0, 5);
         assert_eq!(continuation("a@1", &prompt), (hash, 5));
--- a/standin/src/batch.rs
+++ b/standin/src/batch.rs
@@ -1,7 +1,7 @@
-//! The state of the model engine stand-in: slots, and the batch that runs on them.
+//! State of the model engine stand-in: adapter slots, queue and batch.
 //!
-//! It protects nobody from wrong orders: a slot in use is unloaded when an order says so, the
-//! request on it is cut, and the harm is counted. So the counters show what the system did.
+//! It does not guard against wrong orders: an order to unload a slot in use is carried out, the
+//! requests on the slot are cut and counted, so that tests can detect the order by the counters.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,26 +15,26 @@
 use crate::prefix::PrefixCache;
 use crate::tally::BoundedTally;
 
-/// How many ids, keys and bodies are remembered, each.
+/// Maximum number of ids, of keys and of bodies that are counted.
 const TALLY_LIMIT: usize = 100_000;
 
-/// How far a run is. A reader follows it and writes the tokens out.
+/// Progress of a run, which its readers follow to write the tokens out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RunProgress {
-    /// The number of the next token; all before it are there.
+    /// The number of the next token; all before it are generated.
     pub(crate) next: u32,
-    /// How it ended, if it did.
+    /// How the run ended; `None` while it waits or runs.
     pub(crate) end: Option<RunEnd>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunEnd {
-    /// All tokens are there.
+    /// All tokens are generated.
     Done,
-    /// It was cancelled.
+    /// The run was cancelled, by request or because nobody read it.
     Cancelled,
-    /// Its slot was taken away, or the engine restarted.
+    /// The run's slot was unloaded, or the engine restarted.
     Lost,
 }
 
@@ -43,11 +43,15 @@
     pub(crate) id: String,
     pub(crate) slot: String,
     pub(crate) weights: String,
+    /// The adapter label in the tokens, as `adapter@version`.
     pub(crate) label: String,
+    /// The hash of the prompt.
     pub(crate) prompt: u64,
     pub(crate) prompt_tokens: u32,
+    /// The number of the first token; above 0 if an earlier answer is continued.
     pub(crate) first: u32,
     pub(crate) chat: bool,
+    /// Seconds since the Unix epoch.
     pub(crate) created: u64,
     pub(crate) progress: watch::Sender<RunProgress>,
 }
@@ -55,38 +59,44 @@
 /// A run in the queue or the batch.
 pub(crate) struct BatchRun {
     pub(crate) stream: Arc<RunStream>,
+    /// Tokens of the prompt that are still to be read.
     pub(crate) prefill_left: u32,
-    pub(crate) last: u32,
+    /// The number after the last token.
+    pub(crate) end_token: u32,
+    /// Runs with lower numbers go first.
     pub(crate) priority: i32,
+    /// Order of arrival, set by [`EngineState::enqueue`].
     pub(crate) serial: u64,
-    /// Its body carries the mark of a crash.
+    /// Whether the body contains the crash mark.
     pub(crate) crashes: bool,
+    /// The idempotency key; empty if the request has none.
     pub(crate) key: String,
     pub(crate) body_hash: String,
-    /// Since when nobody reads it.
+    /// Since when the run has had no reader; `None` while it has one.
     pub(crate) unread_since: Option<Instant>,
 }
 
-/// A slot.
+/// A slot that holds an adapter or loads one.
 pub(crate) struct AdapterSlot {
     pub(crate) name: String,
     pub(crate) weights: String,
+    /// Requests that wait for the slot or run on it.
     pub(crate) running: u32,
-    /// None while it loads.
+    /// The result of the load; `None` while the slot loads.
     pub(crate) loaded: watch::Sender<Option<Result<(), String>>>,
 }
 
-/// What the next step is to be.
+/// What the step loop does next.
 pub(crate) enum StepPlan {
-    /// Nothing runs.
+    /// The batch is empty.
     Idle,
-    /// A step that takes so long.
+    /// Runs a step of this duration.
     Step(Duration),
     /// A run in the batch crashes the engine.
     Crash,
 }
 
-/// The engine's whole state.
+/// State of the engine that the step loop needs, and its counters.
 pub(crate) struct EngineState {
     pub(crate) settings: EngineServerSettings,
     pub(crate) incarnation: ServerIncarnation,
@@ -94,21 +104,24 @@
     pub(crate) highest_fencing: u64,
     /// Sorted by name.
     pub(crate) slots: Vec<AdapterSlot>,
-    /// Sorted so that the next one stands last.
+    /// Sorted so that the next run to be admitted is last.
     pub(crate) waiting: Vec<BatchRun>,
     pub(crate) running: Vec<BatchRun>,
-    /// In the order of their beginning; the oldest are forgotten first.
+    /// In order of arrival; the oldest ended ones are dropped first.
     pub(crate) streams: Vec<Arc<RunStream>>,
     pub(crate) prefixes: PrefixCache,
     pub(crate) counters: EngineCounters,
+    /// Runs by request id.
     pub(crate) ids: BoundedTally,
+    /// Runs by idempotency key.
     pub(crate) keys: BoundedTally,
+    /// Runs by hash of the body.
     pub(crate) bodies: BoundedTally,
     next_serial: u64,
 }
 
 impl EngineState {
-    /// An engine without slots.
+    /// Creates an engine without slots.
     pub(crate) fn new(settings: EngineServerSettings, incarnation: u64) -> Self {
         Self {
             incarnation: ServerIncarnation(incarnation),
@@ -128,8 +141,8 @@
         }
     }
 
-    /// Starts again with nothing, as another incarnation. What was counted stays, since it is the
-    /// tests' and not the engine's.
+    /// Drops all runs, slots and cached prefixes and increments the incarnation. The counters and
+    /// tallies are kept, since they belong to the tests and not to the engine.
     pub(crate) fn restart(&mut self) {
         self.incarnation.0 += 1;
         self.sequence = 0;
@@ -145,12 +158,12 @@
         self.counters.restarts += 1;
     }
 
-    /// The place of a slot.
+    /// Returns the index of a slot, or the index at which to insert it.
     pub(crate) fn slot(&self, name: &str) -> Result<usize, usize> {
         self.slots.binary_search_by(|slot| slot.name.as_str().cmp(name))
     }
 
-    /// Takes a slot away, whatever runs on it.
+    /// Removes a slot. The runs on it are lost.
     pub(crate) fn remove_slot(&mut self, at: usize) {
         let slot = self.slots.remove(at);
         slot.loaded.send_replace(Some(Err("unloaded".to_owned())));
@@ -163,12 +176,12 @@
         }
     }
 
-    /// An id for a request that came without one.
+    /// Returns an id for a request without one.
     pub(crate) fn next_id(&self) -> String {
         format!("run-{}", self.next_serial)
     }
 
-    /// Puts a run into the queue.
+    /// Adds a run to the queue, ordered by priority and then by arrival.
     pub(crate) fn enqueue(&mut self, mut run: BatchRun) {
         run.serial = self.next_serial;
         self.next_serial += 1;
@@ -176,20 +189,20 @@
             self.slots[at].running += 1;
         }
         if self.streams.len() >= self.settings.keep_streams {
-            self.forget_stream();
+            self.drop_ended_stream();
         }
         self.streams.push(run.stream.clone());
-        let place = |other: &BatchRun| (other.priority, other.serial) > (run.priority, run.serial);
-        let at = self.waiting.partition_point(place);
+        let later = |other: &BatchRun| (other.priority, other.serial) > (run.priority, run.serial);
+        let at = self.waiting.partition_point(later);
         self.waiting.insert(at, run);
     }
 
-    /// The latest stream with the id.
+    /// Returns the latest stream with the id.
     pub(crate) fn stream(&self, id: &str) -> Option<Arc<RunStream>> {
         self.streams.iter().rev().find(|stream| stream.id == id).cloned()
     }
 
-    /// Ends the runs with the id; returns whether there was one.
+    /// Cancels the runs with the id; returns whether there was one.
     pub(crate) fn cancel(&mut self, id: &str) -> bool {
         let before = self.counters.cancelled;
         self.end_where(RunEnd::Cancelled, |run| run.stream.id == id);
@@ -197,7 +210,7 @@
         ended > 0
     }
 
-    /// Takes runs from the queue into the batch and tells how long the step takes.
+    /// Cancels unread runs, admits runs from the queue into the batch and plans the next step.
     pub(crate) fn plan(&mut self, now: Instant) -> StepPlan {
         self.drop_unread(now);
         self.admit(now);
@@ -210,7 +223,8 @@
         StepPlan::Step(self.step_time())
     }
 
-    /// Ends a step: prompts advance, and each run whose prompt is read gets a token.
+    /// Completes a step: reads prompts within the prefill budget and generates a token for each run
+    /// whose prompt has been read. Ended runs leave the batch.
     pub(crate) fn finish_step(&mut self) {
         self.counters.steps += 1;
         let mut budget = self.settings.prefill_tokens.max(1);
@@ -222,15 +236,15 @@
                 continue;
             }
             self.counters.tokens += 1;
-            let last = run.last;
+            let end_token = run.end_token;
             run.stream.progress.send_modify(|progress| {
                 progress.next += 1;
-                if progress.next >= last {
+                if progress.next >= end_token {
                     progress.end = Some(RunEnd::Done);
                 }
             });
         }
-        for run in self.running.extract_if(.., |run| is_over(&run.stream)) {
+        for run in self.running.extract_if(.., |run| has_ended(&run.stream)) {
             self.counters.done += 1;
             if let Ok(at) = find_slot(&self.slots, &run.stream.slot) {
                 self.slots[at].running -= 1;
@@ -238,7 +252,7 @@
         }
     }
 
-    /// What the engine says of itself now.
+    /// Makes the engine's load report for the present state.
     pub(crate) fn report(&mut self) -> EngineReport {
         self.sequence += 1;
         let loaded = self.slots.iter().filter(|slot| *slot.loaded.borrow() == Some(Ok(())));
@@ -259,21 +273,22 @@
                 return;
             };
             self.count_run(&run);
-            run.unread_since = unread(&run, now);
+            run.unread_since = unread_since(&run, now);
             self.running.push(run);
         }
     }
 
     fn count_run(&mut self, run: &BatchRun) {
         self.counters.runs += 1;
-        let again = |count: u32| u64::from(count > 1);
-        self.counters.repeated_ids += again(self.ids.add(&run.stream.id));
+        let repeated = |count: u32| u64::from(count > 1);
+        self.counters.repeated_ids += repeated(self.ids.add(&run.stream.id));
         if !run.key.is_empty() {
-            self.counters.repeated_keys += again(self.keys.add(&run.key));
+            self.counters.repeated_keys += repeated(self.keys.add(&run.key));
         }
-        self.counters.repeated_bodies += again(self.bodies.add(&run.body_hash));
+        self.counters.repeated_bodies += repeated(self.bodies.add(&run.body_hash));
     }
 
+    /// Returns the duration of a step with the present batch and counts the batch.
     fn step_time(&mut self) -> Duration {
         let mut slots: Vec<&str> =
             self.running.iter().map(|run| run.stream.slot.as_str()).collect();
@@ -289,22 +304,23 @@
         Duration::from_micros(micros)
     }
 
-    /// Ends runs that nobody has read for a while; a reader may come back until then.
+    /// Cancels runs that have had no reader for `unread_ms`; a reader may resume before that.
     fn drop_unread(&mut self, now: Instant) {
-        let patience = Duration::from_millis(self.settings.unread_ms);
+        let timeout = Duration::from_millis(self.settings.unread_ms);
         for run in self.waiting.iter_mut().chain(&mut self.running) {
-            run.unread_since = unread(run, now);
+            run.unread_since = unread_since(run, now);
         }
         self.end_where(RunEnd::Cancelled, |run| {
-            run.unread_since.is_some_and(|since| now.saturating_duration_since(since) >= patience)
+            run.unread_since.is_some_and(|since| now.saturating_duration_since(since) >= timeout)
         });
     }
 
-    fn end_where(&mut self, how: RunEnd, mut which: impl FnMut(&BatchRun) -> bool) {
+    /// Ends the selected runs, waiting or running, and counts them as cancelled.
+    fn end_where(&mut self, run_end: RunEnd, mut which: impl FnMut(&BatchRun) -> bool) {
         let waiting = self.waiting.extract_if(.., |run| which(run)).collect::<Vec<_>>();
         let running = self.running.extract_if(.., |run| which(run)).collect::<Vec<_>>();
         for run in waiting.into_iter().chain(running) {
-            end(&run.stream, how);
+            end(&run.stream, run_end);
             self.counters.cancelled += 1;
             if let Ok(at) = self.slot(&run.stream.slot) {
                 self.slots[at].running -= 1;
@@ -312,9 +328,9 @@
         }
     }
 
-    /// Forgets the oldest stream that is over.
-    fn forget_stream(&mut self) {
-        if let Some(at) = self.streams.iter().position(|stream| is_over(stream)) {
+    /// Drops the oldest stream that has ended.
+    fn drop_ended_stream(&mut self) {
+        if let Some(at) = self.streams.iter().position(|stream| has_ended(stream)) {
             self.streams.remove(at);
         }
     }
@@ -324,15 +340,16 @@
     slots.binary_search_by(|slot| slot.name.as_str().cmp(name))
 }
 
-fn is_over(stream: &RunStream) -> bool {
+fn has_ended(stream: &RunStream) -> bool {
     stream.progress.borrow().end.is_some()
 }
 
-fn end(stream: &RunStream, how: RunEnd) {
-    stream.progress.send_modify(|progress| progress.end = Some(how));
+fn end(stream: &RunStream, run_end: RunEnd) {
+    stream.progress.send_modify(|progress| progress.end = Some(run_end));
 }
 
-fn unread(run: &BatchRun, now: Instant) -> Option<Instant> {
+/// Returns since when the run has had no reader, or `None` if it has one.
+fn unread_since(run: &BatchRun, now: Instant) -> Option<Instant> {
     if run.stream.progress.receiver_count() > 0 {
         return None;
     }
@@ -346,9 +363,9 @@
 
     use super::*;
 
-    /// Something that happens to an engine.
+    /// An operation on the engine under test.
     #[derive(Clone, Debug)]
-    enum EngineStep {
+    enum EngineOperation {
         Load(u8),
         Unload(u8),
         Run { slot: u8, tokens: u32, priority: i32, read: bool },
@@ -357,48 +374,48 @@
         Restart,
     }
 
-    fn engine_step() -> impl Strategy<Value = EngineStep> {
+    fn engine_operation() -> impl Strategy<Value = EngineOperation> {
         let run =
             (0..4u8, 1..5u32, 0..3i32, any::<bool>()).prop_map(|(slot, tokens, priority, read)| {
-                EngineStep::Run { slot, tokens, priority, read }
+                EngineOperation::Run { slot, tokens, priority, read }
             });
         prop_oneof![
-            3 => (0..4u8).prop_map(EngineStep::Load),
-            1 => (0..4u8).prop_map(EngineStep::Unload),
+            3 => (0..4u8).prop_map(EngineOperation::Load),
+            1 => (0..4u8).prop_map(EngineOperation::Unload),
             6 => run,
-            1 => (0..40u8).prop_map(EngineStep::Cancel),
-            8 => Just(EngineStep::Step),
-            1 => Just(EngineStep::Restart),
+            1 => (0..40u8).prop_map(EngineOperation::Cancel),
+            8 => Just(EngineOperation::Step),
+            1 => Just(EngineOperation::Restart),
         ]
     }
 
-    /// An engine with the readers of its runs.
-    struct SteppedEngine {
+    /// An engine with the readers of its runs and the number of the token after the last of each.
+    struct TestEngine {
         state: EngineState,
         readers: Vec<(u32, watch::Receiver<RunProgress>)>,
         now: Instant,
     }
 
-    impl SteppedEngine {
-        fn take(&mut self, step: EngineStep) {
-            match step {
-                EngineStep::Load(slot) => self.load(slot),
-                EngineStep::Unload(slot) => {
+    impl TestEngine {
+        fn apply(&mut self, operation: EngineOperation) {
+            match operation {
+                EngineOperation::Load(slot) => self.load(slot),
+                EngineOperation::Unload(slot) => {
                     if let Ok(at) = self.state.slot(&slot.to_string()) {
                         self.state.remove_slot(at);
                     }
                 }
-                EngineStep::Run { slot, tokens, priority, read } => {
+                EngineOperation::Run { slot, tokens, priority, read } => {
                     self.run(slot, tokens, priority, read);
                 }
-                EngineStep::Cancel(id) => drop(self.state.cancel(&format!("run-{id}"))),
-                EngineStep::Step => {
+                EngineOperation::Cancel(id) => drop(self.state.cancel(&format!("run-{id}"))),
+                EngineOperation::Step => {
                     self.now += Duration::from_secs(1);
                     if matches!(self.state.plan(self.now), StepPlan::Step(_)) {
                         self.state.finish_step();
                     }
                 }
-                EngineStep::Restart => self.state.restart(),
+                EngineOperation::Restart => self.state.restart(),
             }
         }
 
@@ -435,7 +452,7 @@
             self.state.enqueue(BatchRun {
                 stream,
                 prefill_left: 1,
-                last: tokens,
+                end_token: tokens,
                 priority,
                 serial: 0,
                 crashes: false,
@@ -445,15 +462,16 @@
             });
         }
 
+        /// Checks the invariants.
         fn check(&self) {
             let state = &self.state;
-            let alive = || state.waiting.iter().chain(&state.running);
+            let active = || state.waiting.iter().chain(&state.running);
             for slot in &state.slots {
-                let using = alive().filter(|run| run.stream.slot == slot.name).count();
+                let using = active().filter(|run| run.stream.slot == slot.name).count();
                 assert_eq!(slot.running as usize, using, "slot {}", slot.name);
             }
-            let over = alive().filter(|run| is_over(&run.stream)).count();
-            assert_eq!(over, 0, "a run that is over stays in the batch");
+            let ended = active().filter(|run| has_ended(&run.stream)).count();
+            assert_eq!(ended, 0, "a run that has ended stays in the batch");
             assert!(state.running.len() <= state.settings.batch_slots as usize);
             for (tokens, reader) in &self.readers {
                 let progress = *reader.borrow();
@@ -469,16 +487,16 @@
             ..ProptestConfig::default()
         })]
 
-        /// Whatever happens to an engine, its count of the requests on a slot is right, and a run
-        /// is told to be done if and only if all its tokens are there.
+        /// After any sequence of operations, the count of requests per slot is right, and a run is
+        /// reported as done if and only if all its tokens are generated.
         #[test]
-        fn counts_stay_right(steps in prop::collection::vec(engine_step(), 1..120)) {
+        fn counts_stay_right(operations in prop::collection::vec(engine_operation(), 1..120)) {
             let settings = EngineServerSettings { batch_slots: 3, ..Default::default() };
             let state = EngineState::new(settings, 1);
             let mut engine =
-                SteppedEngine { state, readers: Vec::new(), now: Instant::now() };
-            for step in steps {
-                engine.take(step);
+                TestEngine { state, readers: Vec::new(), now: Instant::now() };
+            for operation in operations {
+                engine.apply(operation);
                 engine.check();
             }
         }
--- a/standin/src/bin/coltsfoothook-standin-engine.rs
+++ b/standin/src/bin/coltsfoothook-standin-engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the model engine, as a process of its own.
+//! Runs the model engine stand-in as a process.
 
 use coltsfoothook_standin::{EngineServerSettings, run_standin, start_engine};
 
--- a/standin/src/bin/coltsfoothook-standin-log.rs
+++ b/standin/src/bin/coltsfoothook-standin-log.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's log and list of VMs, as a process of its own.
+//! Runs the stand-in for the platform's log and list of VMs as a process.
 
 use coltsfoothook_standin::{PlatformServerSettings, run_standin, start_platform};
 
--- a/standin/src/bin/coltsfoothook-standin-service.rs
+++ b/standin/src/bin/coltsfoothook-standin-service.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the plain service, as a process of its own.
+//! Runs the plain service stand-in as a process.
 
 use coltsfoothook_standin::{ServiceServerSettings, run_standin, start_service};
 
--- a/standin/src/bin/coltsfoothook-standin-store.rs
+++ b/standin/src/bin/coltsfoothook-standin-store.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the weight store, as a process of its own.
+//! Runs the weight store stand-in as a process.
 
 use coltsfoothook_standin::{StoreServerSettings, run_standin, start_store};
 
--- a/standin/src/command.rs
+++ b/standin/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line that the stand-ins' binaries share.
+//! The command line shared by the stand-ins' binaries.
 
 use std::future::Future;
 use std::io;
@@ -12,16 +12,16 @@
 use serde::de::DeserializeOwned;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// What the command line says.
+/// Options of the command line.
 struct CommandOptions {
     settings: Option<PathBuf>,
     listen: Option<SocketAddr>,
     check: bool,
 }
 
-/// Settings that say where to listen.
+/// Settings of a stand-in, whose listen address the command line can override.
 pub trait ListenSettings: Default + DeserializeOwned + CheckedSettings {
-    /// Listens elsewhere.
+    /// Replaces the listen address.
     fn listen_on(&mut self, address: SocketAddr);
 }
 
@@ -50,7 +50,8 @@
 }
 
 /// Runs a stand-in as a process: reads the command line and the settings, starts it, prints its
-/// address as one line, and stops it gracefully on SIGTERM or SIGINT.
+/// address as one line, and stops it gracefully on SIGTERM or SIGINT. `what` names the component
+/// that it replaces, for the help text.
 pub fn run_standin<Settings, Start, Starting, Stop>(
     name: &'static str,
     what: &'static str,
@@ -62,7 +63,7 @@
     Starting: Future<Output = io::Result<(SocketAddr, Stop)>>,
     Stop: Future<Output = ()>,
 {
-    let options = options(name, what);
+    let options = parse_options(name, what);
     let settings: Settings = match read_settings(&options) {
         Ok(settings) => settings,
         Err(message) => return fail(name, &message),
@@ -102,7 +103,7 @@
     Ok(())
 }
 
-fn options(name: &'static str, what: &'static str) -> CommandOptions {
+fn parse_options(name: &'static str, what: &'static str) -> CommandOptions {
     let settings = bpaf::long("settings")
         .short('s')
         .help("File with settings, JSON with comments")
@@ -110,10 +111,10 @@
         .optional();
     let listen = bpaf::long("listen")
         .short('l')
-        .help("Address to listen on, in place of the settings' one")
+        .help("Address to listen on, overrides the settings")
         .argument::<SocketAddr>("IP:PORT")
         .optional();
-    let check = bpaf::long("check-settings").help("Check the settings and stop").switch();
+    let check = bpaf::long("check-settings").help("Check the settings and exit").switch();
     let footer = format!(
         "Examples:\n  {name} --listen 127.0.0.1:7100\n  {name} --settings {name}.jsonc --check-settings"
     );
--- a/standin/src/count.rs
+++ b/standin/src/count.rs
@@ -1,16 +1,16 @@
-//! What the model engine stand-in counts.
+//! Counters of the model engine stand-in.
 
 use coltsfoothook_decision::value;
 
 value! {
-    /// What happened at an engine since it was first started; a restart keeps the counts.
+    /// Counters of an engine since its process started; a simulated restart keeps them.
     #[derive(Copy, Default, Eq)]
     pub struct EngineCounters {
-        /// Requests that began to run.
+        /// Requests admitted to the batch.
         pub runs: u64,
-        /// Requests that ran to their end.
+        /// Requests that were completed.
         pub done: u64,
-        /// Requests that were cancelled, also because nobody read them.
+        /// Requests that were cancelled, by request or because nobody read them.
         pub cancelled: u64,
         /// Runs whose request id had run before.
         pub repeated_ids: u64,
@@ -18,9 +18,9 @@
         pub repeated_keys: u64,
         /// Runs whose body, apart from the slot, had run before.
         pub repeated_bodies: u64,
-        /// Requests that named a slot which is not loaded.
+        /// Requests for a slot that is not loaded.
         pub slot_missing: u64,
-        /// Requests that were cut because their slot was unloaded under them.
+        /// Requests that were cut because their slot was unloaded while in use.
         pub evicted_in_use: u64,
         /// Loads that succeeded.
         pub loads: u64,
@@ -30,27 +30,27 @@
         pub loads_full: u64,
         /// Slots unloaded by order.
         pub unloads: u64,
-        /// Orders refused for an old fencing number.
+        /// Orders refused because of a stale fencing number.
         pub stale_refused: u64,
-        /// Orders with an old fencing number that were obeyed.
+        /// Orders with a stale fencing number that were carried out.
         pub stale_obeyed: u64,
         /// Steps of the batch.
         pub steps: u64,
         /// Tokens generated.
         pub tokens: u64,
-        /// The sum over all steps of the requests in the batch.
+        /// Sum over all steps of the number of requests in the batch.
         pub batch_sum: u64,
-        /// The sum over all steps of the distinct slots in the batch.
+        /// Sum over all steps of the number of distinct slots in the batch.
         pub adapter_sum: u64,
-        /// Restarts with nothing kept, crashes among them.
+        /// Simulated restarts, including crashes.
         pub restarts: u64,
-        /// Restarts that a marked request caused.
+        /// Restarts caused by a request with the crash mark.
         pub crashes: u64,
     }
 }
 
 impl EngineCounters {
-    /// The mean number of requests in a step.
+    /// Returns the mean number of requests in a step, 0 before the first step.
     #[must_use]
     pub fn batch_mean(&self) -> f64 {
         if self.steps == 0 { 0.0 } else { self.batch_sum as f64 / self.steps as f64 }
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! The model engine stand-in: its settings, faults, handle and step loop.
+//! The model engine stand-in: settings, faults, handle, HTTP routes and step loop.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -25,62 +25,62 @@
 use crate::server::{HttpServer, RequestHandler, ServerControl};
 use crate::tally::TallyEntry;
 
-/// The bound on the body of a fault or an order.
-pub(crate) const SMALL_BODY: usize = 64 * 1024;
-/// How many reports are kept for a lag.
+/// Maximum size in bytes of the body of an order or of a call to `/standin/`.
+pub(crate) const MAX_SMALL_BODY: usize = 64 * 1024;
+/// Maximum number of reports kept to simulate a lag.
 const REPORT_LIMIT: usize = 64;
-/// How often a report is kept, as a part of the lag, and its bounds.
-const REPORT_SHARE: u32 = 8;
-const REPORT_TICK_MIN: Duration = Duration::from_millis(10);
-const REPORT_TICK_MAX: Duration = Duration::from_millis(200);
+/// Divisor of the lag that gives the interval between kept reports, within the two bounds.
+const REPORT_LAG_DIVISOR: u32 = 8;
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 settings_struct! {
     /// Settings of the model engine.
     pub struct EngineServerSettings {
-        /// Where to listen; port 0 takes any free one.
+        /// The address to listen on; port 0 picks a free one.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
-        /// The weight store to load from; without one a load takes `load_ms` alone.
+        /// The weight store to load from; without it a load takes only `load_ms`.
         pub store: Option<SocketAddr> = None;
-        /// The first incarnation; each restart adds one. 0 takes the milliseconds of the wall clock,
-        /// so that processes started one after the other differ.
+        /// The initial incarnation; each simulated restart adds one. 0 takes the wall clock in
+        /// milliseconds, so that processes started one after the other differ.
         pub incarnation: u64 = 0;
-        /// How many adapters it can hold.
+        /// The number of adapters that can be loaded at once.
         pub adapter_slots: u32 = 8, in 1..=100_000;
-        /// How many requests it takes into a batch.
+        /// The maximum number of requests in the batch.
         pub batch_slots: u32 = 16, in 1..=100_000;
-        /// How many requests may wait for the batch.
+        /// The maximum number of requests that wait for the batch.
         pub max_waiting: usize = 1_024, in 0..=1_000_000;
-        /// The time of a step with one request, in microseconds.
+        /// The duration of a step with one request, in microseconds.
         pub step_us: u64 = 10_000, in 100..=10_000_000;
-        /// What each further request adds to a step, in microseconds.
+        /// The time that each further request adds to a step, in microseconds.
         pub request_us: u64 = 100, in 0..=1_000_000;
-        /// What each further adapter in the batch adds to a step, in microseconds.
+        /// The time that each further adapter in the batch adds to a step, in microseconds.
         pub adapter_us: u64 = 200, in 0..=1_000_000;
-        /// Tokens of prompts that a step reads.
+        /// The maximum number of prompt tokens that a step reads.
         pub prefill_tokens: u32 = 2_048, in 1..=1_000_000;
-        /// Tokens that the prefix cache holds.
+        /// The capacity of the prefix cache, in tokens.
         pub cache_tokens: u32 = 65_536, in 0..=100_000_000;
-        /// How long a load takes besides the weight store's time, in milliseconds.
+        /// The duration of a load in addition to the weight store's time, in milliseconds.
         pub load_ms: u64 = 50, in 0..=3_600_000;
-        /// How long a load may wait for the weight store, in milliseconds.
+        /// The timeout of a request to the weight store, in milliseconds.
         pub store_ms: u64 = 60_000, in 1..=3_600_000;
-        /// Whether orders with an old fencing number are refused.
+        /// Whether orders with a stale fencing number, or without one, are refused.
         pub checks_fencing: bool = true;
-        /// How old load reports are, in milliseconds.
+        /// The age of load reports, in milliseconds.
         pub report_lag_ms: u64 = 0, in 0..=3_600_000;
-        /// How late cache events are, in milliseconds.
+        /// The delay of cache events, in milliseconds.
         pub event_lag_ms: u64 = 100, in 0..=3_600_000;
-        /// Every so many-th cache event is lost; 0 loses none.
+        /// Every n-th cache event is lost; 0 loses none.
         pub event_gap_every: u64 = 0;
-        /// Tokens generated for a request that states no number.
+        /// The number of tokens generated for a request that sets none.
         pub default_tokens: u32 = 16, in 1..=1_000_000;
-        /// The most tokens that a request may ask for.
+        /// The maximum number of tokens that a request can set.
         pub max_tokens: u32 = 16_384, in 1..=1_000_000;
-        /// The longest body of a request, in bytes.
+        /// The maximum size of a request's body, in bytes.
         pub max_body_bytes: usize = 4 * 1024 * 1024, in 1_024..=1_073_741_824;
-        /// How long a run goes on that nobody reads, in milliseconds.
+        /// How long a run without a reader continues, in milliseconds.
         pub unread_ms: u64 = 2_000, in 0..=3_600_000;
-        /// How many streams can be resumed.
+        /// The maximum number of streams kept for resumption.
         pub keep_streams: usize = 4_096, in 1..=1_000_000;
     }
     check check_tokens
@@ -88,7 +88,7 @@
 
 fn check_tokens(settings: &EngineServerSettings, faults: &mut FaultList) {
     if settings.default_tokens > settings.max_tokens {
-        faults.add("default_tokens", "it is above max_tokens", "at most max_tokens");
+        faults.add("default_tokens", "it exceeds max_tokens", "at most max_tokens");
     }
 }
 
@@ -97,91 +97,93 @@
     #[derive(Default, Eq)]
     #[serde(default, deny_unknown_fields)]
     pub struct EngineFaults {
-        /// A request whose body contains this text crashes the engine when it enters the batch.
+        /// A request whose body contains this text crashes the engine when it is in the batch.
         pub crash_mark: Option<String>,
         /// How long the engine refuses connections after such a crash, in milliseconds.
         pub crash_down_ms: u64,
-        /// What happens to loads.
+        /// The fault of loads.
         pub load: LoadFault,
-        /// How much longer each answer to a run takes, in milliseconds.
+        /// Additional delay of each answer to a run, in milliseconds.
         pub delay_ms: u64,
-        /// Where runs are cut.
+        /// The stage at which the connection of a run is cut.
         pub cut: RunCut,
-        /// How many of the next runs are cut there.
+        /// The number of next runs that are cut at this stage.
         pub cut_next: u32,
-        /// How old load reports are, in milliseconds, if more than the setting says.
+        /// The age of load reports in milliseconds, if above the setting.
         pub report_lag_ms: u64,
     }
 
-    /// What happens to loads.
+    /// Fault of loads.
     #[derive(Copy, Default, Eq)]
     pub enum LoadFault {
-        /// They work.
+        /// Loads succeed.
         #[default]
         None,
-        /// They fail.
+        /// Loads fail.
         Fail,
-        /// They hang until the fault is switched off, and then fail.
+        /// Loads hang until the faults are set again, and then fail.
         Hang,
-        /// They succeed, and the answer comes so much later.
+        /// Loads succeed, but their answer is delayed.
         Late {
-            /// In milliseconds.
+            /// The delay, in milliseconds.
             by_ms: u64,
         },
     }
 
-    /// Where the connection of a run is cut.
+    /// Stage at which the connection of a run is cut.
     #[derive(Copy, Default, Eq)]
     pub enum RunCut {
-        /// Nowhere.
+        /// No cut.
         #[default]
         None,
-        /// Before it runs.
+        /// Before the request runs.
         Before,
-        /// After it ran, before the answer.
+        /// After the request ran, before the answer.
         After,
         /// In the middle of the answer.
         Amid,
     }
 }
 
-/// A restart by request.
+/// Body of `POST /standin/restart`.
 #[derive(Serialize, Deserialize)]
 struct RestartBody {
     #[serde(default)]
     down_ms: u64,
 }
 
-/// A pause by request.
+/// Body of `POST /standin/pause`.
 #[derive(Serialize, Deserialize)]
 struct PauseBody {
     ms: u64,
 }
 
-/// A running model engine.
+/// A running model engine stand-in; dropping it stops the server.
 pub struct EngineHandle {
     server: HttpServer,
     shared: Arc<EngineServer>,
 }
 
-/// What the endpoints and the step loop share.
+/// State shared by the endpoints and the step loop.
 pub(crate) struct EngineServer {
     pub(crate) settings: EngineServerSettings,
     pub(crate) control: Arc<ServerControl>,
     pub(crate) store: ExchangeClient,
-    /// Told when there is work for the batch.
+    /// Notified when a run is queued.
     pub(crate) wake: Notify,
     pub(crate) inner: Mutex<EngineState>,
-    /// Taken after `inner` where both are needed.
+    /// Locked after `inner` where both are needed.
     pub(crate) extra: Mutex<EngineExtra>,
 }
 
-/// State that the step loop does not need.
+/// State of the endpoints that the step loop does not need.
 #[derive(Default)]
 pub(crate) struct EngineExtra {
     pub(crate) faults: EngineFaults,
     pub(crate) role: EngineRole,
+    /// Imported KV caches with their request ids, oldest first.
     pub(crate) imports: VecDeque<(String, KvExport)>,
+    /// Reports with their times, oldest first.
     pub(crate) reports: VecDeque<(Instant, EngineReport)>,
 }
 
@@ -189,11 +191,11 @@
 ///
 /// # Errors
 ///
-/// If the address cannot be listened on.
+/// Fails if the server cannot listen on the address.
 pub async fn start_engine(settings: EngineServerSettings) -> std::io::Result<EngineHandle> {
     let control = ServerControl::new();
     let listen = settings.listen;
-    let incarnation = first_incarnation(settings.incarnation);
+    let incarnation = initial_incarnation(settings.incarnation);
     let exchange = ExchangeSettings { head_ms: settings.store_ms, ..Default::default() };
     let shared = Arc::new(EngineServer {
         inner: Mutex::new(EngineState::new(settings.clone(), incarnation)),
@@ -204,7 +206,8 @@
         extra: Mutex::default(),
     });
     let server =
-        HttpServer::start(listen, control.clone(), Arc::new(EngineFace(shared.clone()))).await?;
+        HttpServer::start(listen, control.clone(), Arc::new(EngineInterface(shared.clone())))
+            .await?;
     let report = shared.lock().report();
     shared.keep_report(report);
     control.spawn(run_steps(shared.clone()));
@@ -213,53 +216,55 @@
 }
 
 impl EngineHandle {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches faults.
+    /// Replaces the faults; loads that hang fail.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// What happened so far.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counters(&self) -> EngineCounters {
         self.shared.counters()
     }
 
-    /// How often runs with each idempotency key began, sorted by key. Doubles may also lie in two
-    /// engines, so their lists have to be added up.
+    /// Returns how many runs with each idempotency key were admitted to the batch, sorted by key.
+    /// To find duplicates across engines, add up their lists.
     #[must_use]
     pub fn runs_by_key(&self) -> Vec<TallyEntry> {
         self.shared.lock().keys.entries().to_vec()
     }
 
-    /// How often the request `id` began to run.
+    /// Returns how often the request `id` was admitted to the batch.
     #[must_use]
     pub fn runs_of(&self, id: &str) -> u32 {
         self.shared.lock().ids.count(id)
     }
 
-    /// The true state now, past all lag.
+    /// Returns a report of the present state, without the simulated lag.
     #[must_use]
     pub fn report(&self) -> EngineReport {
         self.shared.lock().report()
     }
 
-    /// Restarts with nothing kept and refuses connections for `down`.
+    /// Simulates a restart: drops all slots, runs and caches, cuts all connections and refuses new
+    /// ones for `down`.
     pub fn restart(&self, down: Duration) {
         self.shared.restart(down);
     }
 
-    /// Takes, runs and answers nothing for `time`.
+    /// Suspends the step loop and the answering of requests for `time`, as if the process were
+    /// paused.
     pub fn freeze(&self, time: Duration) {
         self.server.control().freeze(time);
     }
 
-    /// Stops after the answers under way.
+    /// Stops the server after the answers in flight.
     pub async fn shutdown(self) {
         self.server.stop().await;
     }
@@ -276,7 +281,7 @@
     fn set_faults(&self, faults: EngineFaults) {
         log_event("faults_set", "engine", &faults);
         self.extra().faults = faults;
-        self.control.cut_hung();
+        self.control.release_hung();
     }
 
     fn counters(&self) -> EngineCounters {
@@ -328,25 +333,25 @@
         match (request.method().as_str(), action) {
             ("GET", "keys") => Ok(reply::ok(&self.lock().keys.entries())),
             ("POST", "restart") => {
-                let body: RestartBody = reply::read_json(request, SMALL_BODY).await?;
+                let body: RestartBody = reply::read_json(request, MAX_SMALL_BODY).await?;
                 self.restart(Duration::from_millis(body.down_ms));
                 Ok(reply::ok(&body))
             }
             ("POST", "pause") => {
-                let body: PauseBody = reply::read_json(request, SMALL_BODY).await?;
+                let body: PauseBody = reply::read_json(request, MAX_SMALL_BODY).await?;
                 self.control.freeze(Duration::from_millis(body.ms));
                 Ok(reply::ok(&body))
             }
-            _ => self.handle_faults(request, action, SMALL_BODY).await,
+            _ => self.handle_faults(request, action, MAX_SMALL_BODY).await,
         }
     }
 }
 
-/// The HTTP face, which needs the engine's reference count for its tasks.
-struct EngineFace(Arc<EngineServer>);
+/// The HTTP interface. It holds the `Arc` of the engine, which tasks of requests clone.
+struct EngineInterface(Arc<EngineServer>);
 
 #[async_trait]
-impl RequestHandler for EngineFace {
+impl RequestHandler for EngineInterface {
     async fn handle(&self, request: Request<Incoming>) -> Result<Reply, ConnectionCut> {
         let engine = &self.0;
         let path = request.uri().path().to_owned();
@@ -373,11 +378,11 @@
             (_, ["standin", action]) => engine.handle_admin(request, action).await,
             _ => Err(reply::no_endpoint()),
         };
-        Ok(reply::either(result))
+        Ok(reply::into_reply(result))
     }
 }
 
-fn first_incarnation(setting: u64) -> u64 {
+fn initial_incarnation(setting: u64) -> u64 {
     if setting > 0 {
         return setting;
     }
@@ -385,40 +390,40 @@
     since_epoch.as_millis() as u64
 }
 
-/// Runs the batch, step after step.
+/// Runs the steps of the batch.
 async fn run_steps(engine: Arc<EngineServer>) {
     let mut due = tokio::time::Instant::now();
     loop {
-        engine.control.thawed().await;
+        engine.control.wait_unfrozen().await;
         let plan = engine.lock().plan(Instant::now());
         match plan {
             StepPlan::Idle => engine.wake.notified().await,
             StepPlan::Crash => engine.crash(),
             StepPlan::Step(time) => {
-                // Steps are due one after the other, so that late timers do not slow the engine;
-                // after a rest or a pause they are counted from now.
+                // Each step is due relative to the previous one, so that late timers do not slow
+                // the engine down; after an idle time or a freeze it is relative to now.
                 let now = tokio::time::Instant::now();
                 due = due.max(now.checked_sub(time).unwrap_or(now)) + time;
                 tokio::time::sleep_until(due).await;
-                engine.control.thawed().await;
+                engine.control.wait_unfrozen().await;
                 engine.lock().finish_step();
             }
         }
     }
 }
 
-/// Keeps reports for as long as the lag says.
+/// Records reports at intervals while a report lag is set; clears them while none is.
 async fn keep_reports(engine: Arc<EngineServer>) {
     loop {
         let lag = engine.report_lag();
-        let tick = (lag / REPORT_SHARE).clamp(REPORT_TICK_MIN, REPORT_TICK_MAX);
+        let interval = (lag / REPORT_LAG_DIVISOR).clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL);
         if lag.is_zero() {
             engine.extra().reports.clear();
-            tokio::time::sleep(REPORT_TICK_MAX).await;
+            tokio::time::sleep(MAX_REPORT_INTERVAL).await;
             continue;
         }
         let report = engine.lock().report();
         engine.keep_report(report);
-        tokio::time::sleep(tick).await;
+        tokio::time::sleep(interval).await;
     }
 }
--- a/standin/src/fault.rs
+++ b/standin/src/fault.rs
@@ -1,4 +1,5 @@
-//! What all stand-ins answer at `/standin/`: their faults, a change of these, and their counters.
+//! Endpoints below `/standin/` that all stand-ins have: faults, which can be replaced, and
+//! counters.
 
 use async_trait::async_trait;
 use http::Request;
@@ -8,25 +9,25 @@
 
 use crate::reply::{self, Refusal, Reply};
 
-/// A stand-in whose faults are switched while it runs.
+/// A stand-in whose faults can be replaced while it runs.
 #[async_trait]
 pub(crate) trait FaultyServer: Sync {
-    /// Its faults; the default has none.
+    /// The faults; the default has none.
     type Faults: Clone + DeserializeOwned + Serialize + Send;
-    /// What it counts.
+    /// The counters.
     type Counters: Serialize;
 
-    /// The faults in force.
+    /// Returns the present faults.
     fn faults(&self) -> Self::Faults;
 
-    /// Puts `faults` in the place of those in force.
+    /// Replaces the faults.
     fn set_faults(&self, faults: Self::Faults);
 
-    /// What happened so far.
+    /// Returns the counters since the start.
     fn counters(&self) -> Self::Counters;
 
-    /// Answers a request to `/standin/{action}`, whose body has at most `limit` bytes, if it
-    /// concerns faults or counters.
+    /// Answers a request to `/standin/{action}` that concerns faults or counters, and refuses
+    /// others. `limit` is the maximum size of the body in bytes.
     async fn handle_faults(
         &self,
         request: Request<Incoming>,
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,10 +1,10 @@
-//! Small servers that take the place of what surrounds the system: a model engine, a plain
-//! service, the platform's log with its list of VMs, and a weight store.
+//! Stand-in servers for the external components of the system: a model engine, a plain service, the
+//! platform's log with its list of VMs, and a weight store.
 //!
-//! Each is a library type that runs as tasks on a loopback port, so that tests and the
-//! demonstration host them in one process; the binaries run the same code. Each has faults that are
-//! switched while it runs, by its handle or by `POST /standin/faults`. None protects the system
-//! from its own mistakes: they obey and count. docs/STANDINS.md describes them.
+//! Each stand-in is a library type that runs as tasks on a loopback port, so that tests and the
+//! demonstration can host them in one process; the binaries run the same code. Each has faults that
+//! can be replaced while it runs, by its handle or by `POST /standin/faults`. They carry out wrong
+//! orders and count them instead of guarding against them. docs/STANDINS.md describes them.
 //!
 //! ```no_run
 //! # async fn example() -> std::io::Result<()> {
--- a/standin/src/metric.rs
+++ b/standin/src/metric.rs
@@ -1,4 +1,4 @@
-//! Counters of a stand-in in the text format of Prometheus.
+//! Counters of a stand-in in the Prometheus text format.
 
 use coltsfoothook_telemetry::process_figures;
 use http::StatusCode;
@@ -8,10 +8,10 @@
 
 use crate::reply::{self, Refusal, Reply};
 
-const TEXT_FORMAT: &str = "text/plain; version=0.0.4";
+const CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Answers with `counters`, whose fields are numbers, and with the memory and processor time of the
-/// process, which other stand-ins may share.
+/// Answers with `counters`, which serializes to an object of numbers, and with the memory and CPU
+/// time of the process, which may host several stand-ins.
 pub(crate) fn metrics(server: &str, counters: &impl Serialize) -> Result<Reply, Refusal> {
     let fields = match serde_json::to_value(counters) {
         Ok(Value::Object(fields)) => fields,
@@ -20,7 +20,7 @@
     let text = encode(server, &fields).map_err(|error| {
         reply::refusal(StatusCode::INTERNAL_SERVER_ERROR, "metrics", &error.to_string())
     })?;
-    Ok(reply::whole(StatusCode::OK, TEXT_FORMAT, text.into_bytes()))
+    Ok(reply::buffered(StatusCode::OK, CONTENT_TYPE, text.into_bytes()))
 }
 
 fn encode(server: &str, fields: &Map<String, Value>) -> prometheus::Result<String> {
@@ -32,10 +32,10 @@
         counter.inc_by(value.as_u64().unwrap_or_default());
         registry.register(Box::new(counter))?;
     }
-    let figures = process_figures();
+    let usage = process_figures();
     for (name, help, value) in [
-        ("process_resident_memory_bytes", "Resident memory.", figures.resident_bytes as f64),
-        ("process_cpu_seconds_total", "Processor time.", figures.cpu_seconds),
+        ("process_resident_memory_bytes", "Resident memory.", usage.resident_bytes as f64),
+        ("process_cpu_seconds_total", "Processor time.", usage.cpu_seconds),
     ] {
         let gauge = Gauge::new(name, help)?;
         gauge.set(value);
--- a/standin/src/orders.rs
+++ b/standin/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the model engine stand-in, and questions that it answers.
+//! Endpoints of the model engine stand-in other than completions: orders, reports and KV caches.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 use tokio::sync::watch;
 
 use crate::batch::{AdapterSlot, EngineState};
-use crate::engine::{EngineServer, LoadFault, SMALL_BODY};
+use crate::engine::{EngineServer, LoadFault, MAX_SMALL_BODY};
 use crate::reply::{self, Refusal, Reply};
 
-/// How many imported KV caches are kept.
+/// Maximum number of imported KV caches kept.
 const IMPORT_LIMIT: usize = 256;
-/// The bound on the weight store's answer.
-const STORE_ANSWER: usize = 64 * 1024;
+/// Maximum size in bytes of the weight store's answer.
+const MAX_STORE_ANSWER: usize = 64 * 1024;
 
-/// How a load ended, once it did.
+/// Result of a load; `None` while it is in progress.
 type LoadResult = Option<Result<(), String>>;
 
 #[derive(Serialize, Deserialize)]
@@ -63,7 +63,7 @@
         request: Request<Incoming>,
     ) -> Result<Reply, Refusal> {
         let fencing = fencing(&request);
-        let body: LoadBody = reply::read_json(request, SMALL_BODY).await?;
+        let body: LoadBody = reply::read_json(request, MAX_SMALL_BODY).await?;
         let mut loaded = self.begin_load(&body, fencing)?;
         let result = match loaded.wait_for(Option::is_some).await {
             Ok(result) => result.clone().unwrap_or(Ok(())),
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Takes a slot for the load, or joins one under way. The load goes on if its orderer leaves.
+    /// Takes a slot and starts the load, or joins a load of the same weights. The load continues if
+    /// the caller disconnects.
     fn begin_load(
         self: &Arc<Self>,
         body: &LoadBody,
@@ -92,7 +93,7 @@
                 return Ok(state.slots[at].loaded.subscribe());
             }
             Ok(_) => {
-                let message = "the name stands for other weights";
+                let message = "the name is already used for other weights";
                 return Err(reply::refusal(StatusCode::BAD_REQUEST, "name_taken", message));
             }
             Err(at) => at,
@@ -109,25 +110,26 @@
         };
         let loaded = slot.loaded.subscribe();
         state.slots.insert(at, slot);
-        let (engine, life) = (self.clone(), state.incarnation);
+        let (engine, incarnation) = (self.clone(), state.incarnation);
         let (name, path) = (body.lora_name.clone(), body.lora_path.clone());
         self.control.spawn(async move {
             let result = engine.fetch(&path).await;
             let mut state = engine.lock();
-            if state.incarnation == life {
+            if state.incarnation == incarnation {
                 state.end_load(&name, result);
             }
         });
         Ok(loaded)
     }
 
+    /// Loads weights: requests them from the weight store, if one is set, and waits for `load_ms`.
     async fn fetch(&self, path: &str) -> Result<(), String> {
-        let hung = self.control.hung();
+        let released = self.control.hang_token();
         let fault = self.extra().faults.load;
         match fault {
             LoadFault::Fail => return Err("load fault".to_owned()),
             LoadFault::Hang => {
-                hung.cancelled().await;
+                released.cancelled().await;
                 return Err("load hung".to_owned());
             }
             LoadFault::None | LoadFault::Late { .. } => {}
@@ -138,7 +140,7 @@
             let answer =
                 self.store.send(store, request).await.map_err(|error| error.to_string())?;
             let status = answer.status;
-            answer.body.collect(STORE_ANSWER).await.map_err(|error| error.to_string())?;
+            answer.body.collect(MAX_STORE_ANSWER).await.map_err(|error| error.to_string())?;
             if status != StatusCode::OK {
                 return Err(format!("weight store answered {status}"));
             }
@@ -149,7 +151,7 @@
 
     pub(crate) async fn handle_unload(&self, request: Request<Incoming>) -> Result<Reply, Refusal> {
         let fencing = fencing(&request);
-        let body: UnloadBody = reply::read_json(request, SMALL_BODY).await?;
+        let body: UnloadBody = reply::read_json(request, MAX_SMALL_BODY).await?;
         let mut state = self.lock();
         state.check_fencing(fencing)?;
         let Ok(at) = state.slot(&body.lora_name) else {
@@ -162,7 +164,7 @@
 
     pub(crate) async fn handle_role(&self, request: Request<Incoming>) -> Result<Reply, Refusal> {
         let fencing = fencing(&request);
-        let body: RoleBody = reply::read_json(request, SMALL_BODY).await?;
+        let body: RoleBody = reply::read_json(request, MAX_SMALL_BODY).await?;
         self.lock().check_fencing(fencing)?;
         self.extra().role = body.role;
         Ok(reply::ok(&body))
@@ -179,7 +181,8 @@
         reply::ok(&ModelList { object: "list", data: loaded.map(item).collect() })
     }
 
-    /// The newest report that is at least as old as the lag, or the oldest there is.
+    /// Answers with the newest report that is at least as old as the lag, or the oldest kept one;
+    /// without a lag with the present state.
     pub(crate) fn handle_report(&self) -> Reply {
         match self.lagging_report() {
             Some(report) => reply::ok(&report),
@@ -194,8 +197,8 @@
         }
         let now = Instant::now();
         let extra = self.extra();
-        let old = extra.reports.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
-        old.or(extra.reports.front()).map(|(_, report)| report.clone())
+        let lagging = extra.reports.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
+        lagging.or(extra.reports.front()).map(|(_, report)| report.clone())
     }
 
     pub(crate) fn handle_events(&self, request: &Request<Incoming>) -> Result<Reply, Refusal> {
@@ -217,7 +220,7 @@
         request: Request<Incoming>,
         id: &str,
     ) -> Result<Reply, Refusal> {
-        let kv: KvExport = reply::read_json(request, SMALL_BODY).await?;
+        let kv: KvExport = reply::read_json(request, MAX_SMALL_BODY).await?;
         let mut extra = self.extra();
         if extra.imports.len() >= IMPORT_LIMIT {
             extra.imports.pop_front();
@@ -227,30 +230,31 @@
     }
 }
 
-/// "Not found" for a stream.
+/// Makes the refusal for an unknown stream.
 pub(crate) fn no_stream() -> Refusal {
     reply::refusal(StatusCode::NOT_FOUND, "no_stream", "no such stream")
 }
 
+/// Returns the fencing number of an order, or `None` if it has none or it is not a number.
 fn fencing(request: &Request<Incoming>) -> Option<u64> {
     reply::header_text(request, FENCING_HEADER.as_str()).parse().ok()
 }
 
 impl AdapterSlot {
-    /// Whether requests can run on it.
+    /// Returns whether the adapter is loaded, so that requests can run on the slot.
     pub(crate) fn is_loaded(&self) -> bool {
         *self.loaded.borrow() == Some(Ok(()))
     }
 }
 
 impl EngineState {
-    /// Refuses an order with an old number, if this engine checks them.
+    /// Refuses an order with a stale fencing number or without one, if the engine checks them.
     fn check_fencing(&mut self, number: Option<u64>) -> Result<(), Refusal> {
         let checks = self.settings.checks_fencing;
         let Some(number) = number else {
             if checks {
                 let status = StatusCode::PRECONDITION_REQUIRED;
-                return Err(reply::refusal(status, "no_fencing", "a fencing number is needed"));
+                return Err(reply::refusal(status, "no_fencing", "fencing number missing"));
             }
             return Ok(());
         };
@@ -267,7 +271,8 @@
         Ok(())
     }
 
-    /// The weights in a slot that a request may run on now.
+    /// Returns the weights in a loaded slot; refuses if the slot is not loaded or the queue is
+    /// full.
     pub(crate) fn weights_to_run(&mut self, name: &str) -> Result<String, Refusal> {
         let slot = self.slot(name).ok().map(|at| &self.slots[at]);
         let Some(slot) = slot.filter(|slot| slot.is_loaded()) else {
@@ -277,11 +282,12 @@
         };
         if self.waiting.len() >= self.settings.max_waiting {
             let status = StatusCode::TOO_MANY_REQUESTS;
-            return Err(reply::refusal(status, "queue_full", "too many requests wait"));
+            return Err(reply::refusal(status, "queue_full", "too many waiting requests"));
         }
         Ok(slot.weights.clone())
     }
 
+    /// Records the result of a load; a failed load frees its slot.
     fn end_load(&mut self, name: &str, result: Result<(), String>) {
         let Ok(at) = self.slot(name) else {
             return;
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in: the append-only log and the list of VMs.
+//! The platform stand-in: an append-only log and the list of VMs.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,31 +24,32 @@
 use crate::streams::{LogStreams, PageLimit, ReadResult, StreamLimits};
 use crate::vms::{VmChange, VmList};
 
-/// The bound on the body of a fault or a change of the list.
-const SMALL_BODY: usize = 64 * 1024;
+/// Maximum size in bytes of the body of a call to `/standin/`.
+const MAX_SMALL_BODY: usize = 64 * 1024;
 
 settings_struct! {
     /// Settings of the log and the list of VMs.
     pub struct PlatformServerSettings {
-        /// Where to listen; port 0 takes any free one.
+        /// The address to listen on; port 0 picks a free one.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
-        /// Appends a second that the log takes.
+        /// The rate limit of appends, per second.
         pub appends_per_s: f64 = 400.0, in 0.001..=1e6;
-        /// Appends that it takes at once after a rest.
+        /// The burst of appends accepted after an idle time.
         pub append_burst: f64 = 100.0, in 1.0..=1e6;
-        /// How long a record is kept, in milliseconds.
+        /// The retention time of records, in milliseconds.
         pub retain_ms: u64 = 7 * 24 * 3_600 * 1_000;
-        /// How many records a stream keeps.
+        /// The maximum number of records kept in a stream.
         pub retain_records: usize = 1_000_000, in 1..=100_000_000;
-        /// The longest body of an append, in bytes.
+        /// The maximum size of an append's body, in bytes.
         pub max_append_bytes: usize = 16 * 1024 * 1024, in 1_024..=1_073_741_824;
-        /// The most bytes of records in one page, but for a first record that is longer.
+        /// The maximum size of the records in a page, in bytes; a longer first record is still
+        /// returned.
         pub max_page_bytes: usize = 8 * 1024 * 1024, in 1..=1_073_741_824;
-        /// The most records in one page.
+        /// The maximum number of records in a page.
         pub max_page_records: usize = 1_000, in 1..=1_000_000;
-        /// The longest that a read waits for a record, in milliseconds.
+        /// The maximum time that a read waits for a record, in milliseconds.
         pub max_wait_ms: u64 = 30_000, in 0..=3_600_000;
-        /// How long a change takes to show in the list of VMs, in milliseconds.
+        /// The delay until a change appears in the list of VMs, in milliseconds.
         pub list_lag_ms: u64 = 1_000, in 0..=3_600_000;
     }
 }
@@ -58,44 +59,46 @@
     #[derive(Default, Eq)]
     #[serde(default, deny_unknown_fields)]
     pub struct PlatformFaults {
-        /// What the log does with all requests.
+        /// The outage of the log.
         pub log: OutageKind,
-        /// What the list of VMs does with all requests.
+        /// The outage of the list of VMs.
         pub list: OutageKind,
-        /// The next so many appends take effect, and their connection is cut before the answer.
+        /// The number of next appends that take effect and whose connection is cut before the
+        /// answer.
         pub lose_answers: u32,
-        /// The next so many appends are cut before they take effect.
+        /// The number of next appends whose connection is cut before they take effect.
         pub drop_appends: u32,
-        /// How much longer each answer of the log takes, in milliseconds.
+        /// Additional delay of each answer of the log, in milliseconds.
         pub delay_ms: u64,
     }
 
-    /// What a service does while it is out of order.
+    /// Kind of outage, which applies to all requests.
     #[derive(Copy, Default, Eq)]
     pub enum OutageKind {
-        /// It works.
+        /// No outage.
         #[default]
         None,
-        /// It answers that it is unavailable.
+        /// Requests are refused with 503.
         Refuse,
-        /// It takes requests and never answers.
+        /// Requests are accepted and not answered; their connections are cut when the faults are
+        /// set again.
         Hang,
-        /// It cuts each connection.
+        /// The connection of each request is cut.
         Cut,
     }
 
-    /// What happened so far.
+    /// Counters since the start.
     #[derive(Copy, Default, Eq)]
     pub struct PlatformCounters {
         /// Appends that took effect.
         pub appends: u64,
-        /// Records in them.
+        /// Records in these appends.
         pub records: u64,
-        /// Appends refused by the rate.
+        /// Appends refused by the rate limit.
         pub throttled: u64,
         /// Reads answered.
         pub reads: u64,
-        /// Answers lost on purpose.
+        /// Appends that took effect and whose answer was lost by a fault.
         pub answers_lost: u64,
     }
 
@@ -118,7 +121,7 @@
     vms: Vec<ListedVm>,
 }
 
-/// A running platform stand-in.
+/// A running platform stand-in; dropping it stops the server.
 pub struct PlatformHandle {
     server: HttpServer,
     shared: Arc<PlatformServer>,
@@ -127,7 +130,7 @@
 struct PlatformServer {
     settings: PlatformServerSettings,
     state: Mutex<PlatformState>,
-    /// Counts appends, for reads that wait.
+    /// Incremented by each append and change of faults, to wake waiting reads.
     appended: watch::Sender<u64>,
     control: Arc<ServerControl>,
 }
@@ -143,7 +146,7 @@
 ///
 /// # Errors
 ///
-/// If the address cannot be listened on.
+/// Fails if the server cannot listen on the address.
 pub async fn start_platform(settings: PlatformServerSettings) -> std::io::Result<PlatformHandle> {
     let limits = StreamLimits {
         appends_per_s: settings.appends_per_s,
@@ -170,55 +173,55 @@
 }
 
 impl PlatformHandle {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches faults.
+    /// Replaces the faults; requests that hang are cut.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// The faults now; counts of faults to come go down as they happen.
+    /// Returns the present faults; counts of faults decrease as the faults occur.
     #[must_use]
     pub fn faults(&self) -> PlatformFaults {
         self.shared.lock().faults.clone()
     }
 
-    /// What happened so far.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counters(&self) -> PlatformCounters {
         self.shared.counters()
     }
 
-    /// Changes the list of VMs; the change shows after the list's lag.
+    /// Changes the list of VMs; the change appears after the list's lag.
     pub fn change_vms(&self, change: VmChange) {
         self.shared.change_vms(change);
     }
 
-    /// Appends records as another writer would, past the rate and all faults.
+    /// Appends records as another writer would, regardless of the rate limit and faults.
     pub fn append(&self, stream: &str, records: Vec<String>) -> AppendedRange {
         self.shared.append(stream, records)
     }
 
-    /// Forgets all records of a stream before `offset`, as retention would.
+    /// Drops all records of a stream before `offset`, as retention would.
     pub fn forget_before(&self, stream: &str, offset: LogOffset) {
         self.shared.lock().streams.forget_before(stream, offset.0);
     }
 
-    /// Takes and answers nothing for `time`.
+    /// Suspends the answering of requests for `time`, as if the process were paused.
     pub fn freeze(&self, time: Duration) {
         self.server.control().freeze(time);
     }
 
-    /// Refuses connections for `time`; records are kept.
+    /// Cuts all connections and refuses new ones for `time`; records are kept.
     pub fn go_down(&self, time: Duration) {
         self.server.control().go_down(time);
     }
 
-    /// Stops after the answers under way.
+    /// Clears the faults and stops the server after the answers in flight.
     pub async fn shutdown(self) {
         self.server.begin_stop();
         self.set_faults(PlatformFaults::default());
@@ -226,12 +229,14 @@
     }
 }
 
-/// Whether an append is to be harmed.
+/// Fault of an append.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AppendFault {
     None,
+    /// Cuts the connection before the append takes effect.
     Drop,
-    Lose,
+    /// Cuts the connection after the append took effect.
+    LoseAnswer,
 }
 
 impl FaultyServer for PlatformServer {
@@ -245,8 +250,8 @@
     fn set_faults(&self, faults: PlatformFaults) {
         log_event("faults_set", "platform", &faults);
         self.lock().faults = faults;
-        self.control.cut_hung();
-        // Reads that wait look at the faults again.
+        self.control.release_hung();
+        // Waiting reads check the faults again.
         self.appended.send_modify(|count| *count += 1);
     }
 
@@ -275,10 +280,11 @@
         range
     }
 
+    /// Applies an outage. `None` means that the request is to be handled.
     async fn outage(
         &self,
         kind: OutageKind,
-        hung: CancellationToken,
+        released: CancellationToken,
     ) -> Result<Option<Reply>, ConnectionCut> {
         match kind {
             OutageKind::None => Ok(None),
@@ -287,7 +293,7 @@
                 Ok(Some(reply::refusal(status, "outage", "out of service").into()))
             }
             OutageKind::Hang => {
-                hung.cancelled().await;
+                released.cancelled().await;
                 Err(ConnectionCut)
             }
             OutageKind::Cut => Err(ConnectionCut),
@@ -299,9 +305,9 @@
         request: Request<Incoming>,
         stream: String,
     ) -> Result<Reply, ConnectionCut> {
-        let hung = self.control.hung();
+        let released = self.control.hang_token();
         let faults = self.lock().faults.clone();
-        if let Some(refusal) = self.outage(faults.log, hung).await? {
+        if let Some(refusal) = self.outage(faults.log, released).await? {
             return Ok(refusal);
         }
         if faults.delay_ms > 0 {
@@ -309,7 +315,7 @@
         }
         match *request.method() {
             Method::POST => self.handle_append(request, &stream).await,
-            Method::GET => Ok(reply::either(self.handle_read(&request, &stream).await)),
+            Method::GET => Ok(reply::into_reply(self.handle_read(&request, &stream).await)),
             _ => Ok(reply::no_endpoint().into()),
         }
     }
@@ -332,12 +338,13 @@
             return Err(ConnectionCut);
         }
         let range = self.append(stream, body.records);
-        if fault == AppendFault::Lose {
+        if fault == AppendFault::LoseAnswer {
             return Err(ConnectionCut);
         }
         Ok(reply::ok(&range))
     }
 
+    /// Takes an append out of the rate limit, or returns the milliseconds to wait.
     fn admit(&self) -> Result<(), u64> {
         let mut state = self.lock();
         let admitted = state.streams.admit(Instant::now());
@@ -347,6 +354,7 @@
         admitted
     }
 
+    /// Consumes the fault for the next append.
     fn append_fault(&self) -> AppendFault {
         let mut state = self.lock();
         if state.faults.drop_appends > 0 {
@@ -356,7 +364,7 @@
         if state.faults.lose_answers > 0 {
             state.faults.lose_answers -= 1;
             state.counters.answers_lost += 1;
-            return AppendFault::Lose;
+            return AppendFault::LoseAnswer;
         }
         AppendFault::None
     }
@@ -386,7 +394,7 @@
                 }
                 ReadResult::Page(page) => return Ok(self.page(&page)),
             }
-            // An outage also takes the reads that wait.
+            // An outage also applies to waiting reads.
             if self.lock().faults.log != OutageKind::None {
                 let status = StatusCode::SERVICE_UNAVAILABLE;
                 return Err(reply::refusal(status, "outage", "out of service"));
@@ -405,12 +413,12 @@
     }
 
     async fn handle_list(&self) -> Result<Reply, ConnectionCut> {
-        let hung = self.control.hung();
+        let released = self.control.hang_token();
         let outage = self.lock().faults.list;
-        if let Some(refusal) = self.outage(outage, hung).await? {
+        if let Some(refusal) = self.outage(outage, released).await? {
             return Ok(refusal);
         }
-        let vms = self.lock().vms.show(Instant::now());
+        let vms = self.lock().vms.visible(Instant::now());
         Ok(reply::ok(&ListBody { vms }))
     }
 
@@ -421,16 +429,16 @@
     ) -> Result<Reply, Refusal> {
         match (request.method().as_str(), action) {
             ("POST", "vms") => {
-                let change: VmChange = reply::read_json(request, SMALL_BODY).await?;
+                let change: VmChange = reply::read_json(request, MAX_SMALL_BODY).await?;
                 self.change_vms(change.clone());
                 Ok(reply::ok(&change))
             }
             ("POST", "forget") => {
-                let body: ForgetBody = reply::read_json(request, SMALL_BODY).await?;
+                let body: ForgetBody = reply::read_json(request, MAX_SMALL_BODY).await?;
                 self.lock().streams.forget_before(&body.stream, body.before);
                 Ok(reply::ok(&body))
             }
-            _ => self.handle_faults(request, action, SMALL_BODY).await,
+            _ => self.handle_faults(request, action, MAX_SMALL_BODY).await,
         }
     }
 }
@@ -444,8 +452,8 @@
                 self.handle_log(request, stream.to_owned()).await
             }
             ["v1", "vms"] if request.method() == Method::GET => self.handle_list().await,
-            ["metrics"] => Ok(reply::either(metrics("log", &self.counters()))),
-            ["standin", action] => Ok(reply::either(self.handle_admin(request, action).await)),
+            ["metrics"] => Ok(reply::into_reply(metrics("log", &self.counters()))),
+            ["standin", action] => Ok(reply::into_reply(self.handle_admin(request, action).await)),
             _ => Ok(reply::no_endpoint().into()),
         }
     }
--- a/standin/src/prefix.rs
+++ b/standin/src/prefix.rs
@@ -6,45 +6,49 @@
 use coltsfoothook_decision::id::stable_hash;
 use coltsfoothook_engine::{CacheEvent, CacheEventKind, CacheEventPage};
 
-/// Bytes of a prompt that make a block of the cache, and the tokens that these count for.
+/// Size of a cache block in bytes of the prompt.
 const BLOCK_BYTES: usize = 64;
-/// Bytes of a prompt that count as one token.
+/// Number of bytes of a prompt that count as one token.
 const TOKEN_BYTES: usize = 4;
-/// How many events are kept for those who read late.
+/// Maximum number of events kept for readers.
 const EVENT_LIMIT: usize = 4_096;
-/// The share of the blocks that makes room at once, as a divisor; one block at a time would cost a
-/// search each.
-const EVICTED_SHARE: usize = 8;
+/// Divisor of the capacity that gives the number of blocks evicted at once. Evicting single blocks
+/// would need a search for each.
+const EVICTION_DIVISOR: usize = 8;
 
-/// Cached blocks, and events about them.
+/// LRU cache of prompt blocks with the events about them.
 pub(crate) struct PrefixCache {
     /// Sorted by hash.
     blocks: Vec<CachedBlock>,
+    /// Maximum number of blocks.
     limit: usize,
+    /// Number of prompts used so far.
     clock: u64,
     events: VecDeque<(Instant, CacheEvent)>,
     next_event: u64,
-    /// Every so many-th event is lost; 0 loses none.
+    /// Every n-th event is lost; 0 loses none.
     gap_every: u64,
 }
 
 struct CachedBlock {
+    /// Hash of the label and of the prompt up to the end of the block.
     hash: u64,
-    used: u64,
+    /// Value of the cache's clock at the last use.
+    last_used: u64,
 }
 
-/// How many tokens a prompt counts for.
+/// Returns the number of tokens in a prompt, at least 1.
 pub(crate) fn token_count(prompt: &str) -> u32 {
     u32::try_from(prompt.len().div_ceil(TOKEN_BYTES)).unwrap_or(u32::MAX).max(1)
 }
 
 impl PrefixCache {
-    /// An empty cache for `tokens` tokens.
+    /// Creates an empty cache with a capacity of `tokens` tokens.
     pub(crate) fn new(tokens: u32, gap_every: u64) -> Self {
         let limit = tokens as usize * TOKEN_BYTES / BLOCK_BYTES;
         Self {
             blocks: Vec::new(),
-            limit: limit.max(EVICTED_SHARE),
+            limit: limit.max(EVICTION_DIVISOR),
             clock: 0,
             events: VecDeque::new(),
             next_event: 0,
@@ -52,14 +56,14 @@
         }
     }
 
-    /// Forgets all blocks, as a restart does.
+    /// Drops all blocks and events, as a restart does.
     pub(crate) fn clear(&mut self) {
         self.blocks.clear();
         self.events.clear();
         self.next_event = 0;
     }
 
-    /// Looks a prompt up and stores it; returns how many of its tokens were cached.
+    /// Stores a prompt and returns how many tokens of its prefix were already cached.
     pub(crate) fn use_prompt(&mut self, label: &str, prompt: &str, now: Instant) -> u32 {
         self.clock += 1;
         let mut chain = stable_hash(&[label]);
@@ -76,7 +80,7 @@
         cached
     }
 
-    /// Events from number `from` on that are at least `lag` old.
+    /// Returns the events from number `from` on that are at least `lag` old.
     pub(crate) fn events(&self, from: u64, now: Instant, lag: Duration) -> CacheEventPage {
         let visible = |at: &Instant| now.saturating_duration_since(*at) >= lag;
         let events: Vec<CacheEvent> = self
@@ -89,15 +93,16 @@
         CacheEventPage { events, next }
     }
 
+    /// Marks a block as used, storing it if it is missing; returns whether it was cached.
     fn touch(&mut self, hash: u64, now: Instant) -> bool {
         match self.blocks.binary_search_by_key(&hash, |block| block.hash) {
             Ok(at) => {
-                self.blocks[at].used = self.clock;
+                self.blocks[at].last_used = self.clock;
                 true
             }
             Err(at) => {
-                self.blocks.insert(at, CachedBlock { hash, used: self.clock });
-                self.publish(CacheEventKind::Stored, hash, now);
+                self.blocks.insert(at, CachedBlock { hash, last_used: self.clock });
+                self.record_event(CacheEventKind::Stored, hash, now);
                 if self.blocks.len() > self.limit {
                     self.evict(now);
                 }
@@ -106,24 +111,26 @@
         }
     }
 
+    /// Evicts the least recently used blocks.
     fn evict(&mut self, now: Instant) {
-        let mut ages: Vec<u64> = self.blocks.iter().map(|block| block.used).collect();
-        let (_, bound, _) = ages.select_nth_unstable(self.limit / EVICTED_SHARE);
-        let bound = *bound;
-        let mut gone = Vec::new();
+        let mut last_uses: Vec<u64> = self.blocks.iter().map(|block| block.last_used).collect();
+        let (_, cutoff, _) = last_uses.select_nth_unstable(self.limit / EVICTION_DIVISOR);
+        let cutoff = *cutoff;
+        let mut evicted = Vec::new();
         self.blocks.retain(|block| {
-            let stays = block.used > bound;
-            if !stays {
-                gone.push(block.hash);
+            let kept = block.last_used > cutoff;
+            if !kept {
+                evicted.push(block.hash);
             }
-            stays
+            kept
         });
-        for hash in gone {
-            self.publish(CacheEventKind::Evicted, hash, now);
+        for hash in evicted {
+            self.record_event(CacheEventKind::Evicted, hash, now);
         }
     }
 
-    fn publish(&mut self, kind: CacheEventKind, prefix: u64, now: Instant) {
+    /// Records an event, or skips its number if it is to be lost.
+    fn record_event(&mut self, kind: CacheEventKind, prefix: u64, now: Instant) {
         let number = self.next_event;
         self.next_event += 1;
         if self.gap_every > 0 && number % self.gap_every == self.gap_every - 1 {
--- a/standin/src/reply.rs
+++ b/standin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the stand-ins, and what they read from requests.
+//! Helpers to build answers and to read requests.
 
 use bytes::Bytes;
 use futures::Stream;
@@ -10,10 +10,11 @@
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// Before each piece of an answer that is to be cut.
-pub(crate) const CUT_PAUSE: std::time::Duration = std::time::Duration::from_millis(5);
+/// Delay before each piece of an answer that is cut, so that earlier pieces are sent before the
+/// cut.
+pub(crate) const CUT_DELAY: std::time::Duration = std::time::Duration::from_millis(5);
 
-/// Ends the connection at once; from a body it cuts the answer in the middle.
+/// Error that closes the connection without an answer; from a body it truncates the answer.
 #[derive(Debug, Snafu)]
 #[snafu(display("connection cut by a fault or by a lost run"))]
 pub(crate) struct ConnectionCut;
@@ -35,18 +36,18 @@
     code: &'a str,
 }
 
-/// JSON with a status.
+/// Makes a JSON answer with a status.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Reply {
     let text = serde_json::to_vec(value).unwrap_or_default();
-    whole(status, "application/json", text)
+    buffered(status, "application/json", text)
 }
 
-/// JSON with status 200.
+/// Makes a JSON answer with status 200.
 pub(crate) fn ok(value: &impl Serialize) -> Reply {
     json(StatusCode::OK, value)
 }
 
-/// An answer that says "no". The shape is that of errors in the OpenAI-compatible interface.
+/// An error answer, in the format of the OpenAI-compatible interface.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
     status: StatusCode,
@@ -55,17 +56,17 @@
     retry_after_ms: Option<u64>,
 }
 
-/// A refusal with a code that programs read and a message that people read.
+/// Makes a refusal with a code for programs and a message for humans.
 pub(crate) fn refusal(status: StatusCode, code: &'static str, message: &str) -> Refusal {
     Refusal { status, code, message: message.to_owned(), retry_after_ms: None }
 }
 
-/// "Not found" for a path that no endpoint has.
+/// Makes the refusal for an unknown path.
 pub(crate) fn no_endpoint() -> Refusal {
     refusal(StatusCode::NOT_FOUND, "no_endpoint", "no such endpoint")
 }
 
-/// "Busy" with a time to come back.
+/// Makes the refusal for an exceeded rate, with the time to wait before a retry.
 pub(crate) fn throttled(retry_after_ms: u64) -> Refusal {
     let refusal = refusal(StatusCode::TOO_MANY_REQUESTS, "throttled", "rate exceeded");
     Refusal { retry_after_ms: Some(retry_after_ms), ..refusal }
@@ -80,7 +81,7 @@
         let detail = ErrorDetail { message: &refusal.message, r#type: kind, code: refusal.code };
         let mut reply = json(refusal.status, &ErrorBody { error: detail });
         if let Some(wait_ms) = refusal.retry_after_ms {
-            // Seconds with decimals: whole ones would hold writers back for longer than needed.
+            // Fractional seconds: whole ones would delay writers for longer than needed.
             let seconds = format!("{:.3}", wait_ms as f64 / 1_000.0);
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 reply.headers_mut().insert(header::RETRY_AFTER, value);
@@ -90,13 +91,13 @@
     }
 }
 
-/// A whole body.
-pub(crate) fn whole(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> Reply {
+/// Makes an answer whose body is sent with its length.
+pub(crate) fn buffered(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> Reply {
     let body = Full::from(body).map_err(|never| match never {}).boxed_unsync();
     with_body(status, content_type, body)
 }
 
-/// A body that comes piece by piece.
+/// Makes an answer with status 200 whose body is streamed.
 pub(crate) fn streamed(
     content_type: &'static str,
     pieces: impl Stream<Item = Result<Bytes, ConnectionCut>> + Send + 'static,
@@ -112,7 +113,7 @@
     reply
 }
 
-/// Reads the whole body of a request.
+/// Reads the body of a request; refuses it if it is longer than `limit` bytes or incomplete.
 pub(crate) async fn read_body(request: Request<Incoming>, limit: usize) -> Result<Bytes, Refusal> {
     match Limited::new(request.into_body(), limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
@@ -120,7 +121,7 @@
     }
 }
 
-/// Reads a JSON body.
+/// Reads a JSON body of at most `limit` bytes.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     limit: usize,
@@ -134,7 +135,7 @@
         .map_err(|cause| refusal(StatusCode::BAD_REQUEST, "bad_json", &cause.to_string()))
 }
 
-/// A number from the query, or `default` where it is left out.
+/// Returns a number from the query, or `default` if it is absent.
 pub(crate) fn query_number(
     request: &Request<Incoming>,
     name: &str,
@@ -150,28 +151,28 @@
     text.parse().map_err(|_| refusal(StatusCode::BAD_REQUEST, "bad_query", &message))
 }
 
-/// A header as text; empty where it is left out.
+/// Returns a header as text, empty if it is absent or not text.
 pub(crate) fn header_text(request: &Request<Incoming>, name: &str) -> String {
     let value = request.headers().get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default().to_owned()
 }
 
-/// The segments of a path.
+/// Splits a path into its segments, without empty ones.
 pub(crate) fn segments(path: &str) -> Vec<&str> {
     path.split('/').filter(|segment| !segment.is_empty()).collect()
 }
 
-/// Joins the two ways in which an endpoint may end early.
-pub(crate) fn either(result: Result<Reply, Refusal>) -> Reply {
+/// Converts the result of an endpoint to an answer.
+pub(crate) fn into_reply(result: Result<Reply, Refusal>) -> Reply {
     result.unwrap_or_else(Reply::from)
 }
 
-/// An answer that breaks off after `begun`.
-pub(crate) fn cut_amid(begun: &'static [u8]) -> Reply {
-    let pieces = [Ok(Bytes::from_static(begun)), Err(ConnectionCut)];
-    // The pause between the pieces lets the first go out before the cut.
+/// Makes an answer that is cut after `start`.
+pub(crate) fn truncated(start: &'static [u8]) -> Reply {
+    let pieces = [Ok(Bytes::from_static(start)), Err(ConnectionCut)];
+    // The delay lets the first piece be sent before the cut.
     let pieces = futures::StreamExt::then(futures::stream::iter(pieces), |piece| async move {
-        tokio::time::sleep(CUT_PAUSE).await;
+        tokio::time::sleep(CUT_DELAY).await;
         piece
     });
     streamed("application/json", pieces)
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -1,4 +1,4 @@
-//! Completions at the model engine stand-in: parsing, queueing, and writing the answer.
+//! Completion endpoints of the model engine stand-in: parsing, queueing and writing answers.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 const KEY_HEADER: &str = "idempotency-key";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The body of a completion, as far as the stand-in reads it.
+/// The fields of a completion request that the stand-in reads.
 #[derive(Deserialize)]
 struct RunBody {
     model: String,
@@ -86,31 +86,34 @@
     total_tokens: u32,
 }
 
-/// How a run's answer is to be harmed.
+/// Fault of a run's answer.
 #[derive(Clone, Copy)]
 struct RunFault {
     cut: RunCut,
     delay: Duration,
 }
 
-/// What a request asks for.
-struct RunAsk {
+/// A parsed and checked request.
+struct RunRequest {
     id: String,
     key: String,
     model: String,
     priority: i32,
     prompt: String,
-    /// What of the answer was already sent to the caller.
+    /// The part of the answer that was already sent to the caller.
     sent: String,
+    /// The number of tokens to generate.
     count: u32,
+    /// Whether the body contains the crash mark.
     crashes: bool,
 }
 
-/// A run that was queued, with its reader.
+/// A queued run with its reader.
 struct QueuedRun {
     stream: Arc<RunStream>,
     reader: watch::Receiver<RunProgress>,
-    last: u32,
+    /// The number after the last token.
+    end_token: u32,
 }
 
 impl EngineServer {
@@ -134,7 +137,9 @@
             Err(refusal) => return Ok(refusal.into()),
         };
         let wants_stream = body.stream;
-        let queued = self.ask(body, &bytes, id, key).and_then(|ask| self.queue_run(ask, chat));
+        let queued = self
+            .check_request(body, &bytes, id, key)
+            .and_then(|request| self.queue_run(request, chat));
         let run = match queued {
             Ok(run) => run,
             Err(refusal) => return Ok(refusal.into()),
@@ -150,7 +155,7 @@
         fault: RunFault,
     ) -> Result<Reply, ConnectionCut> {
         if !wants_stream || fault.cut == RunCut::After {
-            // The wait holds a reader, so that the run is not taken for one that nobody reads.
+            // The reader is held while waiting, so that the run does not count as unread.
             let ended = run.reader.wait_for(|progress| progress.end.is_some()).await;
             ended.map_err(|_| ConnectionCut)?;
         }
@@ -160,15 +165,17 @@
         }
         if wants_stream {
             let from = run.stream.first;
-            let cut_at = (fault.cut == RunCut::Amid).then(|| from + (run.last - from).div_ceil(2));
+            let cut_at =
+                (fault.cut == RunCut::Amid).then(|| from + (run.end_token - from).div_ceil(2));
             return Ok(stream_reply(run.stream, run.reader, from, cut_at));
         }
         if fault.cut == RunCut::Amid {
-            return Ok(reply::cut_amid(b"{\"id\":"));
+            return Ok(reply::truncated(b"{\"id\":"));
         }
-        whole_reply(&run.stream, *run.reader.borrow())
+        buffered_reply(&run.stream, *run.reader.borrow())
     }
 
+    /// Consumes the fault for the next run.
     fn next_fault(&self) -> RunFault {
         let mut extra = self.extra();
         let delay = Duration::from_millis(extra.faults.delay_ms);
@@ -179,10 +186,16 @@
         RunFault { cut: extra.faults.cut, delay }
     }
 
-    /// Checks what a request asks, before any state is touched.
-    fn ask(&self, body: RunBody, bytes: &[u8], id: String, key: String) -> Result<RunAsk, Refusal> {
-        let asked = body.max_tokens.or(body.max_completion_tokens);
-        let mut count = asked.unwrap_or(self.settings.default_tokens);
+    /// Checks a request before any state changes.
+    fn check_request(
+        &self,
+        body: RunBody,
+        bytes: &[u8],
+        id: String,
+        key: String,
+    ) -> Result<RunRequest, Refusal> {
+        let requested = body.max_tokens.or(body.max_completion_tokens);
+        let mut count = requested.unwrap_or(self.settings.default_tokens);
         if count == 0 || count > self.settings.max_tokens {
             let message = format!("max_tokens must be 1 to {}", self.settings.max_tokens);
             return Err(reply::refusal(StatusCode::BAD_REQUEST, "bad_tokens", &message));
@@ -192,28 +205,37 @@
         }
         let (prompt, sent) = body.texts();
         let (model, priority) = (body.model, body.priority);
-        Ok(RunAsk { crashes: self.is_marked(bytes), id, key, model, priority, prompt, sent, count })
+        Ok(RunRequest {
+            crashes: self.is_marked(bytes),
+            id,
+            key,
+            model,
+            priority,
+            prompt,
+            sent,
+            count,
+        })
     }
 
-    /// Puts a run into the queue, if its slot is loaded and there is room.
-    fn queue_run(&self, ask: RunAsk, chat: bool) -> Result<QueuedRun, Refusal> {
+    /// Queues a run, if its slot is loaded and the queue is not full.
+    fn queue_run(&self, request: RunRequest, chat: bool) -> Result<QueuedRun, Refusal> {
         let mut state = self.lock();
-        let weights = state.weights_to_run(&ask.model)?;
+        let weights = state.weights_to_run(&request.model)?;
         let label = weights_label(&weights);
-        let (prompt, mut first) = continuation(&label, &(ask.prompt.clone() + &ask.sent));
-        let cached = state.prefixes.use_prompt(&label, &ask.prompt, Instant::now());
-        let prompt_tokens = token_count(&ask.prompt);
+        let (prompt, mut first) = continuation(&label, &(request.prompt.clone() + &request.sent));
+        let cached = state.prefixes.use_prompt(&label, &request.prompt, Instant::now());
+        let prompt_tokens = token_count(&request.prompt);
         let mut prefill_left = prompt_tokens.saturating_sub(cached).max(1);
-        if let Some(tokens) = self.import_for(&ask.id, &weights, prompt)? {
+        if let Some(tokens) = self.import_for(&request.id, &weights, prompt)? {
             (first, prefill_left) = (tokens, 0);
         }
-        let last = first.saturating_add(ask.count);
+        let end_token = first.saturating_add(request.count);
         let progress = watch::Sender::new(RunProgress { next: first, end: None });
         let reader = progress.subscribe();
-        let body_hash = body_hash(&label, &ask);
+        let body_hash = body_hash(&label, &request);
         let stream = Arc::new(RunStream {
-            id: if ask.id.is_empty() { state.next_id() } else { ask.id },
-            slot: ask.model,
+            id: if request.id.is_empty() { state.next_id() } else { request.id },
+            slot: request.model,
             weights,
             label,
             prompt,
@@ -226,17 +248,18 @@
         state.enqueue(BatchRun {
             stream: stream.clone(),
             prefill_left,
-            last,
-            priority: ask.priority,
+            end_token,
+            priority: request.priority,
             serial: 0,
-            crashes: ask.crashes,
-            key: ask.key,
+            crashes: request.crashes,
+            key: request.key,
             body_hash,
             unread_since: None,
         });
-        Ok(QueuedRun { stream, reader, last })
+        Ok(QueuedRun { stream, reader, end_token })
     }
 
+    /// Returns whether a body contains the crash mark.
     fn is_marked(&self, bytes: &[u8]) -> bool {
         let extra = self.extra();
         let Some(mark) = extra.faults.crash_mark.as_deref().filter(|mark| !mark.is_empty()) else {
@@ -245,7 +268,8 @@
         bytes.windows(mark.len()).any(|window| window == mark.as_bytes())
     }
 
-    /// The tokens that an imported KV cache already has, if it is for this prompt and adapter.
+    /// Takes the KV cache imported for this request, adapter and prompt, and returns how many
+    /// tokens it has. A decode engine refuses a request without one.
     fn import_for(&self, id: &str, weights: &str, prompt: u64) -> Result<Option<u32>, Refusal> {
         let mut extra = self.extra();
         let found = extra
@@ -255,7 +279,7 @@
         match found {
             Some(at) => Ok(extra.imports.remove(at).map(|(_, kv)| kv.tokens)),
             None if extra.role == EngineRole::Decode => {
-                let message = "an engine that decodes needs a KV cache";
+                let message = "a decode engine needs an imported KV cache";
                 Err(reply::refusal(StatusCode::CONFLICT, "kv_missing", message))
             }
             None => Ok(None),
@@ -288,24 +312,24 @@
 }
 
 impl RunBody {
-    /// The prompt, and what of its answer was already sent. In a chat the latter is a last message
-    /// of the assistant.
+    /// Returns the prompt and the part of its answer that was already sent. In a chat the latter is
+    /// a trailing message of the assistant; in a plain completion it is part of the prompt.
     fn texts(&self) -> (String, String) {
         if self.messages.is_empty() {
             return (self.prompt.clone(), String::new());
         }
-        let (sent, asked) = match self.messages.split_last() {
-            Some((last, asked)) if last.role == "assistant" => (last.content.clone(), asked),
+        let (sent, prior) = match self.messages.split_last() {
+            Some((last, prior)) if last.role == "assistant" => (last.content.clone(), prior),
             _ => (String::new(), &self.messages[..]),
         };
-        let contents: Vec<&str> = asked.iter().map(|message| message.content.as_str()).collect();
+        let contents: Vec<&str> = prior.iter().map(|message| message.content.as_str()).collect();
         (contents.join("\n"), sent)
     }
 }
 
-/// What a request asks, apart from its slot, for the count of bodies that ran twice.
-fn body_hash(label: &str, ask: &RunAsk) -> String {
-    let hash = stable_hash(&[label, &ask.prompt, &ask.sent, &ask.count.to_string()]);
+/// Hashes a request without its slot, to count bodies that ran more than once.
+fn body_hash(label: &str, request: &RunRequest) -> String {
+    let hash = stable_hash(&[label, &request.prompt, &request.sent, &request.count.to_string()]);
     format!("{hash:016x}")
 }
 
@@ -313,8 +337,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
-/// A whole answer, or a cut where the run was lost.
-fn whole_reply(stream: &RunStream, progress: RunProgress) -> Result<Reply, ConnectionCut> {
+/// Makes the answer of an ended run that is not streamed; cuts the connection if the run was lost.
+fn buffered_reply(stream: &RunStream, progress: RunProgress) -> Result<Reply, ConnectionCut> {
     let finish = finish_reason(progress.end).ok_or(ConnectionCut)?;
     let text = answer_text(&stream.label, stream.prompt, stream.first, progress.next);
     let content = if stream.chat {
@@ -327,7 +351,7 @@
     Ok(reply::ok(&stream.completion(object, content, Some(finish), usage)))
 }
 
-/// The text of `finish_reason`; none for a run that was lost.
+/// Returns the text of `finish_reason`, or `None` for a run that was lost or has not ended.
 fn finish_reason(end: Option<RunEnd>) -> Option<&'static str> {
     match end {
         Some(RunEnd::Done) => Some("length"),
@@ -345,15 +369,18 @@
     reply::streamed(EVENT_STREAM, token_events(stream, reader, from, cut_at))
 }
 
-/// What the writer of a stream knows.
+/// State of the writer of a stream.
 struct StreamWriter {
     stream: Arc<RunStream>,
     reader: watch::Receiver<RunProgress>,
+    /// The number of the next token to write.
     next: u32,
+    /// The token before which the stream is cut.
     cut_at: Option<u32>,
     ended: bool,
 }
 
+/// Streams the tokens of a run from number `from` on as server-sent events.
 fn token_events(
     run: Arc<RunStream>,
     reader: watch::Receiver<RunProgress>,
@@ -372,11 +399,11 @@
 }
 
 impl StreamWriter {
-    /// Writes all tokens that are there and not yet written, and the end if it is there.
+    /// Waits for new tokens or the end of the run, and writes all that are new.
     async fn next_piece(&mut self) -> Result<Bytes, ConnectionCut> {
         let next = self.next;
-        let news = |progress: &RunProgress| progress.next > next || progress.end.is_some();
-        let progress = *self.reader.wait_for(news).await.map_err(|_| ConnectionCut)?;
+        let has_update = |progress: &RunProgress| progress.next > next || progress.end.is_some();
+        let progress = *self.reader.wait_for(has_update).await.map_err(|_| ConnectionCut)?;
         let mut text = String::new();
         while self.next < progress.next {
             if self.cut_at.is_some_and(|at| self.next >= at) {
@@ -390,7 +417,7 @@
         };
         match finish_reason(Some(end)) {
             Some(finish) => self.stream.write_end(&mut text, finish, progress.next),
-            // What is written goes out first; the next piece is the cut.
+            // The written text is sent first; the next piece is the cut.
             None if !text.is_empty() => return Ok(Bytes::from(text)),
             None => return Err(ConnectionCut),
         }
@@ -398,12 +425,13 @@
         Ok(Bytes::from(text))
     }
 
+    /// Sends `text` if there is any, else cuts the stream.
     async fn cut(&mut self, text: String) -> Result<Bytes, ConnectionCut> {
         if !text.is_empty() {
             return Ok(Bytes::from(text));
         }
-        // The pause lets what was written before go out.
-        tokio::time::sleep(reply::CUT_PAUSE).await;
+        // The delay lets earlier pieces be sent before the cut.
+        tokio::time::sleep(reply::CUT_DELAY).await;
         Err(ConnectionCut)
     }
 }
@@ -454,7 +482,7 @@
             ("text_completion", ChoiceContent::Text(text))
         };
         let event = self.completion(object, content, finish, usage);
-        // Neither writing to a string nor the event's serialization can fail.
+        // Neither the event's serialization nor writing to a string can fail.
         let json = serde_json::to_string(&event).unwrap_or_default();
         let _ = write!(out, "data: {json}\n\n");
     }
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -1,5 +1,5 @@
-//! The HTTP server under every stand-in: it can cut all connections, be down for a while, freeze,
-//! and stop without cutting anything.
+//! The HTTP server of all stand-ins. It can cut all connections, simulate downtime, freeze, and
+//! stop gracefully.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,82 +21,84 @@
 use crate::event::log_event;
 use crate::reply::{ConnectionCut, Reply};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 4_096;
-/// Between two attempts to listen on the same port again.
-const REBIND_PAUSE: Duration = Duration::from_millis(20);
-/// After a failed accept, which usually means that files are short.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a graceful stop waits for answers under way.
-const STOP_PATIENCE: Duration = Duration::from_secs(10);
+/// Interval between attempts to listen on the same port after downtime.
+const REBIND_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, which usually means that file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// How long a graceful stop waits for answers in flight before it cuts their connections.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers requests. An error cuts the connection without an answer.
+/// Handler of requests. An error cuts the connection without an answer.
 #[async_trait]
 pub(crate) trait RequestHandler: Send + Sync + 'static {
     async fn handle(&self, request: Request<Incoming>) -> Result<Reply, ConnectionCut>;
 }
 
-/// A running server.
+/// A running server; dropping it stops it.
 pub(crate) struct HttpServer {
     address: SocketAddr,
     control: Arc<ServerControl>,
 }
 
-/// What faults do to a server while it runs.
+/// Shared control of a running server, by which faults act on it.
 pub(crate) struct ServerControl {
-    /// Cancelled, and replaced, when all connections are cut.
+    /// Cancelled and replaced when all connections are cut.
     connections: Mutex<CancellationToken>,
     down_until: watch::Sender<Option<Instant>>,
     frozen_until: watch::Sender<Option<Instant>>,
-    /// Cancelled, and replaced, when requests that hang are to end.
-    hung: Mutex<CancellationToken>,
+    /// Cancelled and replaced when hanging requests are released.
+    hang: Mutex<CancellationToken>,
+    /// Cancelled when the stop begins.
     stop: CancellationToken,
-    /// Cancelled when the last answer is out.
+    /// Cancelled when the last answer is sent, or after the stop's timeout.
     stopped: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl ServerControl {
-    /// A control without faults.
+    /// Creates a control without faults.
     pub(crate) fn new() -> Arc<Self> {
         let stop = CancellationToken::new();
         Arc::new(Self {
             connections: Mutex::default(),
             down_until: watch::Sender::new(None),
             frozen_until: watch::Sender::new(None),
-            hung: Mutex::new(stop.child_token()),
+            hang: Mutex::new(stop.child_token()),
             stop,
             stopped: CancellationToken::new(),
             tasks: TaskTracker::new(),
         })
     }
 
-    /// Cuts every connection.
+    /// Cuts all connections.
     pub(crate) fn cut_connections(&self) {
         let mut token = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         token.cancel();
         *token = CancellationToken::new();
     }
 
-    /// Cancelled when the requests that hang now are to end. It is taken before the faults are
-    /// looked at: a fault that is switched off in between would else be waited on for ever.
-    pub(crate) fn hung(&self) -> CancellationToken {
-        current(&self.hung)
+    /// Returns a token that is cancelled when the requests that hang now are released. Take it
+    /// before reading the faults: otherwise a request could wait forever on a fault that was
+    /// switched off in between.
+    pub(crate) fn hang_token(&self) -> CancellationToken {
+        current(&self.hang)
     }
 
-    /// Ends the requests that hang.
-    pub(crate) fn cut_hung(&self) {
-        let mut token = self.hung.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Releases the requests that hang.
+    pub(crate) fn release_hung(&self) {
+        let mut token = self.hang.lock().unwrap_or_else(PoisonError::into_inner);
         token.cancel();
         *token = self.stop.child_token();
     }
 
-    /// Whether the server is on its way out.
+    /// Returns whether the stop has begun.
     pub(crate) fn stopping(&self) -> bool {
         self.stop.is_cancelled()
     }
 
-    /// Refuses connections for `time`, and cuts those that are open.
+    /// Cuts all connections and refuses new ones for `time`.
     pub(crate) fn go_down(&self, time: Duration) {
         if !time.is_zero() {
             self.down_until.send_replace(Some(Instant::now() + time));
@@ -104,13 +106,13 @@
         self.cut_connections();
     }
 
-    /// Takes and answers nothing for `time`, as a paused process.
+    /// Suspends the handling of requests for `time`, as if the process were paused.
     pub(crate) fn freeze(&self, time: Duration) {
         self.frozen_until.send_replace(Some(Instant::now() + time));
     }
 
-    /// Returns when the server is not frozen.
-    pub(crate) async fn thawed(&self) {
+    /// Waits until the server is not frozen.
+    pub(crate) async fn wait_unfrozen(&self) {
         loop {
             let until = *self.frozen_until.borrow();
             match until {
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Runs `task` until it ends or the last answer is out. Answers may depend on it, so it must
-    /// not end when the stop begins.
+    /// Runs `task` until it ends or the last answer is sent. It is not cancelled when the stop
+    /// begins, since answers in flight may depend on it.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let stopped = self.stopped.clone();
         tokio::spawn(async move {
@@ -133,12 +135,13 @@
     }
 }
 
+/// Returns the present token of a replaceable one.
 fn current(token: &Mutex<CancellationToken>) -> CancellationToken {
     token.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
 impl HttpServer {
-    /// Listens on `listen` and answers with `handler`.
+    /// Starts a server that listens on `listen` and passes requests to `handler`.
     pub(crate) async fn start(
         listen: SocketAddr,
         control: Arc<ServerControl>,
@@ -151,26 +154,26 @@
         Ok(Self { address, control })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its control.
+    /// Returns the server's control.
     pub(crate) fn control(&self) -> &ServerControl {
         &self.control
     }
 
-    /// Takes no new connection from now on.
+    /// Begins the stop: accepts no more connections and releases hanging requests.
     pub(crate) fn begin_stop(&self) {
         self.control.stop.cancel();
     }
 
-    /// Takes no new connection, lets answers under way end, then stops.
+    /// Stops accepting connections, waits for answers in flight up to [`STOP_TIMEOUT`], then stops.
     pub(crate) async fn stop(&self) {
         self.control.stop.cancel();
         self.control.tasks.close();
-        if timeout(STOP_PATIENCE, self.control.tasks.wait()).await.is_err() {
+        if timeout(STOP_TIMEOUT, self.control.tasks.wait()).await.is_err() {
             self.control.cut_connections();
         }
         self.control.stopped.cancel();
@@ -184,19 +187,20 @@
     }
 }
 
-/// Listens with room for a burst of callers. The library's own bound is 128: connections beyond it
-/// are dropped by the kernel and tried again only after a second.
+/// Binds a listener with a backlog for bursts of callers. The library's default backlog is 128; the
+/// kernel drops connections beyond it and callers retry only after a second.
 fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // A restart must not wait for the connections of the life before to time out.
+    // Rebinding must not wait until connections of the previous incarnation have timed out.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
 
+/// Accepts connections until the stop begins; closes the listener during downtime.
 async fn accept_all(
     listener: TcpListener,
     address: SocketAddr,
@@ -207,7 +211,7 @@
     let mut down = control.down_until.subscribe();
     loop {
         let Some(open) = &listener else {
-            listener = bind_again(address, &control).await;
+            listener = rebind(address, &control).await;
             if listener.is_none() {
                 return;
             }
@@ -223,15 +227,16 @@
                 }
                 Err(error) => {
                     log_event("accept_failed", &address.to_string(), &error);
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
         }
     }
 }
 
-/// Waits until the server is to be up again and takes its port back; none if it stops before.
-async fn bind_again(address: SocketAddr, control: &ServerControl) -> Option<TcpListener> {
+/// Waits until the downtime is over and listens on the port again; returns `None` if the server
+/// stops before.
+async fn rebind(address: SocketAddr, control: &ServerControl) -> Option<TcpListener> {
     loop {
         let until = control.down_until.borrow().unwrap_or_else(Instant::now);
         tokio::select! {
@@ -240,20 +245,22 @@
         }
         match bind(address) {
             Ok(listener) => return Some(listener),
-            Err(_) => sleep(REBIND_PAUSE).await,
+            Err(_) => sleep(REBIND_INTERVAL).await,
         }
     }
 }
 
+/// Serves a connection until it closes, is cut, or the server stops; a stop lets answers in flight
+/// end.
 async fn serve(stream: TcpStream, control: Arc<ServerControl>, handler: Arc<dyn RequestHandler>) {
     let cut = current(&control.connections);
-    // Without it each small piece of a stream would wait for an acknowledgement.
+    // Without this, each small piece of a stream would wait for an acknowledgement.
     drop(stream.set_nodelay(true));
     let answering = control.clone();
     let service = service_fn(move |request| {
         let (control, handler) = (answering.clone(), handler.clone());
         async move {
-            control.thawed().await;
+            control.wait_unfrozen().await;
             handler.handle(request).await
         }
     });
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: a counter of tickets, readings, and an echo.
+//! The plain service stand-in: endpoints that make tickets, return readings, and echo calls.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,19 +17,19 @@
 use crate::server::{HttpServer, RequestHandler, ServerControl};
 use crate::tally::{BoundedTally, TallyEntry};
 
-/// The header whose value counts as the id of a ticket.
+/// Header whose value is used as the id of a ticket.
 const KEY_HEADER: &str = "idempotency-key";
-/// How many ids are remembered.
+/// Maximum number of ticket ids that are counted.
 const ID_LIMIT: usize = 100_000;
 
 settings_struct! {
     /// Settings of the plain service.
     pub struct ServiceServerSettings {
-        /// Where to listen; port 0 takes any free one.
+        /// The address to listen on; port 0 picks a free one.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
-        /// How long each call takes, in milliseconds.
+        /// The duration of a call, in milliseconds.
         pub call_ms: u64 = 2, in 0..=3_600_000;
-        /// The longest body of a call, in bytes.
+        /// The maximum size of a call's body, in bytes.
         pub max_body_bytes: usize = 1024 * 1024, in 1_024..=1_073_741_824;
     }
 }
@@ -39,35 +39,35 @@
     #[derive(Default, Eq)]
     #[serde(default, deny_unknown_fields)]
     pub struct ServiceFaults {
-        /// How much longer each call takes, in milliseconds.
+        /// Additional delay of each call, in milliseconds.
         pub delay_ms: u64,
-        /// The next so many calls are cut before they take effect.
+        /// The number of next calls that are cut before they take effect.
         pub cut_before: u32,
-        /// The next so many calls take effect and are cut before the answer.
+        /// The number of next calls that take effect and are cut before the answer.
         pub cut_after: u32,
-        /// The next so many calls are answered in part and then cut.
+        /// The number of next calls that take effect and are cut within the answer.
         pub cut_amid: u32,
-        /// All calls are refused with 503.
+        /// Whether all calls are refused with 503.
         pub refuse: bool,
     }
 
-    /// What happened so far.
+    /// Counters since the start.
     #[derive(Copy, Default, Eq)]
     pub struct ServiceCounters {
         /// Calls that took effect.
         pub calls: u64,
         /// Tickets made.
         pub tickets: u64,
-        /// Tickets made although one with the same id was made before.
+        /// Tickets whose id had been used before.
         pub doubled: u64,
     }
 
-    /// A ticket as it was made.
+    /// Answer to a call that made a ticket.
     #[derive(Eq)]
     pub struct MadeTicket {
-        /// The number, which sends a technician.
+        /// The ticket's number; each ticket sends one technician.
         pub ticket: u64,
-        /// The id under which it was asked for.
+        /// The id that the call gave, empty if none.
         pub id: String,
     }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// A running plain service.
+/// A running plain service; dropping it stops the server.
 pub struct ServiceHandle {
     server: HttpServer,
     shared: Arc<ServiceServer>,
@@ -110,7 +110,7 @@
     ids: BoundedTally,
 }
 
-/// Where a call is to be cut.
+/// Stage at which a call is cut.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallCut {
     None,
@@ -123,7 +123,7 @@
 ///
 /// # Errors
 ///
-/// If the address cannot be listened on.
+/// Fails if the server cannot listen on the address.
 pub async fn start_service(settings: ServiceServerSettings) -> std::io::Result<ServiceHandle> {
     let state = ServiceState {
         faults: ServiceFaults::default(),
@@ -137,41 +137,41 @@
 }
 
 impl ServiceHandle {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches faults.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// What happened so far.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counters(&self) -> ServiceCounters {
         self.shared.counters()
     }
 
-    /// How many tickets were made for each id, sorted by id. Doubles may also lie in two services,
-    /// so their lists have to be added up.
+    /// Returns how many tickets were made for each id, sorted by id. To find duplicates across
+    /// services, add up their lists.
     #[must_use]
     pub fn tickets_by_id(&self) -> Vec<TallyEntry> {
         self.shared.lock().ids.entries().to_vec()
     }
 
-    /// Takes and answers nothing for `time`.
+    /// Suspends the answering of requests for `time`, as if the process were paused.
     pub fn freeze(&self, time: Duration) {
         self.server.control().freeze(time);
     }
 
-    /// Refuses connections for `time`.
+    /// Cuts all connections and refuses new ones for `time`.
     pub fn go_down(&self, time: Duration) {
         self.server.control().go_down(time);
     }
 
-    /// Stops after the answers under way.
+    /// Stops the server after the answers in flight.
     pub async fn shutdown(self) {
         self.server.stop().await;
     }
@@ -200,6 +200,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Consumes the cut for the next call.
     fn next_cut(&self) -> CallCut {
         let faults = &mut self.lock().faults;
         let cuts = [
@@ -207,9 +208,9 @@
             (&mut faults.cut_after, CallCut::After),
             (&mut faults.cut_amid, CallCut::Amid),
         ];
-        for (left, cut) in cuts {
-            if *left > 0 {
-                *left -= 1;
+        for (remaining, cut) in cuts {
+            if *remaining > 0 {
+                *remaining -= 1;
                 return cut;
             }
         }
@@ -225,17 +226,17 @@
             let status = StatusCode::SERVICE_UNAVAILABLE;
             return Ok(reply::refusal(status, "refused", "out of service").into());
         }
-        let answer = reply::either(self.act(request).await);
+        let answer = reply::into_reply(self.execute(request).await);
         let delay_ms = self.settings.call_ms + self.lock().faults.delay_ms;
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         match cut {
             CallCut::After => Err(ConnectionCut),
-            CallCut::Amid => Ok(reply::cut_amid(b"{\"ticket\":")),
+            CallCut::Amid => Ok(reply::truncated(b"{\"ticket\":")),
             CallCut::None | CallCut::Before => Ok(answer),
         }
     }
 
-    async fn act(&self, request: Request<Incoming>) -> Result<Reply, Refusal> {
+    async fn execute(&self, request: Request<Incoming>) -> Result<Reply, Refusal> {
         let path = request.uri().path().to_owned();
         let method = request.method().clone();
         let key = reply::header_text(&request, KEY_HEADER);
@@ -251,7 +252,8 @@
         }
     }
 
-    /// Makes a ticket for every call: that none is doubled is the system's task, not the service's.
+    /// Makes a ticket for each call, also if its id was used before: the service does not
+    /// deduplicate.
     fn make_ticket(&self, key: String, body: &[u8]) -> Result<Reply, Refusal> {
         let parsed: TicketBody =
             if body.is_empty() { TicketBody::default() } else { reply::parse_json(body)? };
@@ -266,6 +268,7 @@
         Ok(reply::json(StatusCode::CREATED, &MadeTicket { ticket, id }))
     }
 
+    /// Returns readings that change with the number of calls.
     fn readings(&self) -> ReadingsBody {
         let mut state = self.lock();
         state.counters.calls += 1;
@@ -282,10 +285,10 @@
         match reply::segments(&path)[..] {
             ["standin", action] => {
                 let limit = self.settings.max_body_bytes;
-                Ok(reply::either(self.handle_faults(request, action, limit).await))
+                Ok(reply::into_reply(self.handle_faults(request, action, limit).await))
             }
             ["health"] => Ok(reply::ok(&"ok")),
-            ["metrics"] => Ok(reply::either(metrics("service", &self.counters()))),
+            ["metrics"] => Ok(reply::into_reply(metrics("service", &self.counters()))),
             _ => self.handle_call(request).await,
         }
     }
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The weight store stand-in: a rate of loads, of which a few run at full speed at once.
+//! The weight store stand-in: limits the rate of loads and slows concurrent loads down.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,23 +18,24 @@
 use crate::reply::{self, ConnectionCut, Refusal, Reply};
 use crate::server::{HttpServer, RequestHandler, ServerControl};
 
-/// The bound on the body of a fetch or a fault.
-const SMALL_BODY: usize = 16 * 1024;
-/// How finely the sharing of the store's speed is worked out.
-const SHARE_TICK: Duration = Duration::from_millis(2);
+/// Maximum size in bytes of the body of a fetch or of a call to `/standin/`.
+const MAX_SMALL_BODY: usize = 16 * 1024;
+/// Interval at which the progress of active loads is updated.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(2);
 
 settings_struct! {
     /// Settings of the weight store.
     pub struct StoreServerSettings {
-        /// Where to listen; port 0 takes any free one.
+        /// The address to listen on; port 0 picks a free one.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 0));
-        /// Loads that may start in a second; others wait in line.
+        /// The maximum number of loads that start per second; others are queued.
         pub loads_per_s: f64 = 5.0, in 0.001..=1e6;
-        /// Loads that run at full speed at once; more slow all down.
+        /// The number of concurrent loads that run at full speed; more slow all of them down.
         pub full_speed: u32 = 2, in 1..=1_000_000;
-        /// How long a load takes at full speed, in milliseconds.
+        /// The duration of a load at full speed, in milliseconds.
         pub load_ms: u64 = 400, in 0..=3_600_000;
-        /// The longest wait in line, in milliseconds; beyond it a load is refused.
+        /// The maximum time in the queue, in milliseconds; a load that would wait longer is
+        /// refused.
         pub max_wait_ms: u64 = 30_000, in 0..=3_600_000;
     }
 }
@@ -44,24 +45,24 @@
     #[derive(Default, Eq)]
     #[serde(default, deny_unknown_fields)]
     pub struct StoreFaults {
-        /// It answers that it is unavailable.
+        /// Whether all loads are refused with 503.
         pub down: bool,
-        /// It takes loads and never answers.
+        /// Whether loads hang; they fail when the faults are set again.
         pub hang: bool,
-        /// How many times slower loads are; 0 and 1 mean no slower.
+        /// Factor by which loads are slower; 0 and 1 mean full speed.
         pub slow_factor: u32,
-        /// Paths that contain this text are not found.
+        /// Loads whose path contains this text are refused with 404.
         pub missing: Option<String>,
     }
 
-    /// What happened so far.
+    /// Counters since the start.
     #[derive(Copy, Default, Eq)]
     pub struct StoreCounters {
-        /// Loads that were answered with weights.
+        /// Loads that succeeded.
         pub loads: u64,
-        /// Loads refused, also by faults.
+        /// Loads refused, by the limit or by faults.
         pub refused: u64,
-        /// The most loads that ran at once.
+        /// The maximum number of concurrent loads.
         pub most_at_once: u64,
     }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// A running weight store.
+/// A running weight store; dropping it stops the server.
 pub struct StoreHandle {
     server: HttpServer,
     shared: Arc<StoreServer>,
@@ -85,14 +86,16 @@
 struct StoreState {
     faults: StoreFaults,
     counters: StoreCounters,
+    /// When the next load may start.
     next_start: Instant,
     active: Vec<ActiveLoad>,
-    /// Whether the task that works the loads off runs.
-    working: bool,
+    /// Whether the task that advances the active loads is running.
+    task_running: bool,
 }
 
 struct ActiveLoad {
-    left_us: f64,
+    /// Remaining time at full speed, in microseconds.
+    remaining_us: f64,
     done: oneshot::Sender<()>,
 }
 
@@ -100,48 +103,48 @@
 ///
 /// # Errors
 ///
-/// If the address cannot be listened on.
+/// Fails if the server cannot listen on the address.
 pub async fn start_store(settings: StoreServerSettings) -> std::io::Result<StoreHandle> {
     let state = StoreState {
         faults: StoreFaults::default(),
         counters: StoreCounters::default(),
         next_start: Instant::now(),
         active: Vec::new(),
-        working: false,
+        task_running: false,
     };
     let control = ServerControl::new();
     let listen = settings.listen;
     let shared =
         Arc::new(StoreServer { settings, state: Mutex::new(state), control: control.clone() });
-    let handler = Arc::new(StoreFace(shared.clone()));
+    let handler = Arc::new(StoreInterface(shared.clone()));
     let server = HttpServer::start(listen, control, handler).await?;
     Ok(StoreHandle { server, shared })
 }
 
 impl StoreHandle {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches faults; loads that hang end with an error.
+    /// Replaces the faults; loads that hang fail.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// What happened so far.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counters(&self) -> StoreCounters {
         self.shared.counters()
     }
 
-    /// Refuses connections for `time`.
+    /// Cuts all connections and refuses new ones for `time`.
     pub fn go_down(&self, time: Duration) {
         self.server.control().go_down(time);
     }
 
-    /// Stops after the answers under way.
+    /// Stops the server after the answers in flight.
     pub async fn shutdown(self) {
         self.server.stop().await;
     }
@@ -158,7 +161,7 @@
     fn set_faults(&self, faults: StoreFaults) {
         log_event("faults_set", "store", &faults);
         self.lock().faults = faults;
-        self.control.cut_hung();
+        self.control.release_hung();
     }
 
     fn counters(&self) -> StoreCounters {
@@ -172,7 +175,7 @@
     }
 
     async fn fetch(self: &Arc<Self>, request: Request<Incoming>) -> Result<Reply, Refusal> {
-        let body: FetchBody = reply::read_json(request, SMALL_BODY).await?;
+        let body: FetchBody = reply::read_json(request, MAX_SMALL_BODY).await?;
         let result = self.load(&body.path).await;
         let mut state = self.lock();
         match result {
@@ -187,21 +190,23 @@
         }
     }
 
+    /// Waits for the load's start and end, or refuses it.
     async fn load(self: &Arc<Self>, path: &str) -> Result<(), Refusal> {
         self.refuse_by_fault(path)?;
         let start = self.reserve_start()?;
         sleep_until(start).await;
         self.refuse_by_fault(path)?;
-        let hung = self.control.hung();
+        let released = self.control.hang_token();
         if self.lock().faults.hang {
-            hung.cancelled().await;
-            return Err(reply::refusal(StatusCode::SERVICE_UNAVAILABLE, "outage", "was hanging"));
+            released.cancelled().await;
+            return Err(reply::refusal(StatusCode::SERVICE_UNAVAILABLE, "outage", "load hung"));
         }
-        let done = self.begin();
+        let done = self.start_load();
         done.await
             .map_err(|_| reply::refusal(StatusCode::SERVICE_UNAVAILABLE, "outage", "load lost"))
     }
 
+    /// Refuses a load that a fault concerns.
     fn refuse_by_fault(&self, path: &str) -> Result<(), Refusal> {
         let faults = self.lock().faults.clone();
         if faults.down {
@@ -214,7 +219,8 @@
         Ok(())
     }
 
-    /// The place in line: loads start one after the other at the store's rate.
+    /// Reserves the start time of a load according to the rate limit; refuses if it is too far
+    /// ahead.
     fn reserve_start(&self) -> Result<Instant, Refusal> {
         let now = Instant::now();
         let mut state = self.lock();
@@ -223,70 +229,73 @@
         if wait_ms > self.settings.max_wait_ms {
             return Err(reply::throttled(wait_ms));
         }
-        let gap = Duration::from_secs_f64(1.0 / self.settings.loads_per_s.max(0.001));
-        state.next_start = start + gap;
+        let interval = Duration::from_secs_f64(1.0 / self.settings.loads_per_s.max(0.001));
+        state.next_start = start + interval;
         Ok(start)
     }
 
-    fn begin(self: &Arc<Self>) -> oneshot::Receiver<()> {
+    /// Adds an active load and starts the task that advances it, if it does not run.
+    fn start_load(self: &Arc<Self>) -> oneshot::Receiver<()> {
         let (done, wait) = oneshot::channel();
         let mut state = self.lock();
-        state.active.push(ActiveLoad { left_us: self.settings.load_ms as f64 * 1_000.0, done });
+        state
+            .active
+            .push(ActiveLoad { remaining_us: self.settings.load_ms as f64 * 1_000.0, done });
         state.counters.most_at_once = state.counters.most_at_once.max(state.active.len() as u64);
-        if !state.working {
-            state.working = true;
+        if !state.task_running {
+            state.task_running = true;
             let store = self.clone();
-            self.control.spawn(async move { store.work().await });
+            self.control.spawn(async move { store.run_loads().await });
         }
         wait
     }
 
-    /// Works the active loads off, all at the same share of the store's speed.
-    async fn work(&self) {
-        let mut before = Instant::now();
+    /// Advances the active loads, all at the same share of the store's speed, until none is left.
+    async fn run_loads(&self) {
+        let mut last_tick = Instant::now();
         loop {
-            sleep(SHARE_TICK).await;
+            sleep(PROGRESS_INTERVAL).await;
             let now = Instant::now();
-            let elapsed_us = (now - before).as_micros() as f64;
-            before = now;
+            let elapsed_us = (now - last_tick).as_micros() as f64;
+            last_tick = now;
             let mut state = self.lock();
-            let slow = f64::from(state.faults.slow_factor.max(1));
+            let slowdown = f64::from(state.faults.slow_factor.max(1));
             let share = speed_share(state.active.len(), self.settings.full_speed);
-            let progress = elapsed_us * share / slow;
+            let progress = elapsed_us * share / slowdown;
             for load in &mut state.active {
-                load.left_us -= progress;
+                load.remaining_us -= progress;
             }
-            for load in state.active.extract_if(.., |load| load.left_us <= 0.0) {
-                // A loader that went away does not need its weights.
+            for load in state.active.extract_if(.., |load| load.remaining_us <= 0.0) {
+                // The send fails if the caller has disconnected.
                 let _ = load.done.send(());
             }
             if state.active.is_empty() {
-                state.working = false;
+                state.task_running = false;
                 return;
             }
         }
     }
 }
 
-/// The share of the full speed that each of `active` loads gets.
+/// Returns the fraction of the full speed at which each of `active` loads runs.
 fn speed_share(active: usize, full_speed: u32) -> f64 {
     (f64::from(full_speed) / active.max(1) as f64).min(1.0)
 }
 
-/// The HTTP face, which needs the store's reference count for its task.
-struct StoreFace(Arc<StoreServer>);
+/// The HTTP interface. It holds the `Arc` of the store, which the task of loads clones.
+struct StoreInterface(Arc<StoreServer>);
 
 #[async_trait]
-impl RequestHandler for StoreFace {
+impl RequestHandler for StoreInterface {
     async fn handle(&self, request: Request<Incoming>) -> Result<Reply, ConnectionCut> {
         let path = request.uri().path().to_owned();
         let result = match reply::segments(&path)[..] {
             ["v1", "weights"] if request.method() == Method::POST => self.0.fetch(request).await,
             ["metrics"] => metrics("store", &self.0.counters()),
-            ["standin", action] => self.0.handle_faults(request, action, SMALL_BODY).await,
+            ["standin", action] => self.0.handle_faults(request, action, MAX_SMALL_BODY).await,
             _ => Err(reply::no_endpoint()),
         };
-        Ok(reply::either(result))
+        Ok(reply::into_reply(result))
     }
 }
 
@@ -295,7 +304,7 @@
     use super::*;
 
     #[test]
-    fn more_slow_all_down() {
+    fn concurrent_loads_share_speed() {
         assert_eq!([0, 1, 2, 4].map(|active| speed_share(active, 2)), [1.0, 1.0, 1.0, 0.5]);
     }
 }
--- a/standin/src/streams.rs
+++ b/standin/src/streams.rs
@@ -1,4 +1,4 @@
-//! The streams of the log stand-in: offsets, retention, and the rate of appends.
+//! Streams of the log stand-in: offsets, retention and the rate limit of appends.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -6,21 +6,24 @@
 use coltsfoothook_decision::id::LogOffset;
 use coltsfoothook_platform::{AppendedRange, LogPage, LoggedRecord};
 
-/// What the log keeps, and how fast it may grow.
+/// Limits of retention and of the rate of appends.
 #[derive(Clone, Debug)]
 pub(crate) struct StreamLimits {
     pub(crate) appends_per_s: f64,
     pub(crate) append_burst: f64,
     pub(crate) retain: Duration,
+    /// Maximum number of records per stream.
     pub(crate) retain_records: usize,
 }
 
-/// All streams. Offsets begin at 0 in each.
+/// All streams of the log. Offsets start at 0 in each.
 pub(crate) struct LogStreams {
     limits: StreamLimits,
     /// Sorted by name.
     streams: Vec<NamedStream>,
+    /// Tokens in the bucket that limits the rate of appends.
     tokens: f64,
+    /// When the bucket was last refilled.
     refilled: Instant,
 }
 
@@ -35,27 +38,28 @@
     data: String,
 }
 
-/// How much a page holds at most.
+/// Maximum size of a page.
 #[derive(Clone, Copy)]
 pub(crate) struct PageLimit {
     pub(crate) records: usize,
-    /// A first record that is longer is given all the same, so that readers get past it.
+    /// A longer first record is still returned, so that readers can proceed past it.
     pub(crate) bytes: usize,
 }
 
-/// What a read finds.
+/// Result of a read.
 pub(crate) enum ReadResult {
     Page(LogPage),
+    /// The record at the requested offset was dropped; contains the first kept offset.
     BehindRetention(LogOffset),
 }
 
 impl LogStreams {
-    /// No streams yet.
+    /// Creates a log without streams.
     pub(crate) fn new(limits: StreamLimits, now: Instant) -> Self {
         Self { tokens: limits.append_burst, limits, streams: Vec::new(), refilled: now }
     }
 
-    /// Takes one append out of the rate, or tells in how many milliseconds one is free.
+    /// Takes an append out of the rate limit, or returns the milliseconds until one is available.
     pub(crate) fn admit(&mut self, now: Instant) -> Result<(), u64> {
         let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
         let refilled = self.tokens + elapsed * self.limits.appends_per_s;
@@ -69,7 +73,7 @@
         Err((wait_s * 1_000.0).ceil() as u64)
     }
 
-    /// Appends records, whatever the rate says.
+    /// Appends records, regardless of the rate limit.
     pub(crate) fn append(
         &mut self,
         name: &str,
@@ -80,11 +84,11 @@
         let stream = self.stream(name);
         let first = stream.next();
         stream.records.extend(records.into_iter().map(|data| KeptRecord { at: now, data }));
-        stream.retire(&limits, now);
+        stream.apply_retention(&limits, now);
         AppendedRange { first: LogOffset(first), next: LogOffset(stream.next()) }
     }
 
-    /// Reads records from `from` on.
+    /// Reads the records from offset `from` on.
     pub(crate) fn read(
         &mut self,
         name: &str,
@@ -94,7 +98,7 @@
     ) -> ReadResult {
         let limits = self.limits.clone();
         let stream = self.stream(name);
-        stream.retire(&limits, now);
+        stream.apply_retention(&limits, now);
         let first_kept = LogOffset(stream.first_kept);
         if from < stream.first_kept {
             return ReadResult::BehindRetention(first_kept);
@@ -116,7 +120,7 @@
         ReadResult::Page(LogPage { records, first_kept, next })
     }
 
-    /// Forgets all records of a stream before `offset`, as retention would.
+    /// Drops all records of a stream before `offset`, as retention would.
     pub(crate) fn forget_before(&mut self, name: &str, offset: u64) {
         let stream = self.stream(name);
         while stream.first_kept < offset && stream.records.pop_front().is_some() {
@@ -124,6 +128,7 @@
         }
     }
 
+    /// Returns the stream `name`, creating it if missing.
     fn stream(&mut self, name: &str) -> &mut NamedStream {
         let found = self.streams.binary_search_by(|stream| stream.name.as_str().cmp(name));
         let at = found.unwrap_or_else(|at| {
@@ -137,13 +142,18 @@
 }
 
 impl NamedStream {
+    /// Returns the offset of the next record.
     fn next(&self) -> u64 {
         self.first_kept + self.records.len() as u64
     }
 
-    fn retire(&mut self, limits: &StreamLimits, now: Instant) {
-        let old = |record: &KeptRecord| now.saturating_duration_since(record.at) > limits.retain;
-        while self.records.len() > limits.retain_records || self.records.front().is_some_and(old) {
+    /// Drops records beyond the retention limits.
+    fn apply_retention(&mut self, limits: &StreamLimits, now: Instant) {
+        let expired =
+            |record: &KeptRecord| now.saturating_duration_since(record.at) > limits.retain;
+        while self.records.len() > limits.retain_records
+            || self.records.front().is_some_and(expired)
+        {
             self.records.pop_front();
             self.first_kept += 1;
         }
--- a/standin/src/tally.rs
+++ b/standin/src/tally.rs
@@ -1,19 +1,19 @@
-//! Counts by text, bounded.
+//! Bounded counts by text.
 
 use coltsfoothook_decision::value;
 
 value! {
-    /// How often something happened under one text.
+    /// Count of a text.
     #[derive(Eq)]
     pub struct TallyEntry {
-        /// The text: an id, a key, a fingerprint.
+        /// The text: an id, an idempotency key or a hash.
         pub text: String,
-        /// How often.
+        /// How often the text was counted.
         pub count: u32,
     }
 }
 
-/// Counts by text. Texts beyond the limit are not counted.
+/// Counts by text. Once the limit is reached, new texts are not counted.
 pub(crate) struct BoundedTally {
     /// Sorted by text.
     entries: Vec<TallyEntry>,
@@ -21,12 +21,12 @@
 }
 
 impl BoundedTally {
-    /// Counts up to `limit` texts.
+    /// Creates a tally of at most `limit` texts.
     pub(crate) fn new(limit: usize) -> Self {
         Self { entries: Vec::new(), limit }
     }
 
-    /// Adds one; returns how often `text` was counted so far, this time included.
+    /// Counts `text` and returns its count, which is 1 for a text beyond the limit.
     pub(crate) fn add(&mut self, text: &str) -> u32 {
         match self.find(text) {
             Ok(at) => {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// How often `text` was counted.
+    /// Returns how often `text` was counted.
     pub(crate) fn count(&self, text: &str) -> u32 {
         self.find(text).map_or(0, |at| self.entries[at].count)
     }
 
-    /// All counts, sorted by text.
+    /// Returns all counts, sorted by text.
     pub(crate) fn entries(&self) -> &[TallyEntry] {
         &self.entries
     }
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The list of VMs, which shows each change only after a while.
+//! The list of VMs, in which changes appear with a delay.
 
 use std::time::{Duration, Instant};
 
@@ -6,73 +6,73 @@
 use coltsfoothook_decision::value;
 
 value! {
-    /// A change of the list.
+    /// A change of the list of VMs.
     pub enum VmChange {
-        /// A VM is there, new or with another state or address.
+        /// Adds a VM or replaces its entry.
         Put(ListedVm),
-        /// A VM is about to be taken away.
+        /// Marks a VM as leaving.
         Leaving {
-            /// Its name.
+            /// The VM's name.
             name: String,
         },
-        /// A VM is gone.
+        /// Removes a VM.
         Remove {
-            /// Its name.
+            /// The VM's name.
             name: String,
         },
     }
 }
 
-/// The list.
+/// The list of VMs with its pending changes.
 pub(crate) struct VmList {
-    /// Sorted by name.
-    shown: Vec<ListedVm>,
-    /// In the order of their times.
-    coming: Vec<(Instant, VmChange)>,
+    /// The visible list, sorted by name.
+    entries: Vec<ListedVm>,
+    /// Changes that are not yet visible, in order of the times at which they become so.
+    pending: Vec<(Instant, VmChange)>,
 }
 
 impl VmList {
-    /// An empty list.
+    /// Creates an empty list.
     pub(crate) fn new() -> Self {
-        Self { shown: Vec::new(), coming: Vec::new() }
+        Self { entries: Vec::new(), pending: Vec::new() }
     }
 
-    /// Notes a change that shows after `lag`. Later changes never show before earlier ones.
+    /// Records a change that becomes visible after `lag`, but not before earlier changes.
     pub(crate) fn change(&mut self, change: VmChange, now: Instant, lag: Duration) {
-        let last = self.coming.last().map_or(now, |(at, _)| *at);
-        self.coming.push(((now + lag).max(last), change));
+        let last = self.pending.last().map_or(now, |(at, _)| *at);
+        self.pending.push(((now + lag).max(last), change));
     }
 
-    /// What the list shows now.
-    pub(crate) fn show(&mut self, now: Instant) -> Vec<ListedVm> {
-        let due = self.coming.partition_point(|(at, _)| *at <= now);
-        let changes: Vec<_> = self.coming.drain(..due).collect();
+    /// Applies the changes that are due and returns the visible list.
+    pub(crate) fn visible(&mut self, now: Instant) -> Vec<ListedVm> {
+        let due = self.pending.partition_point(|(at, _)| *at <= now);
+        let changes: Vec<_> = self.pending.drain(..due).collect();
         for (_, change) in changes {
             self.apply(change);
         }
-        self.shown.clone()
+        self.entries.clone()
     }
 
     fn apply(&mut self, change: VmChange) {
         match change {
             VmChange::Put(vm) => match self.find(vm.name.as_str()) {
-                Ok(at) => self.shown[at] = vm,
-                Err(at) => self.shown.insert(at, vm),
+                Ok(at) => self.entries[at] = vm,
+                Err(at) => self.entries.insert(at, vm),
             },
             VmChange::Leaving { name } => {
                 if let Ok(at) = self.find(&name) {
-                    self.shown[at].state = ListedState::Leaving;
+                    self.entries[at].state = ListedState::Leaving;
                 }
             }
             VmChange::Remove { name } => {
                 if let Ok(at) = self.find(&name) {
-                    self.shown.remove(at);
+                    self.entries.remove(at);
                 }
             }
         }
     }
 
     fn find(&self, name: &str) -> Result<usize, usize> {
-        self.shown.binary_search_by(|vm| vm.name.as_str().cmp(name))
+        self.entries.binary_search_by(|vm| vm.name.as_str().cmp(name))
     }
 }
--- a/standin/tests/suite/common.rs
+++ b/standin/tests/suite/common.rs
@@ -1,4 +1,4 @@
-//! What several tests need.
+//! Helpers shared by the tests.
 
 use bytes::Bytes;
 use coltsfoothook_decision::id::{OwnerEpoch, SlotName};
@@ -12,14 +12,14 @@
 pub const WEIGHTS: &str = "store://alarms/v3";
 pub const PROMPT: &str = "chiller 4 tripped at 03:12";
 
-/// An engine with a short step.
+/// Starts an engine with short steps and loads, and a client.
 pub async fn quick_engine(settings: EngineServerSettings) -> (EngineHandle, HttpEngine) {
     let settings = EngineServerSettings { step_us: 1_000, load_ms: 1, ..settings };
     let engine = start_engine(settings).await.unwrap();
     (engine, HttpEngine::new(EngineSettings::default()))
 }
 
-/// An engine with one slot loaded.
+/// Starts an engine with [`SLOT`] loaded, and a client.
 pub async fn loaded_engine(settings: EngineServerSettings) -> (EngineHandle, HttpEngine) {
     let (engine, client) = quick_engine(settings).await;
     client.load(engine.address(), &load_order(SLOT, 1)).await.unwrap();
@@ -42,7 +42,7 @@
     RunCall { body: body.to_string().into(), id: id.into(), ..Default::default() }
 }
 
-/// The text of an answer, streamed or not, up to where it ends or is cut.
+/// Reads the text of an answer, streamed or not, up to its end or cut.
 pub async fn read_text(answer: RunAnswer) -> (String, Result<(), RunError>) {
     let mut bytes = Vec::new();
     let mut body = answer.body;
@@ -56,6 +56,7 @@
     (text_of(&Bytes::from(bytes)), result)
 }
 
+/// Extracts the text from a JSON answer or from server-sent events.
 fn text_of(bytes: &Bytes) -> String {
     let text = String::from_utf8_lossy(bytes);
     let events = text.split("\n\n").map(|event| event.strip_prefix("data: ").unwrap_or(event));
--- a/standin/tests/suite/engine_orders.rs
+++ b/standin/tests/suite/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Loads and unloads, and how they fail.
+//! Load and unload orders and their failures.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     UnloadOrder { slot: SlotName::from(SLOT), fencing: OwnerEpoch(fencing) }
 }
 
-/// A deposed owner wakes from a pause and sends an order with its old number. An engine that checks
-/// numbers refuses it; one that does not obeys, and only the counter tells.
+/// A deposed owner sends an order with its stale fencing number. An engine that checks numbers
+/// refuses it; one that does not carries it out and counts it.
 #[tokio::test]
 async fn stale_fencing() {
     for checks_fencing in [true, false] {
@@ -36,8 +36,8 @@
     }
 }
 
-/// The engine does not protect a slot in use: the request on it is cut and the harm is counted, so
-/// that a system which gives such an order is found out.
+/// An unload order for a slot in use is carried out: the request on it is cut and counted, so that
+/// tests detect a system that sends such an order.
 #[tokio::test]
 async fn evicted_in_use() {
     let (engine, client) = loaded_engine(EngineServerSettings::default()).await;
@@ -46,13 +46,13 @@
     let (_, end) = read_text(answer).await;
     assert!(matches!(end, Err(RunError::Broken { .. })), "{end:?}");
     assert_eq!(engine.counters().evicted_in_use, 1);
-    // The same order again, as after a lost answer, finds its end state and succeeds.
+    // Repeating the order, as after a lost answer, succeeds since the slot is already unloaded.
     client.unload(engine.address(), &unload_order(1)).await.unwrap();
     engine.shutdown().await;
 }
 
-/// All slots are taken: the load is refused and nothing is evicted. A load that is sent again, as
-/// after a lost answer, does not take a second slot.
+/// When all slots are taken, a load is refused and nothing is evicted. A repeated load, as after a
+/// lost answer, does not take a second slot.
 #[tokio::test]
 async fn slots_full() {
     let settings = EngineServerSettings { adapter_slots: 1, ..Default::default() };
@@ -64,22 +64,23 @@
     engine.shutdown().await;
 }
 
-/// A load fails, hangs past the client's time, or succeeds with a late answer. The first leaves no
-/// slot; after the others the effect is unknown, and the late one did load.
+/// A load fails, hangs past the client's timeout, or succeeds with a late answer. The first leaves
+/// no slot; after the others the effect is unknown, and the late one did load.
 #[tokio::test]
 async fn load_faults() {
     let (engine, client) = quick_engine(EngineServerSettings::default()).await;
-    let hasty = HttpEngine::new(EngineSettings { load_ms: 100, ..Default::default() });
+    let short_timeout_client =
+        HttpEngine::new(EngineSettings { load_ms: 100, ..Default::default() });
     let set = |load| engine.set_faults(EngineFaults { load, ..Default::default() });
     set(LoadFault::Fail);
     let failed = client.load(engine.address(), &load_order(SLOT, 1)).await;
     assert!(matches!(failed, Err(OrderError::LoadFailed { .. })), "{failed:?}");
     assert_eq!(engine.report().slots.len(), 0);
     set(LoadFault::Hang);
-    let hung = hasty.load(engine.address(), &load_order("hung@v1#1.2", 1)).await;
+    let hung = short_timeout_client.load(engine.address(), &load_order("hung@v1#1.2", 1)).await;
     assert!(matches!(hung, Err(OrderError::EffectUnknown { .. })), "{hung:?}");
     set(LoadFault::Late { by_ms: 60_000 });
-    let late = hasty.load(engine.address(), &load_order("late@v1#1.3", 1)).await;
+    let late = short_timeout_client.load(engine.address(), &load_order("late@v1#1.3", 1)).await;
     assert!(matches!(late, Err(OrderError::EffectUnknown { .. })), "{late:?}");
     while engine.report().slots.is_empty() {
         tokio::task::yield_now().await;
@@ -89,8 +90,8 @@
     engine.shutdown().await;
 }
 
-/// The weight store is down, or does not have the weights: the engine says that the load failed.
-/// When it is back the same load works.
+/// A load fails if the weight store is down or does not have the weights, and succeeds once the
+/// store is available.
 #[tokio::test]
 async fn store_down() {
     let store =
@@ -113,10 +114,10 @@
     store.shutdown().await;
 }
 
-/// Two engines ask for weights at once and the store's line is full: the second load is refused at
-/// once instead of hanging, and no weights are fetched for it.
+/// When the store's queue is full, a second load is refused immediately instead of hanging, and no
+/// weights are fetched for it.
 #[tokio::test]
-async fn store_line() {
+async fn store_queue_full() {
     let settings =
         StoreServerSettings { loads_per_s: 0.01, load_ms: 1, max_wait_ms: 1, ..Default::default() };
     let store = start_store(settings).await.unwrap();
@@ -130,8 +131,8 @@
     store.shutdown().await;
 }
 
-/// A restart takes the slots, the number and the streams; a report that lags still shows the life
-/// before, so its incarnation must tell.
+/// A restart drops the slots, the highest fencing number and the streams. A lagging report still
+/// shows the previous incarnation and is recognised by it.
 #[tokio::test]
 async fn restart_empty() {
     let settings = EngineServerSettings { report_lag_ms: 60_000, ..Default::default() };
@@ -149,8 +150,8 @@
     engine.shutdown().await;
 }
 
-/// A marked request takes the engine down each time it runs, and its neighbour in the batch with
-/// it. Without the mark the engine runs on.
+/// A request with the crash mark crashes the engine when it runs, which also cuts the other request
+/// in the batch.
 #[tokio::test]
 async fn marked_crash() {
     let (engine, client) = loaded_engine(EngineServerSettings::default()).await;
--- a/standin/tests/suite/lost_append.rs
+++ b/standin/tests/suite/lost_append.rs
@@ -1,4 +1,4 @@
-//! Appends whose effect and answer come apart.
+//! Appends and reads of the log under lost answers, outages, retention and rate limits.
 
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
     page.records.len()
 }
 
-/// The appender hears nothing, while its record stands in the log: the log took it and lost the
-/// connection before the answer. Saying "not appended" would double a job, so it must be unknown.
+/// The record is appended, but the connection breaks before the answer. The outcome must be
+/// "unknown": "not appended" would duplicate a job.
 #[tokio::test]
 async fn answer_lost() {
     let (platform, log) = quick_log(PlatformServerSettings::default()).await;
@@ -33,8 +33,8 @@
     platform.shutdown().await;
 }
 
-/// The appender hears nothing and the record is not there: the connection broke before the effect.
-/// It looks the same from outside, so the error must be the same.
+/// The connection breaks before the record is appended. The client cannot distinguish this from a
+/// lost answer, so the error must be the same.
 #[tokio::test]
 async fn append_lost() {
     let (platform, log) = quick_log(PlatformServerSettings::default()).await;
@@ -45,8 +45,8 @@
     platform.shutdown().await;
 }
 
-/// The log is out of service. Refusals and refused connections certainly appended nothing; an
-/// append that got no answer in time may still take effect.
+/// During an outage, refusals and refused connections certainly appended nothing; an append whose
+/// answer timed out may still take effect.
 #[tokio::test]
 async fn outages() {
     let (platform, log) = quick_log(PlatformServerSettings::default()).await;
@@ -55,18 +55,18 @@
     assert!(matches!(refused, Err(LogError::Unavailable { .. })), "{refused:?}");
     platform.set_faults(PlatformFaults { log: OutageKind::Hang, ..Default::default() });
     let settings = PlatformSettings { answer_ms: 100, ..Default::default() };
-    let hasty = HttpLog::new(platform.address(), settings);
-    let hung = hasty.append("jobs", &["a".to_owned()]).await;
+    let short_timeout_log = HttpLog::new(platform.address(), settings);
+    let hung = short_timeout_log.append("jobs", &["a".to_owned()]).await;
     assert!(matches!(hung, Err(LogError::Unknown { .. })), "{hung:?}");
     let address = platform.address();
     platform.shutdown().await;
     let log = HttpLog::new(address, PlatformSettings::default());
-    let gone = log.append("jobs", &["a".to_owned()]).await;
-    assert!(matches!(gone, Err(LogError::Unavailable { .. })), "{gone:?}");
+    let stopped = log.append("jobs", &["a".to_owned()]).await;
+    assert!(matches!(stopped, Err(LogError::Unavailable { .. })), "{stopped:?}");
 }
 
-/// A VM that reads slowly finds the records it needs gone, since retention took them. It must learn
-/// where the log begins now instead of reading on as if nothing were missing.
+/// Retention has dropped the next records of a slow reader. It must receive the first kept offset
+/// instead of silently skipping records.
 #[tokio::test]
 async fn behind_retention() {
     let settings = PlatformServerSettings { retain_records: 2, ..Default::default() };
@@ -80,8 +80,9 @@
     platform.shutdown().await;
 }
 
-/// A reader starts behind large records, such as snapshots of a big configuration, of which a page
-/// of many is longer than it accepts. It must get all of them, a few at a time, and not be stuck.
+/// A reader catches up on large records, such as snapshots of a large configuration, of which a
+/// full page exceeds its answer limit. It must receive all of them in smaller pages and not get
+/// stuck.
 #[tokio::test]
 async fn large_records() {
     for max_page_bytes in [10_000, 1_000_000] {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Writers are told when to come back once the log's rate is spent, and nothing is appended.
+/// An append beyond the rate limit is refused with a retry time and appends nothing.
 #[tokio::test]
 async fn throttled() {
     let settings =
@@ -113,7 +114,7 @@
     platform.shutdown().await;
 }
 
-/// A reader that waits at the end of a stream gets a record as soon as it is appended.
+/// A read that waits at the end of a stream returns as soon as a record is appended.
 #[tokio::test]
 async fn long_poll() {
     let (platform, log) = quick_log(PlatformServerSettings::default()).await;
--- a/standin/tests/suite/main.rs
+++ b/standin/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-ins, and of the clients against them.
+//! Tests of the stand-ins and of the clients that call them.
 
 mod common;
 mod engine_orders;
--- a/standin/tests/suite/odd_answers.rs
+++ b/standin/tests/suite/odd_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of strange logs and engines, and what the clients make of them.
+//! How clients classify unusual and malformed answers of logs and engines.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use crate::common::{SLOT, load_order, run_call};
 
-/// A server that gives the same answer to every first request of a connection.
+/// Starts a server that sends the same answer to the first request of each connection.
 async fn same_answer(status: &str, body: &str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -28,14 +28,15 @@
     address
 }
 
+/// Returns the name of an error's variant.
 fn name(error: &impl Debug) -> String {
     let text = format!("{error:?}");
     text.split([' ', '(']).next().unwrap_or_default().to_owned()
 }
 
-/// A fold that saw a record twice, or missed one, would part from those of the other VMs for good;
-/// so a page out of order is refused whole. Statuses that do not say whether an append took effect
-/// must not be read as "not appended".
+/// A page with missing, repeated or unordered records is rejected as a whole, since the fold would
+/// diverge permanently from those of other VMs. A status that does not say whether an append took
+/// effect must not be classified as "not appended".
 #[tokio::test]
 async fn log_answers() {
     let page = |records: &str, next: u64| {
@@ -67,17 +68,17 @@
     }
 }
 
-/// An answer longer than the bound is not read to its end.
+/// An answer longer than the limit is rejected.
 #[tokio::test]
-async fn log_bound() {
+async fn log_answer_limit() {
     let address = same_answer("200 OK", &" ".repeat(5_000)).await;
     let settings = PlatformSettings { max_answer_bytes: 1_024, ..Default::default() };
     let result = HttpLog::new(address, settings).append("jobs", &["a".to_owned()]).await;
     assert!(matches!(result, Err(LogError::BadAnswer { .. })), "{result:?}");
 }
 
-/// Engines of different makers word their errors differently. Only a status that is given before a
-/// run begins counts as "not run".
+/// The bodies of errors differ between engines. Only a status that is sent before a run begins
+/// counts as "not run".
 #[tokio::test]
 async fn run_answers() {
     let numeric = r#"{"error":{"message":"no such model","code":404}}"#;
@@ -98,8 +99,8 @@
     }
 }
 
-/// An owner must not take an order for carried out, or for not carried out, when the engine did not
-/// say so.
+/// An order counts as carried out, or as not carried out, only if the engine's answer says so; else
+/// its effect is unknown.
 #[tokio::test]
 async fn order_answers() {
     let coded = |code: &str| format!(r#"{{"error":{{"message":"m","code":"{code}"}}}}"#);
--- a/standin/tests/suite/run_order.rs
+++ b/standin/tests/suite/run_order.rs
@@ -1,4 +1,4 @@
-//! Priorities, cancellation, KV cache and continuation.
+//! Priorities, graceful stop, cancellation, continuation and KV caches.
 
 use coltsfoothook_engine::{CacheEventKind, EngineClient, RunCall};
 use coltsfoothook_standin::{EngineServerSettings, answer_text, prompt_hash, read_answer};
@@ -12,7 +12,7 @@
     RunCall { body: body.to_string().into(), id: id.into(), ..Default::default() }
 }
 
-/// A request of lower priority number overtakes those that wait, also if it comes later.
+/// Waiting requests are admitted in order of their priority numbers, the lowest first.
 #[tokio::test]
 async fn urgent_first() {
     let settings = EngineServerSettings { batch_slots: 1, ..Default::default() };
@@ -25,21 +25,21 @@
         read_text(answer).await.1.unwrap();
         order.lock().unwrap().push(id.to_owned());
     };
-    let make_room = async {
+    let free_batch_slot = async {
         while engine.report().waiting < 3 {
             tokio::task::yield_now().await;
         }
         client.cancel(address, &"first".into()).await.unwrap();
     };
     let others = async { tokio::join!(run("audit", 9), run("handover", 5), run("alarm", 0)) };
-    let ((_, end), ..) = tokio::join!(read_text(first), make_room, others);
+    let ((_, end), ..) = tokio::join!(read_text(first), free_batch_slot, others);
     assert_eq!(end, Ok(()));
     assert_eq!(*order.lock().unwrap(), ["alarm", "handover", "audit"]);
     engine.shutdown().await;
 }
 
-/// The engine is stopped while a stream runs and another request waits: both get their whole
-/// answers, and nobody new gets in.
+/// When the engine stops, a running stream and a waiting request both get complete answers, and new
+/// requests are refused.
 #[tokio::test]
 async fn graceful_stop() {
     let settings = EngineServerSettings { batch_slots: 1, ..Default::default() };
@@ -55,7 +55,7 @@
     assert!(error.certainly_not_run(), "{error:?}");
 }
 
-/// A cancelled run stops, frees its slot, and is cancelled again without an error.
+/// A cancelled run ends and releases its slot; cancelling it again succeeds.
 #[tokio::test]
 async fn cancelled() {
     let (engine, client) = loaded_engine(EngineServerSettings::default()).await;
@@ -68,7 +68,7 @@
     engine.shutdown().await;
 }
 
-/// The caller goes away and nobody resumes: the engine gives the run up by itself.
+/// The engine cancels a run whose caller has disconnected and that nobody resumes.
 #[tokio::test]
 async fn unread_run() {
     let settings = EngineServerSettings { unread_ms: 20, ..Default::default() };
@@ -81,8 +81,8 @@
     engine.shutdown().await;
 }
 
-/// A stream broke with its engine. Another engine gets the prompt with what was already sent and
-/// goes on from there, so that the caller's answer is one whole.
+/// Another engine continues a broken stream from the prompt and the part of the answer that was
+/// already sent, so that the caller receives one complete answer.
 #[tokio::test]
 async fn continued_elsewhere() {
     let (engine, client) = loaded_engine(EngineServerSettings::default()).await;
@@ -95,7 +95,7 @@
     engine.shutdown().await;
 }
 
-/// A KV cache taken from one engine lets another go on at the next token, under the same id.
+/// An engine that imports a KV cache continues the request with that id at the next token.
 #[tokio::test]
 async fn moved_cache() {
     let (from, client) = loaded_engine(EngineServerSettings::default()).await;
@@ -111,8 +111,8 @@
     to.shutdown().await;
 }
 
-/// Events of the prefix cache come with gaps in their numbers, and reading on loses none of those
-/// that are there; a cache over its bound evicts.
+/// Lost events of the prefix cache leave gaps in the numbers, and a page's `next` follows its last
+/// event. A cache beyond its capacity evicts blocks.
 #[tokio::test]
 async fn gapped_events() {
     let settings = EngineServerSettings {
--- a/standin/tests/suite/run_stages.rs
+++ b/standin/tests/suite/run_stages.rs
@@ -1,4 +1,4 @@
-//! Each stage at which a run can fail, and what the client says of it.
+//! The error that the client returns for each stage at which a run can fail.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,20 +9,21 @@
 
 use crate::common::{SLOT, loaded_engine, quick_engine, read_text, run_call};
 
-/// Longer than any test runs.
+/// Longer than any test takes.
 const LONG: Duration = Duration::from_secs(60);
 
-/// A port without a listener refuses connections.
+/// Returns the address of a port without a listener, which refuses connections.
 async fn closed_port() -> SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
 }
 
+/// Faults that cut the next run at a stage.
 fn cut(stage: RunCut) -> EngineFaults {
     EngineFaults { cut: stage, cut_next: 1, ..Default::default() }
 }
 
-/// The caller may be told "not run": nobody listens, so no byte left.
+/// A refused connection counts as "not run", since no byte was sent.
 #[tokio::test]
 async fn refused_connection() {
     let client = HttpEngine::new(EngineSettings::default());
@@ -31,7 +32,7 @@
     assert!(error.certainly_not_run());
 }
 
-/// The engine restarted or a report lied: the slot is not there, and the engine ran nothing.
+/// A request for a slot that is not loaded, as after a restart, is refused without running.
 #[tokio::test]
 async fn slot_missing() {
     let (engine, client) = quick_engine(EngineServerSettings::default()).await;
@@ -41,7 +42,7 @@
     engine.shutdown().await;
 }
 
-/// The engine's queue is full and it says so before running anything.
+/// A request is refused without running if the engine's queue is full.
 #[tokio::test]
 async fn queue_full() {
     let settings = EngineServerSettings { max_waiting: 0, ..Default::default() };
@@ -53,8 +54,8 @@
     engine.shutdown().await;
 }
 
-/// The connection breaks after the request was written. From outside it looks the same whether the
-/// engine ran it (second) or not (first), so neither may be called "not run".
+/// The connection breaks after the request was written. The client cannot tell whether the engine
+/// ran it (second case) or not (first case), so neither counts as "not run".
 #[tokio::test]
 async fn cut_before_answer() {
     for (stage, runs) in [(RunCut::Before, 0), (RunCut::After, 1)] {
@@ -68,8 +69,8 @@
     }
 }
 
-/// The answer begins and is cut. The tokens before the cut are good, the end is an error and not a
-/// short answer, and the stream can be read on at the engine from where it broke.
+/// The answer is cut after some tokens. These tokens are valid, the cut is reported as an error and
+/// not as a short answer, and the stream can be resumed at the engine from the next token.
 #[tokio::test]
 async fn cut_amid_answer() {
     let (engine, client) = loaded_engine(EngineServerSettings::default()).await;
@@ -87,7 +88,7 @@
     engine.shutdown().await;
 }
 
-/// The engine is frozen: the request was written and no head comes in time, so it may yet run.
+/// A frozen engine sends no response head within the timeout; the request may still run.
 #[tokio::test]
 async fn head_timeout() {
     let (engine, client) = loaded_engine(EngineServerSettings::default()).await;
@@ -100,7 +101,7 @@
     engine.shutdown().await;
 }
 
-/// A stream falls silent: the head and some tokens came, then nothing for longer than allowed.
+/// A stream that stalls after its head for longer than the body timeout ends with an error.
 #[tokio::test]
 async fn body_timeout() {
     let (engine, loader) = loaded_engine(EngineServerSettings::default()).await;
@@ -114,8 +115,8 @@
     engine.shutdown().await;
 }
 
-/// A connection that was kept died while idle, since the engine restarted. The next request must
-/// not be sent twice, nor be lost in the dead connection: it runs once, on a new one.
+/// A kept-alive connection is closed by a restart of the engine. The next request must run exactly
+/// once, on a new connection.
 #[tokio::test]
 async fn dead_kept_connection() {
     let (engine, client) = loaded_engine(EngineServerSettings::default()).await;
@@ -123,7 +124,8 @@
         let id = format!("r-{round}");
         engine.restart(Duration::ZERO);
         let load = crate::common::load_order(SLOT, 1);
-        // The load may itself meet the dead connection; it can be repeated, since it is an order.
+        // The load may itself use the dead connection; it can be repeated, since orders are
+        // idempotent.
         while client.load(engine.address(), &load).await.is_err() {}
         let call = RunCall { repeatable: true, ..run_call(&id, 2, false) };
         let (text, end) = read_text(client.run(engine.address(), call).await.unwrap()).await;
@@ -133,9 +135,9 @@
     engine.shutdown().await;
 }
 
-/// An id with a slash would reach another endpoint of the engine.
+/// An id with a slash is rejected, since it would address another endpoint of the engine.
 #[tokio::test]
-async fn strange_id() {
+async fn invalid_id() {
     let (engine, client) = loaded_engine(EngineServerSettings::default()).await;
     let error = client.resume(engine.address(), &"../kv/r".into(), 0).await.unwrap_err();
     assert!(error.certainly_not_run(), "{error:?}");
--- a/standin/tests/suite/service_stages.rs
+++ b/standin/tests/suite/service_stages.rs
@@ -1,4 +1,4 @@
-//! Each stage at which a call to a plain service can fail.
+//! The error that the client returns for each stage at which a call to a plain service can fail.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     call
 }
 
-/// A ticket is made once and its number comes back; headers of one connection are not passed on.
+/// A call makes one ticket and returns its number; hop-by-hop headers are not forwarded.
 #[tokio::test]
 async fn ticket_made() {
     let (service, client) = quick_service().await;
@@ -38,8 +38,8 @@
     service.shutdown().await;
 }
 
-/// The ticket is made and the answer lost, or neither: the technician's app must hear "unknown" in
-/// both cases, since a resend after the second is harmless and after the first sends two people.
+/// The connection is cut before or after the ticket is made. Neither may count as "not run", since
+/// the client cannot distinguish them and a resend after the second would make a duplicate ticket.
 #[tokio::test]
 async fn cut_stages() {
     let before = ServiceFaults { cut_before: 1, ..Default::default() };
@@ -55,7 +55,7 @@
     }
 }
 
-/// The answer breaks off in the middle: it ran, and the body ends with an error, not early.
+/// An answer that is cut within its body ends with an error and not as a short body.
 #[tokio::test]
 async fn cut_amid() {
     let (service, client) = quick_service().await;
@@ -66,8 +66,8 @@
     service.shutdown().await;
 }
 
-/// A slow service: no answer in time says nothing of the effect. A service that is down never saw
-/// the call.
+/// A timeout leaves the effect of a call unknown. A call to a stopped service was certainly not
+/// sent.
 #[tokio::test]
 async fn slow_and_down() {
     let (service, client) = quick_service().await;
@@ -82,9 +82,9 @@
     assert!(matches!(error, ServiceError::NotSent { .. }), "{error:?}");
 }
 
-/// An answer longer than the reader's bound ends in an error instead of filling the memory.
+/// An answer longer than the reader's limit ends with an error instead of exhausting memory.
 #[tokio::test]
-async fn answer_bound() {
+async fn answer_limit() {
     let (service, client) = quick_service().await;
     let answer = client.call(service.address(), ServiceCall::get("/readings")).await.unwrap();
     let error = ServiceError::from(answer.body.collect(8).await.unwrap_err());
--- a/standin/tests/suite/vm_list.rs
+++ b/standin/tests/suite/vm_list.rs
@@ -1,4 +1,4 @@
-//! The lagging list of VMs.
+//! The list of VMs and its lag.
 
 use coltsfoothook_decision::member::{ListedState, ListedVm, MemberPlace};
 use coltsfoothook_platform::{DirectoryError, HttpDirectory, PlatformSettings, VmDirectory};
@@ -23,7 +23,7 @@
     ListedVm { name: name.into(), place, state: ListedState::Live }
 }
 
-/// VMs come, leave and go, and the list shows each state.
+/// The list shows VMs that are added, leaving and removed.
 #[tokio::test]
 async fn changes_show() {
     let (platform, directory) = quick_list(0).await;
@@ -31,14 +31,14 @@
     platform.change_vms(VmChange::Put(listed("vm-1")));
     platform.change_vms(VmChange::Leaving { name: "vm-2".to_owned() });
     let vms = directory.list().await.unwrap();
-    let shown: Vec<_> = vms.iter().map(|vm| (vm.name.as_str(), vm.state)).collect();
-    assert_eq!(shown, [("vm-1", ListedState::Live), ("vm-2", ListedState::Leaving)]);
+    let states: Vec<_> = vms.iter().map(|vm| (vm.name.as_str(), vm.state)).collect();
+    assert_eq!(states, [("vm-1", ListedState::Live), ("vm-2", ListedState::Leaving)]);
     platform.change_vms(VmChange::Remove { name: "vm-1".to_owned() });
     assert_eq!(directory.list().await.unwrap().len(), 1);
     platform.shutdown().await;
 }
 
-/// A VM that is gone still stands in the list for a while.
+/// A change appears in the list only after its lag.
 #[tokio::test]
 async fn list_lags() {
     let (platform, directory) = quick_list(60_000).await;
@@ -47,7 +47,7 @@
     platform.shutdown().await;
 }
 
-/// The list is out of service while the log works.
+/// An outage of the list is reported as such.
 #[tokio::test]
 async fn list_outage() {
     let (platform, directory) = quick_list(0).await;
--- a/standin/tests/suite/whole_answer.rs
+++ b/standin/tests/suite/whole_answer.rs
@@ -1,4 +1,4 @@
-//! Many streams at once on one engine.
+//! Many concurrent streams on one engine.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 
 use crate::common::{loaded_engine, prompt_call, read_text};
 
-/// Each caller sees its own answer, whole, though hundreds run through one batch and their tokens
-/// come interleaved. The tokens name adapter, prompt and number, so a mixed answer would show.
+/// Each caller receives its own complete answer while hundreds of runs share a batch. The tokens
+/// contain adapter, prompt hash and number, so tokens of another answer would be detected.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn five_hundred_streams() {
     let settings = EngineServerSettings { batch_slots: 500, request_us: 0, ..Default::default() };
     let (engine, client) = loaded_engine(settings).await;
     let (client, address) = (Arc::new(client), engine.address());
-    // Each caller is a task of its own, as it is in the system.
+    // Each caller is a separate task, as in the system.
     let callers = (0..500).map(|number| {
         let client = client.clone();
         tokio::spawn(async move {
