--- a/ctl/src/client.rs
+++ b/ctl/src/client.rs
@@ -170,6 +170,7 @@
         Err(not_ready.unwrap_or(CtlError::NotReached { attempts }))
     }
 
+    /// Connects to one VM, with TLS if configured, and sends the call.
     async fn call_one(
         &self,
         address: SocketAddr,
@@ -198,6 +199,8 @@
         self.exchange(stream, request).await
     }
 
+    /// Sends a request on an open connection and reads the answer within the timeout and size
+    /// limit.
     async fn exchange<S>(
         &self,
         stream: S,
@@ -228,12 +231,14 @@
     }
 }
 
+/// Returns whether a call that got this problem can succeed when it is repeated unchanged.
 fn is_retryable(document: &ProblemDocument) -> bool {
     let retryable =
         [ProblemReason::AppendUnknown, ProblemReason::LogUnavailable, ProblemReason::NotReady];
     retryable.iter().any(|reason| document.reason == reason.as_str())
 }
 
+/// Returns whether the failed call may have changed state.
 fn may_have_taken_effect(error: &CtlError) -> bool {
     match error {
         CtlError::Unknown { .. } => true,
@@ -242,6 +247,7 @@
     }
 }
 
+/// Decodes an answer: the value on success, else the problem document.
 fn read_answer<T: DeserializeOwned>(answer: &CallAnswer) -> Result<T, CtlError> {
     if answer.status.is_success() {
         let parsed = serde_json::from_slice(&answer.body);
--- a/ctl/src/command.rs
+++ b/ctl/src/command.rs
@@ -217,7 +217,11 @@
     let path = format!("/v1/drain/{kind}/{}", encode_segment(name));
     let call = DrainCall { draining: !undo };
     let _: WrittenAnswer = client.change(Method::PUT, &path, &call).await?;
-    let text = if undo { "takes work again" } else { "gets no new work and finishes what it has" };
+    let text = if undo {
+        "accepts new work again"
+    } else {
+        "accepts no new work and finishes its running work"
+    };
     let json = json!({ "exit": 0, "name": name, "draining": call.draining });
     Ok(CtlReport::done(format!("{name} {text}"), &json))
 }
--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -43,21 +43,28 @@
     Secret { source: SecretError },
     #[snafu(display("{source}"), context(false))]
     Keys { source: KeyError },
+    /// A manifest or delta has faults, from the check here or from the server.
     #[snafu(display("{}", fault_lines(file, faults)))]
     Invalid { file: PathBuf, faults: Vec<LocatedFault> },
+    /// No entry VM answered, and no call that changes state was sent. `attempts` has a reason per VM.
     #[snafu(display("no entry VM could be reached:\n  {}", attempts.join("\n  ")))]
     NotReached { attempts: Vec<String> },
+    /// A call may have taken effect, or a published version is not in force at every VM in time.
+    /// `attempts` has the reasons.
     #[snafu(display(
         "the outcome is not known; the same command again is safe:\n  {}",
         attempts.join("\n  ")
     ))]
     Unknown { attempts: Vec<String> },
+    /// The entry VM answered with a problem document.
     #[snafu(display("{}: {}", document.title, document.detail))]
     Problem { document: Box<ProblemDocument> },
+    /// The answer is neither the expected JSON nor a problem document.
     #[snafu(display("malformed answer from the entry VM: {message}"))]
     MalformedAnswer { message: String },
 }
 
+/// Formats each fault as a line that begins with the file's path.
 fn fault_lines(file: &std::path::Path, faults: &[LocatedFault]) -> String {
     let lines = faults.iter().map(|fault| format!("{}:{fault}", file.display()));
     lines.collect::<Vec<_>>().join("\n")
@@ -85,6 +92,7 @@
     }
 }
 
+/// Maps the reason of a problem document to an exit code; unknown reasons count as refused.
 fn problem_exit(reason: &str) -> CtlExit {
     let is = |known: ProblemReason| reason == known.as_str();
     if is(ProblemReason::StaleBase) {
--- a/ctl/src/losses.rs
+++ b/ctl/src/losses.rs
@@ -116,9 +116,10 @@
         &mut self.groups[at].1
     }
 
-    fn table(&self, head: &str) -> String {
+    /// Formats the groups as a table whose first column has the given header.
+    fn table(&self, header: &str) -> String {
         let mut table = TextTable::new(&[
-            head, "asked", "done", "late", "paused", "refused", "failed", "left", "p50 ms",
+            header, "asked", "done", "late", "paused", "refused", "failed", "left", "p50 ms",
             "p95 ms", "stall ms", "held ms", "loads",
         ]);
         self.groups.iter().for_each(|(name, count)| table.row(count.cells(name)));
--- a/ctl/src/show.rs
+++ b/ctl/src/show.rs
@@ -67,8 +67,8 @@
         "IN USE",
     ]);
     for (vm, group) in owned_groups(status) {
-        let count = |wanted: fn(&ServerStatus) -> bool| {
-            group.servers.iter().filter(|server| wanted(server)).count()
+        let count = |predicate: fn(&ServerStatus) -> bool| {
+            group.servers.iter().filter(|server| predicate(server)).count()
         };
         let slots = || group.servers.iter().flat_map(|server| &server.slots);
         let waiting: Vec<String> =
--- a/ctl/src/trace.rs
+++ b/ctl/src/trace.rs
@@ -62,7 +62,7 @@
         ("refused", "repeat_budget") => "servers refused it and the retry budget was exhausted",
         ("refused", _) => "it was not run",
         ("failed", "deadline") => "its deadline passed before the answer was complete",
-        ("failed", _) => "its server broke off; it may have run",
+        ("failed", _) => "its server did not complete the answer; it may have run",
         ("server_failed", _) => "its server answered with an error",
         ("caller_left", _) => "its caller closed the connection",
         ("done", _) => "it was answered; stall_ms and first_ms show where its time was spent",
--- a/ctl/tests/suite/exit_codes.rs
+++ b/ctl/tests/suite/exit_codes.rs
@@ -33,11 +33,11 @@
     assert_eq!(unencrypted.exit, CtlExit::Usage, "no token over the network in the clear");
     assert_eq!(running.run(&["drain", "server", "engine-1"]).exit, CtlExit::Done);
     assert_eq!(running.run(&["drain", "--undo", "vm", "vm-2"]).exit, CtlExit::Done);
-    assert_eq!(running.run(&["drain", "server", "gone"]).exit, CtlExit::Refused);
+    assert_eq!(running.run(&["drain", "server", "unknown"]).exit, CtlExit::Refused);
     assert_eq!(running.run(&["explain", "r-1"]).exit, CtlExit::Refused);
     assert_eq!(running.run(&["lift", "00ff"]).exit, CtlExit::Done);
     let state = running.entry.state.lock().expect("a lock");
-    assert_eq!(state.drained, ["engine-1 true", "vm-2 false", "gone true"]);
+    assert_eq!(state.drained, ["engine-1 true", "vm-2 false", "unknown true"]);
 }
 
 #[test]
--- a/ctl/tests/suite/fake.rs
+++ b/ctl/tests/suite/fake.rs
@@ -78,7 +78,7 @@
 
     async fn drain(&self, _kind: DrainKind, name: &str, draining: bool) -> WriteAnswer {
         self.state.lock().expect("a lock").drained.push(format!("{name} {draining}"));
-        if name == "gone" { WriteAnswer::UnknownName } else { WriteAnswer::Written }
+        if name == "unknown" { WriteAnswer::UnknownName } else { WriteAnswer::Written }
     }
 
     async fn explain(&self, _id: &RequestId) -> ExplainAnswer {
--- a/ctl/tests/suite/loss_report.rs
+++ b/ctl/tests/suite/loss_report.rs
@@ -10,7 +10,7 @@
 ts=2026-06-08T13:31:02.400Z level=info at=vm-1 event=request_done request_id=r1 route=alarms outcome=done adapter=a9 stall_ms=260 first_ms=400
 ts=2026-06-08T13:31:02.900Z level=info at=vm-1 event=request_done request_id=r2 route=alarms outcome=done adapter=a9 server=i-2 held_ms=500 first_ms=1400 late=server
 ts=2026-06-08T13:31:03.100Z level=info at=vm-2 event=request_done request_id=r6 route=alarms outcome=done adapter=a9 server=i-2 first_ms=300 pause_ms=470 late=pause
-noise that is no line
+text that is not a log line
 ts=2026-06-08T13:31:04.100Z level=info at=vm-1 event=request_done request_id=r3 route=alarms outcome=refused reason=adapter_wait adapter=a7 stall_ms=1440
 ts=2026-06-08T13:31:04.200Z level=info at=vm-1 event=request_done request_id=r4 route=tickets outcome=failed reason=\"answer cut: reset\" server=i-2
 ts=2026-06-08T13:31:04.300Z level=info at=vm-1 event=request_done request_id=r5 route=tickets outcome=caller_left
--- a/standin/src/answer.rs
+++ b/standin/src/answer.rs
@@ -16,7 +16,7 @@
 value! {
     /// What the tokens of an answer contain.
     #[derive(Eq)]
-    pub struct AnswerProof {
+    pub struct ParsedAnswer {
         /// The adapter and version that ran, as `adapter@version`.
         pub adapter: String,
         /// The hash of the prompt that was answered.
@@ -30,7 +30,7 @@
 
 /// Why an answer is invalid.
 #[derive(Clone, Debug, Snafu, PartialEq, Eq)]
-pub enum AnswerFlaw {
+pub enum AnswerError {
     /// The answer has no token.
     #[snafu(display("empty answer"))]
     EmptyAnswer,
@@ -90,26 +90,30 @@
 /// # Errors
 ///
 /// Returns the first inconsistency.
-pub fn read_answer(text: &str) -> Result<AnswerProof, AnswerFlaw> {
-    let mut proof: Option<AnswerProof> = None;
+pub fn read_answer(text: &str) -> Result<ParsedAnswer, AnswerError> {
+    let mut answer: Option<ParsedAnswer> = None;
     for token in text.split_whitespace() {
         let (adapter, prompt, number) = read_token(token)
-            .ok_or_else(|| AnswerFlaw::UnrecognizedToken { token: token.to_owned() })?;
-        let Some(proof) = &mut proof else {
-            proof =
-                Some(AnswerProof { adapter: adapter.to_owned(), prompt, first: number, tokens: 1 });
+            .ok_or_else(|| AnswerError::UnrecognizedToken { token: token.to_owned() })?;
+        let Some(answer) = &mut answer else {
+            answer = Some(ParsedAnswer {
+                adapter: adapter.to_owned(),
+                prompt,
+                first: number,
+                tokens: 1,
+            });
             continue;
         };
-        if proof.adapter != adapter || proof.prompt != prompt {
-            return Err(AnswerFlaw::MixedAnswer { token: token.to_owned() });
+        if answer.adapter != adapter || answer.prompt != prompt {
+            return Err(AnswerError::MixedAnswer { token: token.to_owned() });
         }
-        let expected = proof.first.saturating_add(proof.tokens);
+        let expected = answer.first.saturating_add(answer.tokens);
         if number != expected {
-            return Err(AnswerFlaw::TokenGap { expected, found: number });
+            return Err(AnswerError::TokenGap { expected, found: number });
         }
-        proof.tokens += 1;
+        answer.tokens += 1;
     }
-    proof.ok_or(AnswerFlaw::EmptyAnswer)
+    answer.ok_or(AnswerError::EmptyAnswer)
 }
 
 fn read_token(token: &str) -> Option<(&str, u64, u32)> {
@@ -126,8 +130,8 @@
     let start = format!("{label}:");
     for (at, _) in prompt.match_indices(&start) {
         let hash = prompt_hash(&prompt[..at]);
-        let proof = read_answer(&prompt[at..]);
-        if let Ok(AnswerProof { prompt, first: 0, tokens, .. }) = proof
+        let answer = read_answer(&prompt[at..]);
+        if let Ok(ParsedAnswer { prompt, first: 0, tokens, .. }) = answer
             && prompt == hash
         {
             return (hash, tokens);
@@ -146,10 +150,10 @@
         let whole = read_answer(&text).unwrap();
         assert_eq!((whole.adapter.as_str(), whole.prompt, whole.tokens), ("alarms@v3", 7, 3));
         let gap = answer_text("a@1", 7, 0, 2) + &answer_text("a@1", 7, 3, 4);
-        assert_eq!(read_answer(&gap), Err(AnswerFlaw::TokenGap { expected: 2, found: 3 }));
+        assert_eq!(read_answer(&gap), Err(AnswerError::TokenGap { expected: 2, found: 3 }));
         let mixed = answer_text("a@1", 7, 0, 2) + &answer_text("a@1", 8, 2, 4);
-        assert!(matches!(read_answer(&mixed), Err(AnswerFlaw::MixedAnswer { .. })));
-        assert_eq!(read_answer(""), Err(AnswerFlaw::EmptyAnswer));
+        assert!(matches!(read_answer(&mixed), Err(AnswerError::MixedAnswer { .. })));
+        assert_eq!(read_answer(""), Err(AnswerError::EmptyAnswer));
     }
 
     #[test]
--- a/standin/src/command.rs
+++ b/standin/src/command.rs
@@ -50,11 +50,11 @@
 }
 
 /// Runs a stand-in as a process: reads the command line and the settings, starts it, prints its
-/// address as one line, and stops it gracefully on SIGTERM or SIGINT. `what` names the component
-/// that it replaces, for the help text.
+/// address as one line, and stops it gracefully on SIGTERM or SIGINT. `component` names the
+/// component that it replaces, for the help text.
 pub fn run_standin<Settings, Start, Starting, Stop>(
     name: &'static str,
-    what: &'static str,
+    component: &'static str,
     start: Start,
 ) -> ExitCode
 where
@@ -63,7 +63,7 @@
     Starting: Future<Output = io::Result<(SocketAddr, Stop)>>,
     Stop: Future<Output = ()>,
 {
-    let options = parse_options(name, what);
+    let options = parse_options(name, component);
     let settings: Settings = match read_settings(&options) {
         Ok(settings) => settings,
         Err(message) => return fail(name, &message),
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-fn parse_options(name: &'static str, what: &'static str) -> CommandOptions {
+fn parse_options(name: &'static str, component: &'static str) -> CommandOptions {
     let settings = bpaf::long("settings")
         .short('s')
         .help("File with settings, JSON with comments")
@@ -118,7 +118,7 @@
     let footer = format!(
         "Examples:\n  {name} --listen 127.0.0.1:7100\n  {name} --settings {name}.jsonc --check-settings"
     );
-    let description = format!("Stand-in of the {what}; see docs/STANDINS.md");
+    let description = format!("Stand-in for the {component}; see docs/STANDINS.md");
     bpaf::construct!(CommandOptions { settings, listen, check })
         .to_options()
         .descr(description.as_str())
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -171,14 +171,14 @@
     pub(crate) store: ExchangeClient,
     /// Notified when a run is queued.
     pub(crate) wake: Notify,
-    pub(crate) inner: Mutex<EngineState>,
-    /// Locked after `inner` where both are needed.
-    pub(crate) extra: Mutex<EngineExtra>,
+    pub(crate) engine_state: Mutex<EngineState>,
+    /// Locked after `engine_state` where both are needed.
+    pub(crate) endpoint_state: Mutex<EndpointState>,
 }
 
 /// State of the endpoints that the step loop does not need.
 #[derive(Default)]
-pub(crate) struct EngineExtra {
+pub(crate) struct EndpointState {
     pub(crate) faults: EngineFaults,
     pub(crate) role: EngineRole,
     /// Imported KV caches with their request ids, oldest first.
@@ -198,12 +198,12 @@
     let incarnation = initial_incarnation(settings.incarnation);
     let exchange = ExchangeSettings { head_ms: settings.store_ms, ..Default::default() };
     let shared = Arc::new(EngineServer {
-        inner: Mutex::new(EngineState::new(settings.clone(), incarnation)),
+        engine_state: Mutex::new(EngineState::new(settings.clone(), incarnation)),
         settings,
         control: control.clone(),
         store: ExchangeClient::new(exchange),
         wake: Notify::new(),
-        extra: Mutex::default(),
+        endpoint_state: Mutex::default(),
     });
     let server =
         HttpServer::start(listen, control.clone(), Arc::new(EngineInterface(shared.clone())))
@@ -275,12 +275,12 @@
     type Counters = EngineCounters;
 
     fn faults(&self) -> EngineFaults {
-        self.extra().faults.clone()
+        self.endpoint_state().faults.clone()
     }
 
     fn set_faults(&self, faults: EngineFaults) {
         log_event("faults_set", "engine", &faults);
-        self.extra().faults = faults;
+        self.endpoint_state().faults = faults;
         self.control.release_hung();
     }
 
@@ -291,11 +291,11 @@
 
 impl EngineServer {
     pub(crate) fn lock(&self) -> MutexGuard<'_, EngineState> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+        self.engine_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn extra(&self) -> MutexGuard<'_, EngineExtra> {
-        self.extra.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn endpoint_state(&self) -> MutexGuard<'_, EndpointState> {
+        self.endpoint_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn restart(&self, down: Duration) {
@@ -308,21 +308,21 @@
 
     fn crash(&self) {
         self.lock().counters.crashes += 1;
-        let down_ms = self.extra().faults.crash_down_ms;
+        let down_ms = self.endpoint_state().faults.crash_down_ms;
         self.restart(Duration::from_millis(down_ms));
     }
 
     pub(crate) fn report_lag(&self) -> Duration {
-        let fault_ms = self.extra().faults.report_lag_ms;
+        let fault_ms = self.endpoint_state().faults.report_lag_ms;
         Duration::from_millis(self.settings.report_lag_ms.max(fault_ms))
     }
 
     fn keep_report(&self, report: EngineReport) {
-        let mut extra = self.extra();
-        if extra.reports.len() >= REPORT_LIMIT {
-            extra.reports.pop_front();
+        let mut endpoint_state = self.endpoint_state();
+        if endpoint_state.reports.len() >= REPORT_LIMIT {
+            endpoint_state.reports.pop_front();
         }
-        extra.reports.push_back((Instant::now(), report));
+        endpoint_state.reports.push_back((Instant::now(), report));
     }
 
     async fn handle_admin(
@@ -418,7 +418,7 @@
         let lag = engine.report_lag();
         let interval = (lag / REPORT_LAG_DIVISOR).clamp(MIN_REPORT_INTERVAL, MAX_REPORT_INTERVAL);
         if lag.is_zero() {
-            engine.extra().reports.clear();
+            engine.endpoint_state().reports.clear();
             tokio::time::sleep(MAX_REPORT_INTERVAL).await;
             continue;
         }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -37,7 +37,7 @@
 mod tally;
 mod vms;
 
-pub use answer::{AnswerFlaw, AnswerProof, answer_text, prompt_hash, read_answer};
+pub use answer::{AnswerError, ParsedAnswer, answer_text, prompt_hash, read_answer};
 pub use command::{ListenSettings, run_standin};
 pub use count::EngineCounters;
 pub use engine::{
--- a/standin/src/orders.rs
+++ b/standin/src/orders.rs
@@ -69,7 +69,7 @@
             Ok(result) => result.clone().unwrap_or(Ok(())),
             Err(_) => Err("engine restarted".to_owned()),
         };
-        let fault = self.extra().faults.load;
+        let fault = self.endpoint_state().faults.load;
         if let LoadFault::Late { by_ms } = fault {
             tokio::time::sleep(Duration::from_millis(by_ms)).await;
         }
@@ -125,7 +125,7 @@
     /// Loads weights: requests them from the weight store, if one is set, and waits for `load_ms`.
     async fn fetch(&self, path: &str) -> Result<(), String> {
         let released = self.control.hang_token();
-        let fault = self.extra().faults.load;
+        let fault = self.endpoint_state().faults.load;
         match fault {
             LoadFault::Fail => return Err("load fault".to_owned()),
             LoadFault::Hang => {
@@ -166,7 +166,7 @@
         let fencing = fencing(&request);
         let body: RoleBody = reply::read_json(request, MAX_SMALL_BODY).await?;
         self.lock().check_fencing(fencing)?;
-        self.extra().role = body.role;
+        self.endpoint_state().role = body.role;
         Ok(reply::ok(&body))
     }
 
@@ -196,9 +196,10 @@
             return None;
         }
         let now = Instant::now();
-        let extra = self.extra();
-        let lagging = extra.reports.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
-        lagging.or(extra.reports.front()).map(|(_, report)| report.clone())
+        let endpoint_state = self.endpoint_state();
+        let lagging =
+            endpoint_state.reports.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
+        lagging.or(endpoint_state.reports.front()).map(|(_, report)| report.clone())
     }
 
     pub(crate) fn handle_events(&self, request: &Request<Incoming>) -> Result<Reply, Refusal> {
@@ -221,11 +222,11 @@
         id: &str,
     ) -> Result<Reply, Refusal> {
         let kv: KvExport = reply::read_json(request, MAX_SMALL_BODY).await?;
-        let mut extra = self.extra();
-        if extra.imports.len() >= IMPORT_LIMIT {
-            extra.imports.pop_front();
+        let mut endpoint_state = self.endpoint_state();
+        if endpoint_state.imports.len() >= IMPORT_LIMIT {
+            endpoint_state.imports.pop_front();
         }
-        extra.imports.push_back((id.to_owned(), kv.clone()));
+        endpoint_state.imports.push_back((id.to_owned(), kv.clone()));
         Ok(reply::ok(&kv))
     }
 }
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -177,13 +177,13 @@
 
     /// Consumes the fault for the next run.
     fn next_fault(&self) -> RunFault {
-        let mut extra = self.extra();
-        let delay = Duration::from_millis(extra.faults.delay_ms);
-        if extra.faults.cut == RunCut::None || extra.faults.cut_next == 0 {
+        let mut endpoint_state = self.endpoint_state();
+        let delay = Duration::from_millis(endpoint_state.faults.delay_ms);
+        if endpoint_state.faults.cut == RunCut::None || endpoint_state.faults.cut_next == 0 {
             return RunFault { cut: RunCut::None, delay };
         }
-        extra.faults.cut_next -= 1;
-        RunFault { cut: extra.faults.cut, delay }
+        endpoint_state.faults.cut_next -= 1;
+        RunFault { cut: endpoint_state.faults.cut, delay }
     }
 
     /// Checks a request before any state changes.
@@ -200,7 +200,7 @@
             let message = format!("max_tokens must be 1 to {}", self.settings.max_tokens);
             return Err(reply::refusal(StatusCode::BAD_REQUEST, "bad_tokens", &message));
         }
-        if self.extra().role == EngineRole::Prefill {
+        if self.endpoint_state().role == EngineRole::Prefill {
             count = 1;
         }
         let (prompt, sent) = body.texts();
@@ -261,8 +261,10 @@
 
     /// Returns whether a body contains the crash mark.
     fn is_marked(&self, bytes: &[u8]) -> bool {
-        let extra = self.extra();
-        let Some(mark) = extra.faults.crash_mark.as_deref().filter(|mark| !mark.is_empty()) else {
+        let endpoint_state = self.endpoint_state();
+        let Some(mark) =
+            endpoint_state.faults.crash_mark.as_deref().filter(|mark| !mark.is_empty())
+        else {
             return false;
         };
         bytes.windows(mark.len()).any(|window| window == mark.as_bytes())
@@ -271,14 +273,14 @@
     /// Takes the KV cache imported for this request, adapter and prompt, and returns how many
     /// tokens it has. A decode engine refuses a request without one.
     fn import_for(&self, id: &str, weights: &str, prompt: u64) -> Result<Option<u32>, Refusal> {
-        let mut extra = self.extra();
-        let found = extra
+        let mut endpoint_state = self.endpoint_state();
+        let found = endpoint_state
             .imports
             .iter()
             .position(|(name, kv)| name == id && kv.weights == weights && kv.prompt_hash == prompt);
         match found {
-            Some(at) => Ok(extra.imports.remove(at).map(|(_, kv)| kv.tokens)),
-            None if extra.role == EngineRole::Decode => {
+            Some(at) => Ok(endpoint_state.imports.remove(at).map(|(_, kv)| kv.tokens)),
+            None if endpoint_state.role == EngineRole::Decode => {
                 let message = "a decode engine needs an imported KV cache";
                 Err(reply::refusal(StatusCode::CONFLICT, "kv_missing", message))
             }
--- a/standin/tests/suite/run_stages.rs
+++ b/standin/tests/suite/run_stages.rs
@@ -78,9 +78,9 @@
     let answer = client.run(engine.address(), run_call("r", 10, true)).await.unwrap();
     let (text, end) = read_text(answer).await;
     assert!(matches!(end, Err(RunError::Broken { .. })), "{end:?}");
-    let proof = read_answer(&text).unwrap();
-    assert!(proof.tokens < 10);
-    let rest = client.resume(engine.address(), &"r".into(), proof.tokens).await.unwrap();
+    let parsed = read_answer(&text).unwrap();
+    assert!(parsed.tokens < 10);
+    let rest = client.resume(engine.address(), &"r".into(), parsed.tokens).await.unwrap();
     let (rest, end) = read_text(rest).await;
     assert_eq!(end, Ok(()));
     assert_eq!(read_answer(&(text + &rest)).unwrap().tokens, 10);
--- a/standin/tests/suite/whole_answer.rs
+++ b/standin/tests/suite/whole_answer.rs
@@ -23,9 +23,9 @@
             let call = prompt_call(&format!("r-{number}"), &prompt, 40, true);
             let (text, end) = read_text(client.run(address, call).await.unwrap()).await;
             assert_eq!(end, Ok(()));
-            let proof = read_answer(&text).unwrap();
-            assert_eq!(proof.adapter, "alarms@v3");
-            assert_eq!((proof.prompt, proof.first, proof.tokens), (prompt_hash(&prompt), 0, 40));
+            let parsed = read_answer(&text).unwrap();
+            assert_eq!(parsed.adapter, "alarms@v3");
+            assert_eq!((parsed.prompt, parsed.first, parsed.tokens), (prompt_hash(&prompt), 0, 40));
         })
     });
     for result in join_all(callers).await {
