--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -46,7 +46,8 @@
     /// A manifest or delta has faults, from the check here or from the server.
     #[snafu(display("{}", fault_lines(file, faults)))]
     Invalid { file: PathBuf, faults: Vec<LocatedFault> },
-    /// No entry VM answered, and no call that changes state was sent. `attempts` has a reason per VM.
+    /// No entry VM answered, and no call that changes state was sent. `attempts` has a reason per
+    /// VM.
     #[snafu(display("no entry VM could be reached:\n  {}", attempts.join("\n  ")))]
     NotReached { attempts: Vec<String> },
     /// A call may have taken effect, or a published version is not in force at every VM in time.
