--- a/ctl/src/trace.rs
+++ b/ctl/src/trace.rs
@@ -58,15 +58,15 @@
     let reason = last.field("reason").unwrap_or("no reason");
     let meaning = match (outcome, reason) {
         ("refused", "adapter_wait") => "no server could load its adapter in time",
-        ("refused", "no_server") => "no suitable server was known, or none had an owner",
-        ("refused", "repeat_budget") => "servers refused it and the retry budget was exhausted",
+        ("refused", "no_server") => "no server that could run it was known, or none had an owner",
+        ("refused", "repeat_budget") => "servers refused it and the budget of repeats was used up",
         ("refused", _) => "it was not run",
-        ("failed", "deadline") => "its deadline passed before the answer was complete",
-        ("failed", _) => "its server did not complete the answer; it may have run",
-        ("server_failed", _) => "its server answered with an error",
+        ("failed", "deadline") => "its time was over before the answer was whole",
+        ("failed", _) => "its server broke off; it may have run",
+        ("server_failed", _) => "its server answered with a failure of its own",
         ("caller_left", _) => "its caller closed the connection",
-        ("done", _) => "it was answered; stall_ms and first_ms show where its time was spent",
-        _ => "its end is not in these lines",
+        ("done", _) => "it was answered; stall_ms and first_ms tell where its time went",
+        _ => "it has not ended in these lines",
     };
     format!("cause: {outcome}, {reason}: {meaning}")
 }
