--- a/demo/src/client.rs
+++ b/demo/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller and an operator, over the same HTTP that strangers use.
+//! HTTP client of a site, for callers and operators. It uses the public interface only.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,46 +12,48 @@
 use serde_json::{Value, json};
 use snafu::Snafu;
 
-const ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 const CLASS_HEADER: HeaderName = HeaderName::from_static("coltsfoothook-class");
 const DEADLINE_HEADER: HeaderName = HeaderName::from_static("coltsfoothook-deadline-ms");
 const REPEATABLE_HEADER: HeaderName = HeaderName::from_static("coltsfoothook-repeatable");
 const FIRST_TRY_HEADER: HeaderName = HeaderName::from_static("coltsfoothook-first-try");
 const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Why a call has no proper answer.
+/// Why a call did not yield a complete response.
 #[derive(Clone, Debug, Snafu, PartialEq)]
 pub enum SiteFailure {
-    /// A problem document.
+    /// The VM answered with an error status.
     #[snafu(display("{status}: {problem}"))]
     Problem {
-        /// The status.
+        /// The HTTP status, outside 2xx.
         status: StatusCode,
-        /// The document.
+        /// The problem document; null if the body was not JSON.
         problem: Value,
     },
-    /// The exchange itself failed.
+    /// The HTTP exchange failed: no connection, a timeout or a broken body.
     #[snafu(display("{source}"))]
     Exchange {
-        /// The cause.
+        /// The underlying error, which also says whether the request may have been sent.
         source: ExchangeError,
     },
-    /// A stream ended without its end mark; the problem is that of its last event, if any.
-    #[snafu(display("the stream was cut: {problem}"))]
+    /// A stream ended without `[DONE]`.
+    #[snafu(display("the stream ended before [DONE]: {problem}"))]
     Cut {
-        /// The problem document of the last event, or null.
+        /// The problem document in the last event; null if the body ended without one.
         problem: Value,
     },
-    /// The answer cannot be read.
-    #[snafu(display("the answer cannot be read: {detail}"))]
+    /// The response does not have the expected form.
+    #[snafu(display("unexpected response: {detail}"))]
     Unreadable {
-        /// What is wrong.
+        /// The parse error or the missing part.
         detail: String,
     },
 }
 
 impl SiteFailure {
-    /// The outcome that the system states; "unknown" where it could not state any.
+    /// Returns the outcome in the problem document: "not_run", "failed" or "unknown".
+    ///
+    /// Without a document it is "not_run" if the request was certainly not sent, else "unknown".
     #[must_use]
     pub fn outcome(&self) -> &str {
         match self {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// The reason that the system states, if any.
+    /// Returns the reason in the problem document; empty if there is none.
     #[must_use]
     pub fn reason(&self) -> &str {
         match self {
@@ -74,9 +76,9 @@
         }
     }
 
-    /// Whether trying again soon may help.
+    /// Returns whether a later attempt may succeed: a status of 503 or a failed exchange.
     #[must_use]
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             Self::Problem { status, .. } => *status == StatusCode::SERVICE_UNAVAILABLE,
             Self::Exchange { .. } => true,
@@ -85,24 +87,24 @@
     }
 }
 
-/// A completion to ask for.
+/// A completion request.
 #[derive(Clone, Debug)]
 pub struct CompletionAsk {
-    /// `adapter@version` or `adapter`.
+    /// `adapter@version`, or `adapter` for its default version.
     pub model: String,
-    /// The prompt.
+    /// The prompt text.
     pub prompt: String,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether to stream.
+    /// Whether the response is streamed as server-sent events.
     pub stream: bool,
-    /// The class.
+    /// The request class: `urgent`, `scheduled` or `audit`.
     pub class: &'static str,
-    /// Milliseconds that the caller waits.
+    /// Deadline in milliseconds; `None` sends no deadline header.
     pub deadline_ms: Option<u64>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// The idempotency key.
+    /// The idempotency key; `None` sends no key.
     pub key: Option<String>,
 }
 
@@ -121,20 +123,20 @@
     }
 }
 
-/// A whole answer of a completion.
+/// A complete response to a completion request.
 #[derive(Clone, Debug)]
 pub struct CompletionRead {
     /// The generated text.
     pub text: String,
-    /// From sending to the first token, or to the whole answer if it was not streamed.
+    /// Time from sending to the first token, or to the complete response if it was not streamed.
     pub first: Duration,
-    /// From sending to the end.
+    /// Time from sending to the end of the response.
     pub took: Duration,
-    /// The longest time between two events of a stream.
+    /// Longest time between two events of the stream; zero if it was not streamed.
     pub gap: Duration,
 }
 
-/// Calls one address with one credential.
+/// HTTP client of one listener, with one bearer credential.
 pub struct SiteClient {
     address: SocketAddr,
     credential: String,
@@ -142,7 +144,8 @@
 }
 
 impl SiteClient {
-    /// A client of `address`.
+    /// Creates a client that calls `address` with `credential` as bearer token. It opens no
+    /// connection yet.
     #[must_use]
     pub fn new(address: SocketAddr, credential: &str) -> Self {
         let settings = ExchangeSettings {
@@ -154,22 +157,23 @@
         Self { address, credential: credential.to_owned(), exchange: ExchangeClient::new(settings) }
     }
 
-    /// Where it calls.
+    /// Returns the address that the client calls.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether it calls `address` with `credential`.
+    /// Whether the client calls `address` with `credential`.
     pub(crate) fn is_for(&self, address: SocketAddr, credential: &str) -> bool {
         self.address == address && self.credential == credential
     }
 
-    /// Publishes a whole manifest.
+    /// Publishes a whole manifest based on version `base`, under a publish id derived from `base`.
+    /// Returns the new version.
     ///
     /// # Errors
     ///
-    /// The problem that the VM states.
+    /// The VM refuses the publication, or the exchange fails. See [`SiteFailure`].
     pub async fn publish(
         &self,
         base: ConfigVersion,
@@ -178,11 +182,12 @@
         self.publish_as(&format!("publish-on-{base}"), base, manifest).await
     }
 
-    /// Publishes a whole manifest under an id of the operator's.
+    /// Publishes a whole manifest based on version `base`, under the given publish id. Returns the
+    /// new version.
     ///
     /// # Errors
     ///
-    /// The problem that the VM states.
+    /// The VM refuses the publication, or the exchange fails. See [`SiteFailure`].
     pub async fn publish_as(
         &self,
         publish_id: &str,
@@ -190,15 +195,15 @@
         manifest: &ServingManifest,
     ) -> Result<ConfigVersion, SiteFailure> {
         let change = ConfigChange::Whole(manifest.clone());
-        let call = json!({ "base": base, "publish_id": publish_id, "change": change });
-        let answer = self.json(Method::POST, "/v1/publish", Some(call)).await?;
-        let version = answer.get("version").and_then(Value::as_u64);
+        let body = json!({ "base": base, "publish_id": publish_id, "change": change });
+        let response = self.json(Method::POST, "/v1/publish", Some(body)).await?;
+        let version = response.get("version").and_then(Value::as_u64);
         version.map(ConfigVersion).ok_or_else(|| SiteFailure::Unreadable {
-            detail: "no version in the answer".to_owned(),
+            detail: "the response has no version".to_owned(),
         })
     }
 
-    /// Sends JSON and reads JSON.
+    /// Sends a request with an optional JSON body and returns the JSON response.
     ///
     /// # Errors
     ///
@@ -211,46 +216,46 @@
     ) -> Result<Value, SiteFailure> {
         let mut request = self.request(method, path, body);
         request.headers.insert(header::ACCEPT, HeaderValue::from_static("application/json"));
-        let answer = self.send(request).await?;
-        let body = answer.body.collect(ANSWER_BYTES).await;
+        let response = self.send(request).await?;
+        let body = response.body.collect(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|source| SiteFailure::Exchange { source })?;
         serde_json::from_slice(&body)
             .map_err(|error| SiteFailure::Unreadable { detail: error.to_string() })
     }
 
-    /// Reads text, such as metrics.
+    /// Fetches a UTF-8 text, such as the metrics.
     ///
     /// # Errors
     ///
     /// See [`SiteFailure`].
     pub async fn text(&self, path: &str) -> Result<String, SiteFailure> {
-        let answer = self.send(self.request(Method::GET, path, None)).await?;
-        let body = answer.body.collect(ANSWER_BYTES).await;
+        let response = self.send(self.request(Method::GET, path, None)).await?;
+        let body = response.body.collect(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|source| SiteFailure::Exchange { source })?;
         String::from_utf8(body.to_vec())
             .map_err(|error| SiteFailure::Unreadable { detail: error.to_string() })
     }
 
-    /// Runs a completion and reads its whole answer.
+    /// Runs a completion and reads the complete response.
     ///
     /// # Errors
     ///
     /// See [`SiteFailure`].
-    pub async fn complete(&self, ask: &CompletionAsk) -> Result<CompletionRead, SiteFailure> {
+    pub async fn complete(&self, call: &CompletionAsk) -> Result<CompletionRead, SiteFailure> {
         let sent = Instant::now();
         let body = json!({
-            "model": ask.model,
-            "prompt": ask.prompt,
-            "max_tokens": ask.max_tokens,
-            "stream": ask.stream,
+            "model": call.model,
+            "prompt": call.prompt,
+            "max_tokens": call.max_tokens,
+            "stream": call.stream,
         });
         let mut request = self.request(Method::POST, "/v1/completions", Some(body));
-        add_ask(&mut request.headers, ask);
-        let answer = self.send(request).await?;
-        if ask.stream {
-            return read_stream(answer.body, sent).await;
+        add_headers(&mut request.headers, call);
+        let response = self.send(request).await?;
+        if call.stream {
+            return read_stream(response.body, sent).await;
         }
-        let body = answer.body.collect(ANSWER_BYTES).await;
+        let body = response.body.collect(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|source| SiteFailure::Exchange { source })?;
         let value: Value = serde_json::from_slice(&body)
             .map_err(|error| SiteFailure::Unreadable { detail: error.to_string() })?;
@@ -259,7 +264,7 @@
         Ok(CompletionRead { text: text.to_owned(), first: took, took, gap: Duration::ZERO })
     }
 
-    /// Calls a plain service with a body that names a ticket.
+    /// Sends a request with an optional JSON body and idempotency key, and returns the JSON response.
     ///
     /// # Errors
     ///
@@ -274,7 +279,8 @@
         self.service_try(method, path, body, key, false).await
     }
 
-    /// The same; `first_try` states that no earlier try under the key may have run.
+    /// Does the same as [`Self::service`]. `first_try` sets the header which asserts that no earlier
+    /// attempt under this key can have run.
     ///
     /// # Errors
     ///
@@ -294,8 +300,8 @@
         if first_try {
             insert(&mut request.headers, FIRST_TRY_HEADER, "true");
         }
-        let answer = self.send(request).await?;
-        let body = answer.body.collect(ANSWER_BYTES).await;
+        let response = self.send(request).await?;
+        let body = response.body.collect(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|source| SiteFailure::Exchange { source })?;
         serde_json::from_slice(&body)
             .map_err(|error| SiteFailure::Unreadable { detail: error.to_string() })
@@ -319,25 +325,25 @@
         request: ExchangeRequest,
     ) -> Result<coltsfoothook_exchange::ExchangeAnswer, SiteFailure> {
         let sent = self.exchange.send(self.address, request).await;
-        let answer = sent.map_err(|source| SiteFailure::Exchange { source })?;
-        if answer.status.is_success() {
-            return Ok(answer);
+        let response = sent.map_err(|source| SiteFailure::Exchange { source })?;
+        if response.status.is_success() {
+            return Ok(response);
         }
-        let status = answer.status;
-        let body = answer.body.collect(ANSWER_BYTES).await;
+        let status = response.status;
+        let body = response.body.collect(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|source| SiteFailure::Exchange { source })?;
         let problem = serde_json::from_slice(&body).unwrap_or(Value::Null);
         Err(SiteFailure::Problem { status, problem })
     }
 }
 
-fn add_ask(headers: &mut HeaderMap, ask: &CompletionAsk) {
-    insert(headers, CLASS_HEADER, ask.class);
-    insert(headers, REPEATABLE_HEADER, if ask.repeatable { "true" } else { "false" });
-    if let Some(deadline) = ask.deadline_ms {
+fn add_headers(headers: &mut HeaderMap, call: &CompletionAsk) {
+    insert(headers, CLASS_HEADER, call.class);
+    insert(headers, REPEATABLE_HEADER, if call.repeatable { "true" } else { "false" });
+    if let Some(deadline) = call.deadline_ms {
         insert(headers, DEADLINE_HEADER, &deadline.to_string());
     }
-    if let Some(key) = &ask.key {
+    if let Some(key) = &call.key {
         insert(headers, KEY_HEADER, key);
     }
 }
@@ -360,17 +366,16 @@
     };
     let mut pending = Vec::new();
     let mut last = None;
-    while let Some(piece) = body.next().await {
-        let piece = piece.map_err(|source| SiteFailure::Exchange { source })?;
-        pending.extend_from_slice(&piece);
+    while let Some(chunk) = body.next().await {
+        let chunk = chunk.map_err(|source| SiteFailure::Exchange { source })?;
+        pending.extend_from_slice(&chunk);
         while let Some(end) = pending.iter().position(|&byte| byte == b'\n') {
             let line: Vec<u8> = pending.drain(..=end).collect();
             let Some(data) = line.strip_prefix(b"data:") else { continue };
             let data = data.trim_ascii();
             if data == b"[DONE]" {
                 read.took = sent.elapsed();
-                // What follows the mark is the end of the body; it is read, so that the connection
-                // can be kept.
+                // Reads the body to its end, so that the connection can be reused.
                 while body.next().await.is_some() {}
                 return Ok(read);
             }
--- a/demo/src/lib.rs
+++ b/demo/src/lib.rs
@@ -1,7 +1,8 @@
-//! A whole site in one process, and callers of it.
+//! A complete site in one process, with a client and generated traffic for it.
 //!
-//! [`LocalSite`] hosts entry VMs and stand-ins as tasks on loopback ports; [`SiteClient`] calls them
-//! as strangers do. The binary `coltsfoothook-demo` shows the main job on it.
+//! [`LocalSite`] runs entry VMs and stand-in servers as tasks on loopback ports. [`SiteClient`] calls
+//! them over their public HTTP interface, and [`SiteTraffic`] generates load. The binary
+//! `coltsfoothook-demo` runs [`run_demo`] and prints its report.
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
@@ -9,8 +10,8 @@
 //!
 //! let site = LocalSite::start(SiteSettings::default()).await?;
 //! let client = SiteClient::new(site.callers()[0], &credential(0));
-//! let ask = CompletionAsk { model: "adapter-00000@1".into(), ..Default::default() };
-//! println!("{}", client.complete(&ask).await?.text);
+//! let request = CompletionAsk { model: "adapter-00000@1".into(), ..Default::default() };
+//! println!("{}", client.complete(&request).await?.text);
 //! site.stop().await;
 //! # Ok(()) }
 //! ```
--- a/demo/src/main.rs
+++ b/demo/src/main.rs
@@ -1,4 +1,4 @@
-//! The demonstration of the whole system in one process.
+//! Command line of the demonstration: runs it and prints its report.
 
 use std::process::ExitCode;
 
@@ -6,22 +6,22 @@
 use coltsfoothook_demo::{DemoOptions, DemoReport, run_demo};
 use coltsfoothook_telemetry::{LogLevel, LogSettings, start_logs};
 
-/// Shows the main job of coltsfoothook: six entry VMs, twelve engines, a plain service and their
-/// callers in one process, with an engine restart, a configuration change and VMs that leave.
+/// Demonstrates coltsfoothook: six entry VMs, twelve engines, a plain service and their callers in
+/// one process, with an engine restart, a configuration change and VMs that leave.
 ///
-/// It ends with a table and with code 0 if every promise held, else 1. It takes about a minute.
+/// Prints a table and exits with code 0 if every guarantee held, else 1. Takes about a minute.
 ///
 /// Example: coltsfoothook-demo --quick --json
 #[derive(Bpaf, Debug)]
 #[bpaf(options, version)]
 struct DemoArguments {
-    /// Take less than twenty seconds.
+    /// Finish in less than twenty seconds.
     quick: bool,
-    /// Also print the report as one line of JSON.
+    /// Also print the report as one line of JSON on standard output.
     json: bool,
-    /// Show the log of all processes on standard error.
+    /// Write the log of all entry VMs and stand-ins to standard error.
     logs: bool,
-    /// The seed of the load.
+    /// Seed of the generated traffic.
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
 }
@@ -49,7 +49,7 @@
     };
     print_table(&report);
     if arguments.json {
-        println!("{}", serde_json::to_string(&report).expect("a report has text keys"));
+        println!("{}", serde_json::to_string(&report).expect("the report has string keys only"));
     }
     let broken = report.broken();
     if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
@@ -79,7 +79,7 @@
         println!("{name:<40} {value:>12}");
     }
     println!();
-    let promises: [(&str, u64); 6] = [
+    let guarantees: [(&str, u64); 6] = [
         ("no accepted job lost", counts.lost),
         ("no ticket doubled", report.doubled),
         ("each answer from the adapter it names", counts.wrong_adapter),
@@ -87,7 +87,7 @@
         ("no adapter evicted in use", report.evicted_in_use),
         ("no invariant violated in the program", report.invariant_violations),
     ];
-    for (name, broken) in promises {
+    for (name, broken) in guarantees {
         let verdict = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken}") };
         println!("{name:<40} {verdict:>12}");
     }
--- a/demo/src/site.rs
+++ b/demo/src/site.rs
@@ -1,7 +1,7 @@
-//! A whole site in one process: entry VMs, stand-ins and the manifest that joins them.
+//! A complete site in one process: entry VMs, stand-in servers and the manifest that configures them.
 //!
-//! The entry VMs run the very code of the separate binary, on loopback ports of their own. The
-//! demonstration, the tests of the entry process and the load tool's experiments all stand on it.
+//! The entry VMs run the code of the entry binary, each on its own loopback ports. The demonstration,
+//! the tests of the entry process and the experiments of the load tool use it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -28,43 +28,44 @@
 
 use crate::client::{SiteClient, SiteFailure};
 
-/// The operator's token at a local site.
+/// The operator token that a local site accepts at its start.
 pub const OPERATOR_TOKEN: &str = "local-operator-token";
-/// The region of a local site.
+/// The only region of a local site.
 pub const REGION: &str = "nbo";
-/// The base model of a local site.
+/// The base model that all engines of a local site run.
 pub const MODEL: &str = "log-7b";
-/// The plain service of a local site.
+/// The name of the plain service of a local site.
 pub const SERVICE: &str = "field";
-/// The version of every adapter at the start.
+/// The version of every adapter in the initial manifest.
 pub const FIRST_VERSION: &str = "1";
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 const DOMAINS: [&str; 3] = ["embakasi", "westlands", "ruaraka"];
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// What a local site consists of.
+/// Size and settings of a local site.
 #[derive(Clone, Debug)]
 pub struct SiteSettings {
-    /// Entry VMs.
+    /// Number of entry VMs.
     pub vms: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Servers of the plain service.
+    /// Number of servers of the plain service.
     pub services: usize,
-    /// Adapters; each has one version at the start.
+    /// Number of adapters; each has one version at the start.
     pub adapters: usize,
-    /// Tenants; adapters are dealt out to them in turn.
+    /// Number of tenants; adapters are assigned to them round-robin.
     pub tenants: usize,
-    /// The shape of an engine.
+    /// Settings of every engine; the weight store and the incarnation are filled in.
     pub engine: EngineServerSettings,
-    /// The weight store.
+    /// Settings of the weight store.
     pub store: StoreServerSettings,
-    /// The log and the list of VMs.
+    /// Settings of the log and the VM directory.
     pub platform: PlatformServerSettings,
-    /// What placement weighs.
+    /// The placement policy of the manifest.
     pub policy: PlacementPolicy,
-    /// Settings that all entry VMs share; names and addresses are filled in.
+    /// Settings that all entry VMs share; names, addresses and the operator token are filled in.
     pub entry: EntrySettings,
 }
 
@@ -85,58 +86,59 @@
     }
 }
 
-/// Why a local site does not come up.
+/// Why a step of a local site failed.
 #[derive(Debug, Snafu)]
 pub enum SiteError {
-    /// A stand-in cannot listen.
-    #[snafu(display("a stand-in cannot start: {source}"))]
+    /// A stand-in server cannot listen, or the token file cannot be written.
+    #[snafu(display("cannot start a stand-in server: {source}"))]
     Standin {
         /// The cause.
         source: std::io::Error,
     },
     /// An entry VM cannot start.
-    #[snafu(display("an entry VM cannot start: {source}"))]
+    #[snafu(display("cannot start an entry VM: {source}"))]
     Entry {
         /// The cause.
         source: coltsfoothook_entry::EntryError,
     },
-    /// The manifest was not accepted.
-    #[snafu(display("the manifest was not accepted: {source}"))]
+    /// A VM refused the manifest, or could not be reached.
+    #[snafu(display("cannot publish the manifest: {source}"))]
     Publish {
         /// The cause.
         source: SiteFailure,
     },
-    /// Something did not come about in time.
-    #[snafu(display("{what} did not come about within {within:?}"))]
-    TooLate {
-        /// What was waited for.
+    /// A condition did not hold in time.
+    #[snafu(display("timed out after {within:?} waiting for {what}"))]
+    Timeout {
+        /// The awaited condition.
         what: String,
-        /// For how long.
+        /// The time limit.
         within: Duration,
     },
 }
 
-/// A running local site.
+/// A running local site. Call [`LocalSite::stop`] to shut it down in order.
 pub struct LocalSite {
-    /// The settings.
+    /// The settings that the site was started with.
     pub settings: SiteSettings,
-    /// The log and the list of VMs.
+    /// The log and the VM directory.
     pub platform: PlatformHandle,
-    /// The weight store.
+    /// The weight store that all engines load from.
     pub store: StoreHandle,
-    /// The engines.
+    /// The model engines, by number.
     pub engines: Vec<EngineHandle>,
-    /// The plain service's servers.
+    /// The servers of the plain service, by number.
     pub services: Vec<ServiceHandle>,
-    /// The entry VMs; none where one was stopped.
+    /// The entry VMs by number; `None` where a VM was stopped or killed.
     pub vms: Vec<Option<EntryProcess>>,
-    /// The manifest that was published last.
+    /// The manifest of the last successful [`LocalSite::publish`], or the initial one.
     pub manifest: ServingManifest,
     token: PathBuf,
 }
 
 impl LocalSite {
-    /// Starts everything and publishes the first manifest; returns when it is in force everywhere.
+    /// Starts all servers and VMs and publishes the initial manifest. Returns when it is in force at
+    /// every VM, every VM is ready and every group has an owner.
     ///
     /// # Errors
     ///
@@ -178,12 +180,13 @@
             site.start_vm(at).await?;
         }
         site.publish(manifest).await?;
-        let all = "every VM ready, every group owned";
-        site.wait_for(all, Duration::from_secs(20), |site| site.settled()).await?;
+        let all = "every VM to be ready and every group to be owned";
+        site.wait_for(all, IN_FORCE_TIMEOUT, |site| site.settled()).await?;
         Ok(site)
     }
 
-    /// Starts the VM with the number `at`, in a new life if it ran before.
+    /// Starts the VM with the number `at` and lists it in the directory. A VM that ran before starts
+    /// as a new incarnation.
     ///
     /// # Errors
     ///
@@ -221,7 +224,8 @@
         Ok(())
     }
 
-    /// Stops a VM as an operator does, and returns how many of its invariants were violated.
+    /// Shuts a VM down gracefully and removes it from the directory. Returns its count of invariant
+    /// violations; 0 if it does not run.
     pub async fn stop_vm(&mut self, at: usize) -> u64 {
         let Some(process) = self.vms[at].take() else { return 0 };
         let violated = process.shut_down().await.violated();
@@ -229,75 +233,75 @@
         violated
     }
 
-    /// Lets a VM fail: it says nothing, and the list shows it until its lag has passed.
+    /// Aborts a VM without a shutdown. Its entry in the directory is not removed here.
     pub async fn kill_vm(&mut self, at: usize) {
         if let Some(process) = self.vms[at].take() {
             process.abort().await;
         }
     }
 
-    /// Publishes a manifest on the version in force and waits until it is in force everywhere.
-    /// Returns the version and the time from sending the publication until the last VM has it in force.
+    /// Publishes a manifest based on the newest version in force and waits until it is in force at
+    /// every running VM. Returns the new version and the time from sending the publication until then.
     ///
     /// # Errors
     ///
-    /// It was not accepted, or not in force in time.
+    /// The manifest was refused, or it was not in force in time.
     pub async fn publish(
         &mut self,
         manifest: ServingManifest,
     ) -> Result<(ConfigVersion, Duration), SiteError> {
-        let within = Duration::from_secs(20);
-        self.wait_for("a VM that knows the log", within, |site| !site.operators().is_empty())
+        self.wait_for("a running VM", IN_FORCE_TIMEOUT, |site| !site.operators().is_empty())
             .await?;
         let base = self.newest_version();
         let client = SiteClient::new(self.operators()[0], OPERATOR_TOKEN);
-        let until = Instant::now() + within;
+        let until = Instant::now() + IN_FORCE_TIMEOUT;
         let (version, sent) = loop {
             let sent = Instant::now();
             let failure = match client.publish(base, &manifest).await {
                 Ok(version) => break (version, sent),
                 Err(failure) => failure,
             };
-            if Instant::now() > until || !failure.may_pass() {
+            if Instant::now() > until || !failure.is_transient() {
                 return Err(failure).context(PublishSnafu);
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         };
         self.manifest = manifest;
         let everywhere = move |site: &Self| site.running().all(|vm| vm.config_version() >= version);
-        self.wait_for("the configuration in force everywhere", within, everywhere).await?;
+        self.wait_for("the configuration to be in force at every VM", IN_FORCE_TIMEOUT, everywhere)
+            .await?;
         Ok((version, sent.elapsed()))
     }
 
-    /// Writes another operator's token into the file that all VMs read.
+    /// Replaces the operator token in the file that all VMs read. A write error is ignored.
     pub fn replace_token(&self, token: &str) {
         let _ = std::fs::write(&self.token, token);
     }
 
-    /// The newest configuration version in force at any VM.
+    /// Returns the newest configuration version in force at any running VM.
     #[must_use]
     pub fn newest_version(&self) -> ConfigVersion {
         self.running().map(EntryProcess::config_version).max().unwrap_or_default()
     }
 
-    /// The VMs that run.
+    /// Returns the running VMs, in order of their numbers.
     pub fn running(&self) -> impl Iterator<Item = &EntryProcess> {
         self.vms.iter().flatten()
     }
 
-    /// Where the running VMs listen for callers.
+    /// Returns the caller addresses of the running VMs.
     #[must_use]
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.running().map(|vm| vm.addresses().caller).collect()
     }
 
-    /// Where the running VMs listen for operators.
+    /// Returns the operator addresses of the running VMs.
     #[must_use]
     pub fn operators(&self) -> Vec<SocketAddr> {
         self.running().map(|vm| vm.addresses().operator).collect()
     }
 
-    /// Whether every running VM takes work and every group has one owner among them.
+    /// Returns whether every running VM is ready and the VMs together own as many groups as there are.
     #[must_use]
     pub fn settled(&self) -> bool {
         let groups = self.settings.engines.div_ceil(self.settings.policy.group_servers as usize);
@@ -305,51 +309,54 @@
         self.running().all(EntryProcess::ready) && owned == groups
     }
 
-    /// Waits until `there` holds.
+    /// Polls until `holds` returns true. `what` names the condition in the error.
     ///
     /// # Errors
     ///
-    /// It did not within `within`.
+    /// [`SiteError::Timeout`] if it did not hold within `within`.
     pub async fn wait_for(
         &self,
         what: &str,
         within: Duration,
-        there: impl Fn(&Self) -> bool,
+        holds: impl Fn(&Self) -> bool,
     ) -> Result<(), SiteError> {
         let until = Instant::now() + within;
-        while !there(self) {
+        while !holds(self) {
             if Instant::now() > until {
-                return TooLateSnafu { what, within }.fail();
+                return TimeoutSnafu { what, within }.fail();
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Violated invariants of all running VMs.
+    /// Returns the number of invariant violations that the running VMs counted.
     #[must_use]
     pub fn violated(&self) -> u64 {
         self.running().map(|vm| vm.invariants().violated()).sum()
     }
 
-    /// Requests that an engine lost because their slot was evicted under them.
+    /// Returns the number of requests that an engine lost because their adapter was evicted while they
+    /// ran.
     #[must_use]
     pub fn evicted_in_use(&self) -> u64 {
         self.engines.iter().map(|engine| engine.counters().evicted_in_use).sum()
     }
 
-    /// Tickets that were made more than once, at one server of the plain service or at two.
+    /// Returns how many tickets too many were created: for each ticket id the creations after the first,
+    /// over all servers of the plain service.
     #[must_use]
     pub fn doubled(&self) -> u64 {
-        let mut made: Vec<_> =
+        let mut created: Vec<_> =
             self.services.iter().flat_map(|service| service.tickets_by_id()).collect();
-        made.sort_by(|left, right| left.text.cmp(&right.text));
-        let times = made.chunk_by(|left, right| left.text == right.text);
+        created.sort_by(|left, right| left.text.cmp(&right.text));
+        let times = created.chunk_by(|left, right| left.text == right.text);
         let times = times.map(|same| same.iter().map(|entry| u64::from(entry.count)).sum::<u64>());
         times.map(|times| times.saturating_sub(1)).sum()
     }
 
-    /// Stops everything, the VMs as an operator does. Returns the violated invariants.
+    /// Shuts all VMs down gracefully, then stops all servers. Returns the number of invariant violations
+    /// that the VMs counted.
     pub async fn stop(mut self) -> u64 {
         let mut violated = 0;
         let running: Vec<EntryProcess> = self.vms.iter_mut().filter_map(Option::take).collect();
@@ -371,25 +378,25 @@
     }
 }
 
-/// The name of the VM with the number `at`.
+/// Returns the name of the VM with the number `at`.
 #[must_use]
 pub fn vm_name(at: usize) -> VmName {
     format!("vm-{at}").into()
 }
 
-/// The name of the adapter with the number `at`.
+/// Returns the name of the adapter with the number `at`.
 #[must_use]
 pub fn adapter_name(at: usize) -> String {
     format!("adapter-{at:05}")
 }
 
-/// The name of the tenant with the number `at`.
+/// Returns the name of the tenant with the number `at`.
 #[must_use]
 pub fn tenant_name(at: usize) -> String {
     format!("tenant-{at:03}")
 }
 
-/// The credential of the tenant with the number `at`.
+/// Returns the bearer credential of the tenant with the number `at`.
 #[must_use]
 pub fn credential(at: usize) -> String {
     format!("credential-of-{}", tenant_name(at))
@@ -405,8 +412,8 @@
     Ok(path)
 }
 
-/// The manifest of a site with engines and servers of the plain service at these addresses, in
-/// normal form.
+/// Returns the manifest of a site whose engines and servers of the plain service have these addresses,
+/// in normal form.
 #[must_use]
 pub fn site_manifest(
     settings: &SiteSettings,
@@ -459,7 +466,7 @@
     }
 }
 
-/// A version of the adapter with the number `at`.
+/// Returns the manifest entry of a version of the adapter with the number `at`.
 #[must_use]
 pub fn version_entry(at: usize, version: &str) -> VersionEntry {
     let weights = format!("store://{}/{version}", adapter_name(at));
--- a/demo/src/traffic.rs
+++ b/demo/src/traffic.rs
@@ -1,4 +1,5 @@
-//! Mixed load on a site: completions of three classes, tickets that must not double, audit jobs.
+//! Generated traffic: completions of three classes, tickets that must not be created twice, and audit
+//! jobs.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,24 +21,24 @@
 use crate::client::{CompletionAsk, SiteClient, SiteFailure};
 use crate::site::{FIRST_VERSION, SERVICE, adapter_name, credential};
 
-/// What is asked of a site.
+/// Rates and contents of the generated traffic.
 #[derive(Clone, Debug)]
 pub struct TrafficSettings {
-    /// Completions a second, of all classes.
+    /// Completions per second, all classes together.
     pub completions_per_s: f64,
-    /// Tickets a second.
+    /// Tickets per second.
     pub tickets_per_s: f64,
-    /// Audit jobs a second.
+    /// Audit jobs per second.
     pub jobs_per_s: f64,
-    /// Adapters of the site.
+    /// Number of adapters of the site; requests name adapters below it.
     pub adapters: usize,
-    /// Tenants of the site.
+    /// Number of tenants of the site.
     pub tenants: usize,
-    /// How skewed the adapters' popularity is; 0 is even, 1 is Zipf's law.
+    /// Zipf exponent of the adapters' popularity; 0 is uniform.
     pub skew: f64,
-    /// Tokens of a completion, at the least and at the most.
+    /// Minimum and maximum number of tokens of a completion, both included.
     pub tokens: (u32, u32),
-    /// The seed of arrivals and choices.
+    /// Seed of arrival times and contents; ticket and job ids contain it.
     pub seed: u64,
 }
 
@@ -56,60 +57,60 @@
     }
 }
 
-/// What became of the calls.
+/// Requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficCounts {
-    /// Calls made, each under its own id.
+    /// Requests made, without retries.
     pub requests: u64,
-    /// Whole and right answers.
+    /// Complete and correct responses.
     pub done: u64,
-    /// Calls that the system said did not run, after all tries of the caller.
+    /// Requests with the outcome "not_run" at the last attempt.
     pub not_run: u64,
-    /// Calls that the system said failed.
+    /// Requests with the outcome "failed".
     pub failed: u64,
-    /// Calls of which the system said that it does not know.
+    /// Requests whose outcome the system reported as unknown or did not report.
     pub unknown: u64,
-    /// Answers of another adapter or version, or to another prompt.
+    /// Responses of another adapter or version, or to another prompt or ticket.
     pub wrong_adapter: u64,
-    /// Answers that ended short although the system said that they were whole.
+    /// Successful responses whose text was incomplete or unreadable.
     pub cut: u64,
-    /// Jobs that were accepted and have no result, or results that were lost.
+    /// Accepted jobs whose result could not be fetched in time.
     pub lost: u64,
-    /// Callers' further tries after "not run".
+    /// Retries after the outcome "not_run".
     pub retries: u64,
 }
 
-/// Times of whole answers, in microseconds.
+/// Latencies of successful completions, in microseconds.
 #[derive(Debug)]
 pub struct TrafficTimes {
-    /// From sending to the first token, of all streamed completions.
+    /// Time from sending to the first token.
     pub first: Histogram<u64>,
-    /// The same of urgent ones.
+    /// Time from sending to the first token, of urgent completions.
     pub urgent_first: Histogram<u64>,
-    /// The longest time between two events of a stream.
+    /// Longest time between two events of each stream.
     pub gap: Histogram<u64>,
 }
 
-/// The entry VMs as callers know them: asked for, kept for a while, asked for again.
+/// Caller addresses of the entry VMs, as last fetched from a VM.
 #[derive(Debug, Default)]
 pub struct KnownEntries {
     addresses: Mutex<Vec<SocketAddr>>,
 }
 
 impl KnownEntries {
-    /// Replaces what is known.
+    /// Replaces all addresses.
     pub fn set(&self, addresses: Vec<SocketAddr>) {
         *self.addresses.lock().unwrap_or_else(PoisonError::into_inner) = addresses;
     }
 
-    /// What is known.
+    /// Returns a copy of the addresses.
     #[must_use]
     pub fn get(&self) -> Vec<SocketAddr> {
         self.addresses.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Callers at work, and what they saw.
+/// Generates traffic on a site and counts its outcomes.
 pub struct SiteTraffic {
     settings: TrafficSettings,
     entries: KnownEntries,
@@ -130,16 +131,16 @@
     tokens: u32,
 }
 
-const TRIES: usize = 8;
-const LIST_PERIOD: Duration = Duration::from_millis(1_000);
-const JOB_POLL: Duration = Duration::from_millis(200);
-const LONGEST_RETRY: Duration = Duration::from_millis(2_000);
-const MOST_MICROS: u64 = 600_000_000;
+const MAX_ATTEMPTS: usize = 8;
+const ENTRIES_INTERVAL: Duration = Duration::from_millis(1_000);
+const JOB_POLL_INTERVAL: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(2_000);
+const MAX_MICROS: u64 = 600_000_000;
 const HISTOGRAM_DIGITS: u8 = 3;
 const CALL_DEADLINE_MS: u64 = 30_000;
 
 impl SiteTraffic {
-    /// Callers that know the VMs at `entries`.
+    /// Creates the callers; `entries` are the caller addresses of the VMs that they call at first.
     #[must_use]
     pub fn new(settings: TrafficSettings, entries: Vec<SocketAddr>) -> Arc<Self> {
         let known = KnownEntries::default();
@@ -160,13 +161,14 @@
         })
     }
 
-    /// The counts so far.
+    /// Returns the counts so far.
     #[must_use]
     pub fn counts(&self) -> TrafficCounts {
         *lock(&self.counts)
     }
 
-    /// The 95th centile of the time to the first token, in milliseconds, of all and of urgent ones.
+    /// Returns the 95th percentile of the time to the first token, in milliseconds, of all completions
+    /// and of urgent ones.
     #[must_use]
     pub fn first_p95_ms(&self) -> (f64, f64) {
         let times = lock(&self.times);
@@ -174,16 +176,16 @@
         (p95(&times.first), p95(&times.urgent_first))
     }
 
-    /// The 95th centile of the longest gap in a stream, in milliseconds.
+    /// Returns the 95th percentile over streams of the longest gap between two events, in milliseconds.
     #[must_use]
     pub fn gap_p95_ms(&self) -> f64 {
         lock(&self.times).gap.value_at_quantile(0.95) as f64 / 1_000.0
     }
 
-    /// Sends calls until `stop`, then waits until each has ended.
+    /// Sends requests as a Poisson process until `stop`, then waits until all have ended.
     pub async fn run(self: &Arc<Self>, stop: CancellationToken) {
         let mut tasks = JoinSet::new();
-        let listing = tokio::spawn(Arc::clone(self).keep_entries(stop.clone()));
+        let refresh = tokio::spawn(Arc::clone(self).refresh_entries(stop.clone()));
         let mut rng = Pcg64::seed_from_u64(self.settings.seed);
         let rates = [
             self.settings.completions_per_s,
@@ -193,8 +195,8 @@
         let total: f64 = rates.iter().sum();
         let mut due = Instant::now();
         while !stop.is_cancelled() {
-            let even: f64 = rng.random();
-            due += Duration::from_secs_f64(-(1.0 - even).ln() / total);
+            let uniform: f64 = rng.random();
+            due += Duration::from_secs_f64(-(1.0 - uniform).ln() / total);
             sleep_until(due).await;
             let choice = rng.random::<f64>() * total;
             let call = self.draw(&mut rng);
@@ -209,13 +211,13 @@
             while tasks.try_join_next().is_some() {}
         }
         while tasks.join_next().await.is_some() {}
-        let _ = listing.await;
+        let _ = refresh.await;
     }
 
     fn draw(&self, rng: &mut Pcg64) -> DrawnCall {
         let adapter = zipf(rng, self.settings.adapters, self.settings.skew);
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let (least, most) = self.settings.tokens;
+        let (min, max) = self.settings.tokens;
         let class = match rng.random_range(0..10) {
             0..3 => "urgent",
             3..9 => "scheduled",
@@ -225,7 +227,7 @@
             tenant: adapter % self.settings.tenants,
             model: format!("{}@{FIRST_VERSION}", adapter_name(adapter)),
             prompt: format!("chiller {number} of hall {}", rng.random_range(0..9)),
-            tokens: rng.random_range(least..=most),
+            tokens: rng.random_range(min..=max),
             class,
             number,
             pick: rng.random_range(0..usize::from(u16::MAX)),
@@ -234,7 +236,7 @@
 
     async fn completion(self: Arc<Self>, call: DrawnCall) {
         lock(&self.counts).requests += 1;
-        let ask = Arc::new(CompletionAsk {
+        let request = Arc::new(CompletionAsk {
             model: call.model.clone(),
             prompt: call.prompt.clone(),
             max_tokens: call.tokens,
@@ -242,14 +244,14 @@
             deadline_ms: Some(CALL_DEADLINE_MS),
             ..Default::default()
         });
-        let asked = |client: Arc<SiteClient>| {
-            let ask = Arc::clone(&ask);
-            async move { client.complete(&ask).await }
+        let attempt = |client: Arc<SiteClient>| {
+            let request = Arc::clone(&request);
+            async move { client.complete(&request).await }
         };
-        let result = self.tried(&call, asked).await;
+        let result = self.with_retries(&call, attempt).await;
         match result {
             Ok(read) => {
-                self.judge(&call, &read.text);
+                self.check_answer(&call, &read.text);
                 let mut times = lock(&self.times);
                 let _ = times.first.record(micros(read.first));
                 let _ = times.gap.record(micros(read.gap));
@@ -261,20 +263,20 @@
         }
     }
 
-    /// Asks for a ticket, which must not be made twice. Each try goes out under the same key.
+    /// Requests a ticket, which must not be created twice. All attempts have the same idempotency key.
     async fn ticket(self: Arc<Self>, call: DrawnCall) {
         lock(&self.counts).requests += 1;
         let id = format!("ticket-{}-{}", self.settings.seed, call.number);
         let path = format!("/v1/services/{SERVICE}/tickets");
         let body = json!({ "id": id });
-        let asked = |client: Arc<SiteClient>| {
+        let attempt = |client: Arc<SiteClient>| {
             let (path, body, id) = (path.clone(), body.clone(), id.clone());
             async move {
-                // Further tries follow only upon "not run", so each is a first one.
+                // Retries follow only after "not_run", so no earlier attempt has run.
                 client.service_try(Method::POST, &path, Some(body), Some(&id), true).await
             }
         };
-        match self.tried(&call, asked).await {
+        match self.with_retries(&call, attempt).await {
             Ok(answer) if answer.get("id").and_then(Value::as_str) == Some(id.as_str()) => {
                 lock(&self.counts).done += 1;
                 lock(&self.tickets).push(id);
@@ -288,11 +290,11 @@
         lock(&self.counts).requests += 1;
         let id = format!("audit-{}-{}", self.settings.seed, call.number);
         let body = json!({ "model": call.model, "prompt": call.prompt, "max_tokens": call.tokens });
-        let asked = |client: Arc<SiteClient>| {
+        let attempt = |client: Arc<SiteClient>| {
             let (body, id) = (body.clone(), id.clone());
             async move { client.service(Method::POST, "/v1/jobs", Some(body), Some(&id)).await }
         };
-        match self.tried(&call, asked).await {
+        match self.with_retries(&call, attempt).await {
             Ok(_) => {
                 let DrawnCall { tenant, model, prompt, tokens, .. } = call;
                 lock(&self.jobs).push(AcceptedJob { id, tenant, model, prompt, tokens });
@@ -301,7 +303,7 @@
         }
     }
 
-    /// Fetches the result of each accepted job. One that has none within `within` is lost.
+    /// Fetches the result of each accepted job. A job without a result after `within` counts as lost.
     pub async fn collect_jobs(self: &Arc<Self>, within: Duration) {
         let until = Instant::now() + within;
         let jobs = std::mem::take(&mut *lock(&self.jobs));
@@ -324,50 +326,55 @@
                         tokens: job.tokens,
                         ..Default::default()
                     };
-                    self.judge(&call, text.unwrap_or_default());
+                    self.check_answer(&call, text.unwrap_or_default());
                     return;
                 }
-                Err(_) if Instant::now() < until => sleep(JOB_POLL).await,
+                Err(_) if Instant::now() < until => sleep(JOB_POLL_INTERVAL).await,
                 Err(_) => break,
             }
         }
         lock(&self.counts).lost += 1;
     }
 
-    /// Tries a call as a careful caller does: again elsewhere after "not run", else not. A call that
-    /// carries a key may also be sent again after "unknown", since the key protects it.
-    async fn tried<T, Run, Running>(&self, call: &DrawnCall, run: Run) -> Result<T, SiteFailure>
+    /// Runs `run` at one entry VM after the other, at most [`MAX_ATTEMPTS`] times. Only a transient
+    /// failure with the outcome "not_run" is retried.
+    async fn with_retries<T, Run, Running>(
+        &self,
+        call: &DrawnCall,
+        run: Run,
+    ) -> Result<T, SiteFailure>
     where
         Run: Fn(Arc<SiteClient>) -> Running,
         Running: Future<Output = Result<T, SiteFailure>>,
     {
-        let mut last = None;
-        for pick in call.pick..call.pick + TRIES {
+        let mut last_failure = None;
+        for pick in call.pick..call.pick + MAX_ATTEMPTS {
             let Some(client) = self.client(call.tenant, pick) else { break };
             let failure = match run(client).await {
                 Ok(value) => return Ok(value),
                 Err(failure) => failure,
             };
-            let again = failure.outcome() == "not_run" && failure.may_pass();
-            last = Some(failure);
-            if !again {
+            let retry = failure.outcome() == "not_run" && failure.is_transient();
+            last_failure = Some(failure);
+            if !retry {
                 break;
             }
             lock(&self.counts).retries += 1;
-            sleep(retry_after(last.as_ref())).await;
+            sleep(retry_delay(last_failure.as_ref())).await;
         }
-        Err(last.unwrap_or(SiteFailure::Unreadable { detail: "no entry VM is known".to_owned() }))
+        Err(last_failure
+            .unwrap_or(SiteFailure::Unreadable { detail: "no entry VM is known".to_owned() }))
     }
 
-    fn judge(&self, call: &DrawnCall, text: &str) {
+    fn check_answer(&self, call: &DrawnCall, text: &str) {
         let mut counts = lock(&self.counts);
         let Ok(proof) = read_answer(text) else {
             counts.cut += 1;
             return;
         };
-        let right = proof.adapter == call.model && proof.prompt == prompt_hash(&call.prompt);
-        let whole = proof.first == 0 && proof.tokens == call.tokens;
-        match (right, whole) {
+        let correct = proof.adapter == call.model && proof.prompt == prompt_hash(&call.prompt);
+        let complete = proof.first == 0 && proof.tokens == call.tokens;
+        match (correct, complete) {
             (false, _) => counts.wrong_adapter += 1,
             (true, false) => counts.cut += 1,
             (true, true) => counts.done += 1,
@@ -397,11 +404,12 @@
         Some(client)
     }
 
-    /// Asks for the list of entry VMs now and then, as callers do.
-    async fn keep_entries(self: Arc<Self>, stop: CancellationToken) {
+    /// Fetches the list of entry VMs periodically until `stop`. An empty or failed response keeps the
+    /// addresses known so far.
+    async fn refresh_entries(self: Arc<Self>, stop: CancellationToken) {
         let mut pick = 0;
         while !stop.is_cancelled() {
-            sleep(LIST_PERIOD).await;
+            sleep(ENTRIES_INTERVAL).await;
             pick += 1;
             let Some(client) = self.client(0, pick) else { continue };
             let Ok(answer) = client.json(Method::GET, "/v1/entries", None).await else { continue };
@@ -429,17 +437,19 @@
     pick: usize,
 }
 
-fn retry_after(failure: Option<&SiteFailure>) -> Duration {
+/// Returns the delay that the problem document states, at least 20 ms and at most
+/// [`MAX_RETRY_DELAY`].
+fn retry_delay(failure: Option<&SiteFailure>) -> Duration {
     let stated = match failure {
         Some(SiteFailure::Problem { problem, .. }) => {
             problem.get("retry_after_ms").and_then(Value::as_u64).unwrap_or(0)
         }
         _ => 0,
     };
-    Duration::from_millis(stated.max(20)).min(LONGEST_RETRY)
+    Duration::from_millis(stated.max(20)).min(MAX_RETRY_DELAY)
 }
 
-/// Draws a number below `count` by Zipf's law with exponent `skew`.
+/// Draws a number below `count` from the Zipf distribution with exponent `skew`.
 fn zipf(rng: &mut impl Rng, count: usize, skew: f64) -> usize {
     let weight = |at: usize| 1.0 / ((at + 1) as f64).powf(skew);
     let total: f64 = (0..count).map(weight).sum();
@@ -454,11 +464,12 @@
 }
 
 fn micros(time: Duration) -> u64 {
-    u64::try_from(time.as_micros()).unwrap_or(u64::MAX).clamp(1, MOST_MICROS)
+    u64::try_from(time.as_micros()).unwrap_or(u64::MAX).clamp(1, MAX_MICROS)
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MOST_MICROS, HISTOGRAM_DIGITS).expect("the bounds are good")
+    Histogram::new_with_bounds(1, MAX_MICROS, HISTOGRAM_DIGITS)
+        .expect("the bounds are constant and valid")
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
