--- a/demo/src/site.rs
+++ b/demo/src/site.rs
@@ -39,7 +39,6 @@
 /// The version of every adapter in the initial manifest.
 pub const FIRST_VERSION: &str = "1";
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 const DOMAINS: [&str; 3] = ["embakasi", "westlands", "ruaraka"];
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
@@ -181,7 +180,7 @@
         }
         site.publish(manifest).await?;
         let all = "every VM to be ready and every group to be owned";
-        site.wait_for(all, IN_FORCE_TIMEOUT, |site| site.settled()).await?;
+        site.wait_for(all, Duration::from_secs(20), |site| site.settled()).await?;
         Ok(site)
     }
 
@@ -250,11 +249,11 @@
         &mut self,
         manifest: ServingManifest,
     ) -> Result<(ConfigVersion, Duration), SiteError> {
-        self.wait_for("a running VM", IN_FORCE_TIMEOUT, |site| !site.operators().is_empty())
-            .await?;
+        let within = Duration::from_secs(20);
+        self.wait_for("a running VM", within, |site| !site.operators().is_empty()).await?;
         let base = self.newest_version();
         let client = SiteClient::new(self.operators()[0], OPERATOR_TOKEN);
-        let until = Instant::now() + IN_FORCE_TIMEOUT;
+        let until = Instant::now() + within;
         let (version, sent) = loop {
             let sent = Instant::now();
             let failure = match client.publish(base, &manifest).await {
@@ -268,8 +267,7 @@
         };
         self.manifest = manifest;
         let everywhere = move |site: &Self| site.running().all(|vm| vm.config_version() >= version);
-        self.wait_for("the configuration to be in force at every VM", IN_FORCE_TIMEOUT, everywhere)
-            .await?;
+        self.wait_for("the configuration to be in force at every VM", within, everywhere).await?;
         Ok((version, sent.elapsed()))
     }
 
--- a/load/src/arrival.rs
+++ b/load/src/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrivals: who asks for which adapter, when. Drawn once for each seed and given to every policy.
+//! Request arrivals of the placement comparison, drawn once per seed and used for every policy.
 
 use coltsfoothook_decision::outcome::RequestClass;
 use rand::{Rng, RngExt};
@@ -8,17 +8,21 @@
 /// A request of the comparison.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
+    /// Arrival time in microseconds.
     pub(crate) at: u64,
     pub(crate) adapter: u32,
     pub(crate) class: RequestClass,
+    /// Length of the answer.
     pub(crate) tokens: u32,
-    /// A handover that the manifest schedules for this time.
+    /// Whether this is a handover, whose time is known from its schedule.
     pub(crate) handover: bool,
 }
 
-/// How popular the adapters are, and how that changes.
+/// Zipf-distributed popularity of the adapters, which changes when ranks are swapped.
 struct Popularity {
+    /// Cumulative weights by rank.
     cumulative: Vec<f64>,
+    /// Adapters by rank.
     ranked: Vec<u32>,
 }
 
@@ -50,26 +54,26 @@
     }
 }
 
-/// Parts of the run at which shifts change.
+/// Times of the shift changes, as fractions of the run.
 const SHIFT_CHANGES: [f64; 2] = [0.4, 0.75];
-/// How many of the most popular adapters give way to others at a shift change.
+/// Number of the most popular adapters that swap ranks with random others at a shift change.
 const SHIFT_SWAPS: usize = 15;
-/// How long a shift change lasts: the burst, and the handovers.
+/// Duration of a shift change, with its burst and its handovers.
 const SHIFT_MICROS: u64 = 60 * MICROS;
-/// How often a part of the adapters wakes or falls idle.
-const TURNOVER_MICROS: u64 = 60 * MICROS;
-/// Shares of the classes among requests without a schedule.
-const URGENT_SHARE: f64 = 0.25;
-const SCHEDULED_SHARE: f64 = 0.45;
+/// Interval at which some adapters swap ranks, apart from shift changes.
+const TURNOVER_INTERVAL_MICROS: u64 = 60 * MICROS;
+/// Fractions of the classes among requests that are no handovers; the rest is of the audit class.
+const URGENT_FRACTION: f64 = 0.25;
+const SCHEDULED_FRACTION: f64 = 0.45;
 
-/// Draws all arrivals of a run, in order of time.
+/// Draws all arrivals of a run, sorted by time.
 pub(crate) fn draw_arrivals(shape: &ModelShape, rng: &mut dyn Rng) -> Vec<Arrival> {
     let mut popularity = Popularity::new(shape.adapters as usize, shape.skew, rng);
     let end = shape.duration_s * MICROS;
-    let shifts = SHIFT_CHANGES.map(|part| (part * end as f64) as u64);
+    let shifts = SHIFT_CHANGES.map(|fraction| (fraction * end as f64) as u64);
     let swaps = f64::from(shape.adapters) * shape.turnover / 60.0;
     let mut arrivals = Vec::new();
-    let mut next_turnover = TURNOVER_MICROS;
+    let mut next_turnover = TURNOVER_INTERVAL_MICROS;
     let mut next_shift = 0;
     let mut now = 0;
     while now < end {
@@ -77,7 +81,7 @@
         let rate = shape.rate * if burst { shape.burst } else { 1.0 };
         now += (-rng.random::<f64>().max(1e-12).ln() / rate * MICROS as f64) as u64;
         if now >= next_turnover {
-            next_turnover += TURNOVER_MICROS;
+            next_turnover += TURNOVER_INTERVAL_MICROS;
             for _ in 0..swaps as usize {
                 let rank = rng.random_range(0..shape.adapters as usize);
                 popularity.swap(rank, rng);
@@ -115,16 +119,16 @@
 
 fn draw_class(rng: &mut dyn Rng) -> RequestClass {
     let drawn: f64 = rng.random();
-    if drawn < URGENT_SHARE {
+    if drawn < URGENT_FRACTION {
         RequestClass::Urgent
-    } else if drawn < URGENT_SHARE + SCHEDULED_SHARE {
+    } else if drawn < URGENT_FRACTION + SCHEDULED_FRACTION {
         RequestClass::Scheduled
     } else {
         RequestClass::Audit
     }
 }
 
-/// Lengths are spread exponentially around their mean, with a least one.
+/// Draws an exponentially distributed length, at least 8 tokens and at most six times the mean.
 fn draw_tokens(shape: &ModelShape, rng: &mut dyn Rng) -> u32 {
     let drawn = -rng.random::<f64>().max(1e-12).ln() * f64::from(shape.tokens);
     (drawn as u32).clamp(8, shape.tokens * 6)
--- a/load/src/baseline.rs
+++ b/load/src/baseline.rs
@@ -1,7 +1,7 @@
-//! The policies to which placement is compared: random, least loaded, sticky by hash, affinity.
+//! Baseline policies of the placement comparison: random, least loaded, sticky hash and affinity.
 //!
-//! All evict the adapter that was used least recently, serve classes in order, let one load serve
-//! all its waiters, and keep to the same store budget as the owner does.
+//! All of them evict the least recently used adapter, serve classes in order, let one load serve all
+//! requests that wait for it, and keep to the store budget that the owner has.
 
 use coltsfoothook_decision::id::stable_hash;
 use coltsfoothook_decision::outcome::RequestClass;
@@ -11,16 +11,18 @@
 
 use crate::model::{MICROS, PlaceModel, RequestPlacer};
 
-/// How a baseline chooses the engine.
+/// How a baseline chooses the engine of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BaselineRule {
-    /// Any engine.
+    /// An engine chosen uniformly at random.
     Random,
     /// The engine with the fewest requests, running or waiting.
     LeastLoaded,
-    /// The engine that ranks first for the adapter and has room, by rendezvous hashing.
+    /// The engine that ranks first for the adapter by rendezvous hashing, among those with free batch
+    /// slots if there are any.
     StickyHash,
-    /// The least loaded engine that has the adapter, or else the least loaded one.
+    /// The least loaded engine that holds the adapter and has free batch slots, else the least loaded
+    /// engine.
     Affinity,
 }
 
@@ -29,20 +31,22 @@
     adapter: u32,
     ready: bool,
     running: u32,
+    /// Requests that wait for this adapter at the engine.
     waiting: u32,
-    used: u64,
+    last_used: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct BaselineEngine {
     slots: Vec<BaselineSlot>,
+    /// Requests in order of class and arrival.
     waiting: Vec<usize>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct QueuedLoad {
     class: RequestClass,
-    asked: u64,
+    queued_at: u64,
     engine: usize,
     adapter: u32,
 }
@@ -51,7 +55,7 @@
 struct RunningLoad {
     number: u64,
     engine: usize,
-    life: u32,
+    incarnation: u32,
     adapter: u32,
 }
 
@@ -62,12 +66,16 @@
     engines: Vec<BaselineEngine>,
     queued: Vec<QueuedLoad>,
     running: Vec<RunningLoad>,
+    /// The engine of each request.
     placed: Vec<usize>,
+    /// Whether each request waits for a load.
     stalled: Vec<bool>,
-    asked: Vec<u64>,
+    /// When each request was placed last, in microseconds.
+    placed_at: Vec<u64>,
+    /// Tokens of the bucket that limits loads, as of `tokens_at`.
     tokens: f64,
     tokens_at: u64,
-    number: u64,
+    last_load: u64,
 }
 
 impl BaselinePlacer {
@@ -80,10 +88,10 @@
             running: Vec::new(),
             placed: vec![0; model.arrivals.len()],
             stalled: vec![false; model.arrivals.len()],
-            asked: vec![0; model.arrivals.len()],
+            placed_at: vec![0; model.arrivals.len()],
             tokens: f64::from(model.shape.full_speed),
             tokens_at: 0,
-            number: 0,
+            last_load: 0,
         }
     }
 
@@ -112,7 +120,7 @@
         self.engines[engine].slots.iter_mut().find(|slot| slot.adapter == adapter)
     }
 
-    fn want(&mut self, model: &PlaceModel, request: usize, engine: usize) {
+    fn queue_load(&mut self, model: &PlaceModel, request: usize, engine: usize) {
         let arrival = model.arrivals[request];
         let same =
             |load: &&mut QueuedLoad| load.engine == engine && load.adapter == arrival.adapter;
@@ -120,20 +128,20 @@
             Some(load) => load.class = load.class.min(arrival.class),
             None => self.queued.push(QueuedLoad {
                 class: arrival.class,
-                asked: model.now,
+                queued_at: model.now,
                 engine,
                 adapter: arrival.adapter,
             }),
         }
     }
 
-    /// Starts queued loads, urgent ones first and then by age, as the store's budget allows.
+    /// Starts queued loads within the store budget, urgent ones first and then by age.
     fn start_loads(&mut self, model: &mut PlaceModel) {
-        let most = f64::from(model.shape.full_speed);
+        let capacity = f64::from(model.shape.full_speed);
         let earned = (model.now - self.tokens_at) as f64 / MICROS as f64 * model.shape.loads_per_s;
-        self.tokens = (self.tokens + earned).min(most);
+        self.tokens = (self.tokens + earned).min(capacity);
         self.tokens_at = model.now;
-        self.queued.sort_by_key(|load| (load.class != RequestClass::Urgent, load.asked));
+        self.queued.sort_by_key(|load| (load.class != RequestClass::Urgent, load.queued_at));
         let mut at = 0;
         while at < self.queued.len()
             && self.tokens >= 1.0
@@ -152,13 +160,13 @@
                 ready: false,
                 running: 0,
                 waiting,
-                used: model.now,
+                last_used: model.now,
             });
-            self.number += 1;
-            let life = model.engines[load.engine].life;
+            self.last_load += 1;
+            let incarnation = model.engines[load.engine].incarnation;
             let (engine, adapter) = (load.engine, load.adapter);
-            self.running.push(RunningLoad { number: self.number, engine, life, adapter });
-            model.load(self.number);
+            self.running.push(RunningLoad { number: self.last_load, engine, incarnation, adapter });
+            model.load(self.last_load);
         }
     }
 
@@ -167,20 +175,23 @@
         self.engines[engine].waiting.iter().filter(waits).count() as u32
     }
 
-    fn make_room(&mut self, engine: usize, most: usize) -> bool {
+    /// Evicts the least recently used idle adapter if all slots are taken. Returns whether a slot is
+    /// free.
+    fn make_room(&mut self, engine: usize, capacity: usize) -> bool {
         let slots = &mut self.engines[engine].slots;
-        if slots.len() < most {
+        if slots.len() < capacity {
             return true;
         }
         let idle = |slot: &BaselineSlot| slot.ready && slot.running == 0 && slot.waiting == 0;
         let victim =
-            (0..slots.len()).filter(|&at| idle(&slots[at])).min_by_key(|&at| slots[at].used);
+            (0..slots.len()).filter(|&at| idle(&slots[at])).min_by_key(|&at| slots[at].last_used);
         let Some(victim) = victim else { return false };
         slots.swap_remove(victim);
         true
     }
 
-    /// Runs what waits at an engine and can, in order of class and arrival.
+    /// Starts waiting requests whose adapter is loaded, in order of class and arrival, while the batch
+    /// has free slots.
     fn run_waiting(&mut self, model: &mut PlaceModel, engine: usize) {
         let mut at = 0;
         while at < self.engines[engine].waiting.len()
@@ -196,7 +207,7 @@
             };
             slot.waiting = slot.waiting.saturating_sub(1);
             slot.running += 1;
-            slot.used = now;
+            slot.last_used = now;
             self.engines[engine].waiting.remove(at);
             model.start(request, engine);
         }
@@ -208,18 +219,18 @@
         let arrival = model.arrivals[request];
         let engine = self.choose(model, arrival.adapter);
         self.placed[request] = engine;
-        self.asked[request] = model.now;
+        self.placed_at[request] = model.now;
         let now = model.now;
         let loaded = match self.slot(engine, arrival.adapter) {
             Some(slot) => {
                 slot.waiting += 1;
-                slot.used = now;
+                slot.last_used = now;
                 Some(slot.ready)
             }
             None => None,
         };
         if loaded.is_none() {
-            self.want(model, request, engine);
+            self.queue_load(model, request, engine);
         }
         self.stalled[request] = loaded != Some(true);
         let waiting = &mut self.engines[engine].waiting;
@@ -235,7 +246,7 @@
         let now = model.now;
         if let Some(slot) = self.slot(engine, model.arrivals[request].adapter) {
             slot.running = slot.running.saturating_sub(1);
-            slot.used = now;
+            slot.last_used = now;
         }
         self.run_waiting(model, engine);
         self.start_loads(model);
@@ -246,14 +257,14 @@
             return;
         };
         let load = self.running.swap_remove(at);
-        if model.engines[load.engine].life == load.life {
+        if model.engines[load.engine].incarnation == load.incarnation {
             if let Some(slot) = self.slot(load.engine, load.adapter) {
                 slot.ready = true;
             }
             for &request in &self.engines[load.engine].waiting {
                 let arrival = model.arrivals[request];
                 if arrival.adapter == load.adapter && self.stalled[request] {
-                    model.fates[request].stall_us += model.now - self.asked[request];
+                    model.results[request].stall_us += model.now - self.placed_at[request];
                     self.stalled[request] = false;
                 }
             }
@@ -268,7 +279,7 @@
         self.queued.retain(|load| load.engine != engine);
         for request in waiting {
             if self.stalled[request] {
-                model.fates[request].stall_us += model.now - self.asked[request];
+                model.results[request].stall_us += model.now - self.placed_at[request];
             }
             self.arrive(model, request);
         }
--- a/load/src/compare.rs
+++ b/load/src/compare.rs
@@ -1,6 +1,6 @@
-//! `compare`: the owner's placement beside its baselines, on the same arrivals.
+//! `compare`: the owner's placement and its baselines, on the same arrivals.
 //!
-//! docs/PLACEMENT.md tells what the model leaves out and what the figures mean.
+//! docs/PLACEMENT.md describes the limits of the model and the meaning of the figures.
 
 use std::ops::Range;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
 use crate::model::{MICROS, ModelShape, PlaceModel, RequestPlacer};
 use crate::ours::OwnerPlacer;
 
-/// Whose sizes to take.
+/// Deployment whose sizes the model takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DeploymentName {
     /// Wanjiru Cooling Records, region nbo.
@@ -34,7 +34,7 @@
         match text {
             "wanjiru" => Ok(Self::Wanjiru),
             "ramsa" => Ok(Self::Ramsa),
-            other => Err(format!("no deployment {other:?}: wanjiru or ramsa")),
+            other => Err(format!("unknown deployment {other:?}: expected wanjiru or ramsa")),
         }
     }
 }
@@ -42,10 +42,10 @@
 /// Options of `compare`.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct CompareOptions {
-    /// Whose sizes to take: wanjiru or ramsa
+    /// Deployment whose sizes to use: wanjiru or ramsa
     #[bpaf(argument("NAME"))]
     pub(crate) deployment: DeploymentName,
-    /// How many seeds to run; figures are medians over them
+    /// Number of seeds to run; figures are medians over them
     #[bpaf(argument("N"), fallback(5), display_fallback)]
     pub(crate) seeds: u64,
     /// The first seed
@@ -57,16 +57,16 @@
     /// Exponent of the popularity's Zipf distribution
     #[bpaf(argument("S"), fallback(1.0), display_fallback)]
     pub(crate) skew: f64,
-    /// Requests a second outside bursts; by default that of the deployment
+    /// Requests per second outside bursts; by default the rate of the deployment
     #[bpaf(argument("RATE"))]
     pub(crate) rate: Option<f64>,
-    /// Tokens of an answer in the mean; by default those of the deployment
+    /// Mean number of tokens of an answer; by default that of the deployment
     #[bpaf(argument("N"))]
     pub(crate) tokens: Option<u32>,
-    /// Seconds of arrivals
+    /// Duration of the arrivals in seconds
     #[bpaf(argument("SECONDS"), fallback(1_800), display_fallback)]
     pub(crate) duration: u64,
-    /// Part of the adapters that change their popularity within an hour
+    /// Fraction of the adapters whose popularity changes within an hour
     #[bpaf(argument("PART"), fallback(0.3), display_fallback)]
     pub(crate) turnover: f64,
     /// The policy's stall weight; by default that of the deployment
@@ -117,12 +117,12 @@
     }
 }
 
-/// A policy's figures.
+/// Figures of one policy; the field names are JSON keys.
 #[derive(Clone, Debug, Default, Serialize)]
 struct PolicyFigures {
     policy: &'static str,
     stall_p95_ms: f64,
-    /// The same without handovers, which the baselines cannot know of.
+    /// The 95th percentile without handovers, whose schedule the baselines do not use.
     unscheduled_stall_p95_ms: f64,
     stall_mean_ms: f64,
     stalled_share: f64,
@@ -135,7 +135,7 @@
     violations: f64,
 }
 
-/// The comparison, as printed.
+/// The report of the comparison; the field names are JSON keys.
 #[derive(Clone, Debug, Serialize)]
 struct CompareReport {
     deployment: String,
@@ -148,15 +148,17 @@
     tokens: u32,
     stall_weight: f64,
     policies: Vec<PolicyFigures>,
-    /// Our p95 load stall to the best of random, least loaded and sticky hash; median over seeds.
+    /// Ratio of the owner's p95 load stall to the lowest of random, least loaded and sticky hash;
+    /// median over seeds.
     stall_ratio: f64,
-    /// The same over requests without a schedule.
+    /// The stall ratio over requests that are no handovers.
     unscheduled_stall_ratio: f64,
-    /// Our tokens per step to the best of those; median over seeds.
+    /// Ratio of the owner's tokens per step to the highest of those baselines; median over seeds.
     batch_ratio: f64,
-    /// Our urgent p95 time to first token to that of the baseline with the best batches.
+    /// Ratio of the owner's urgent p95 time to first token to the lowest of those baselines; median
+    /// over seeds.
     urgent_ratio: f64,
-    /// The same to affinity, which is no baseline of the bars but the strongest known simple rule.
+    /// Ratios to the affinity baseline, which the other ratios leave out.
     affinity_stall_ratio: f64,
     affinity_batch_ratio: f64,
 }
@@ -168,9 +170,10 @@
     ("affinity", BaselineRule::Affinity),
 ];
 
-/// How many of the baselines count for the bars.
-const BAR_BASELINES: usize = 3;
+/// Number of leading [`BASELINES`] that the ratios are computed against.
+const RATIO_BASELINES: usize = 3;
 
+/// Runs the comparison and prints it. The exit code is 1 if an owner violated an invariant.
 pub(crate) fn run(options: &CompareOptions) -> ExitCode {
     let shape = options.shape();
     let seeds = options.first_seed..options.first_seed + options.seeds.max(1);
@@ -187,7 +190,7 @@
     ExitCode::from(u8::from(report.policies.iter().any(|policy| policy.violations > 0.0)))
 }
 
-/// Runs the seeds side by side; each run is single and deterministic.
+/// Runs each seed in a thread of its own; each run is deterministic.
 fn run_seeds(shape: &ModelShape, seeds: Range<u64>) -> Vec<Vec<PolicyFigures>> {
     thread::scope(|scope| {
         let runs: Vec<_> = seeds.map(|seed| scope.spawn(move || run_seed(shape, seed))).collect();
@@ -211,8 +214,8 @@
     figures
 }
 
-/// A policy's figures over the arrivals after the warm-up. A request that was given up counts as
-/// stalled for its whole deadline, so no policy gains by refusing.
+/// Computes a policy's figures over the arrivals after the warm-up. A request that was given up counts
+/// as stalled for its whole deadline, so that no policy gains by refusing.
 fn measure(policy: &'static str, model: &PlaceModel, arrivals: &[Arrival]) -> PolicyFigures {
     let warmup = model.shape.warmup_s * MICROS;
     let mut stalls = Vec::new();
@@ -220,22 +223,22 @@
     let mut urgent = Vec::new();
     let (mut handovers, mut late) = (0u32, 0u32);
     let (mut done, mut given_up) = (0u32, 0u32);
-    for (arrival, fate) in arrivals.iter().zip(&model.fates) {
+    for (arrival, result) in arrivals.iter().zip(&model.results) {
         if arrival.at < warmup {
             continue;
         }
-        stalls.push(fate.stall_us as f64 / 1_000.0);
+        stalls.push(result.stall_us as f64 / 1_000.0);
         if !arrival.handover {
-            unscheduled.push(fate.stall_us as f64 / 1_000.0);
+            unscheduled.push(result.stall_us as f64 / 1_000.0);
         }
-        done += u32::from(fate.done);
-        given_up += u32::from(fate.given_up);
+        done += u32::from(result.done);
+        given_up += u32::from(result.given_up);
         if arrival.class == RequestClass::Urgent {
-            let first = fate.first_us.map_or(fate.stall_us, |first| first - arrival.at);
+            let first = result.first_us.map_or(result.stall_us, |first| first - arrival.at);
             urgent.push(first as f64 / 1_000.0);
         }
         handovers += u32::from(arrival.handover);
-        late += u32::from(arrival.handover && fate.stall_us > 0);
+        late += u32::from(arrival.handover && result.stall_us > 0);
     }
     let stalled = stalls.iter().filter(|&&stall| stall > 0.0).count();
     PolicyFigures {
@@ -254,9 +257,10 @@
     }
 }
 
-fn percentile(values: &mut [f64], part: f64) -> f64 {
+/// Returns the nearest-rank percentile; 0 if there are no values.
+fn percentile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let at = (values.len() as f64 * part).ceil() as usize;
+    let at = (values.len() as f64 * fraction).ceil() as usize;
     values.get(at.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
@@ -264,7 +268,8 @@
     percentile(&mut values.collect::<Vec<f64>>(), 0.5)
 }
 
-/// A ratio of stalls; a millisecond is added to both, or none against none would be no number.
+/// Returns the ratio of two stalls. A millisecond is added to both, so that the ratio of two zeros is
+/// defined.
 fn stall_ratio(ours: f64, other: f64) -> f64 {
     (ours + 1.0) / (other + 1.0)
 }
@@ -291,19 +296,22 @@
         given_up: of(at, |figures| figures.given_up),
         violations: runs.iter().map(|run| run[at].violations).sum(),
     });
-    let bars = |run: &[PolicyFigures]| run[1..=BAR_BASELINES].to_vec();
+    let baselines = |run: &[PolicyFigures]| run[1..=RATIO_BASELINES].to_vec();
     let best_stall = |run: &[PolicyFigures]| {
-        bars(run).iter().map(|figures| figures.stall_p95_ms).fold(f64::INFINITY, f64::min)
+        baselines(run).iter().map(|figures| figures.stall_p95_ms).fold(f64::INFINITY, f64::min)
     };
     let best_unscheduled = |run: &[PolicyFigures]| {
-        let stalls = bars(run).into_iter().map(|figures| figures.unscheduled_stall_p95_ms);
+        let stalls = baselines(run).into_iter().map(|figures| figures.unscheduled_stall_p95_ms);
         stalls.fold(f64::INFINITY, f64::min)
     };
     let best_batch = |run: &[PolicyFigures]| {
-        bars(run).iter().map(|figures| figures.tokens_per_step).fold(0.0, f64::max)
+        baselines(run).iter().map(|figures| figures.tokens_per_step).fold(0.0, f64::max)
     };
     let best_urgent = |run: &[PolicyFigures]| {
-        bars(run).iter().map(|figures| figures.urgent_ttft_p95_ms).fold(f64::INFINITY, f64::min)
+        baselines(run)
+            .iter()
+            .map(|figures| figures.urgent_ttft_p95_ms)
+            .fold(f64::INFINITY, f64::min)
     };
     let affinity = BASELINES.len();
     CompareReport {
--- a/load/src/config.rs
+++ b/load/src/config.rs
@@ -1,4 +1,4 @@
-//! What the configuration and the owners' state cost by size, without a site.
+//! Costs of configurations and of owners by size, measured without a site.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -19,27 +19,32 @@
 
 use crate::fleet::{RouteFleet, manifest};
 
-/// Copies of what is weighed that are held at once, so that the allocator's steps average out.
+/// Number of manifest copies held at once to measure memory, which averages out allocation
+/// granularity.
 const COPIES: u32 = 6;
-/// Deltas that are applied one after the other.
+/// Number of times the delta is applied.
 const DELTAS: u32 = 20;
-/// Rounds of reports that are folded.
+/// Number of rounds of engine reports.
 const ROUNDS: u64 = 200;
-/// The port of the first server, as no two may share an address.
-const FIRST_PORT: u16 = 1_000;
-/// Microseconds in a second.
+/// Port of the first server; each further one has the next port, since addresses must be unique.
+const BASE_PORT: u16 = 1_000;
+/// Microseconds per second.
 const MICROS: f64 = 1e6;
 
-/// What a configuration of one size costs.
+/// Costs of a configuration of one size.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConfigCost {
+    /// Memory of one manifest.
     pub(crate) resident_bytes: f64,
+    /// Time to apply a delta of one adapter, in microseconds.
     pub(crate) delta_us: f64,
+    /// Length of the snapshot record as JSON.
     pub(crate) snapshot_bytes: f64,
+    /// Length of the delta's record as JSON.
     pub(crate) delta_bytes: f64,
 }
 
-/// Measures a configuration with so many servers and adapters, two versions each.
+/// Measures a configuration with `servers` servers and `adapters` adapters of two versions each.
 pub(crate) fn config_cost(servers: u32, adapters: u32) -> ConfigCost {
     let mut base = manifest(servers, adapters);
     for adapter in &mut base.adapters {
@@ -69,22 +74,22 @@
         })
         .collect();
     for (number, server) in base.servers.iter_mut().enumerate() {
-        server.address.set_port(FIRST_PORT + number as u16);
+        server.address.set_port(BASE_PORT + number as u16);
         server.domain = format!("{}-{}", server.region, server.domain).as_str().into();
     }
     coltsfoothook_decision::check::normalize(&mut base);
-    // A refused manifest would make all that follows cheap and meaningless.
+    // The fold would refuse an invalid manifest, and the measurements would be meaningless.
     assert_eq!(coltsfoothook_decision::check::check_manifest(&base).len(), 0);
     let before = process_figures().resident_bytes;
     let copies: Vec<ServingManifest> = (0..COPIES).map(|_| base.clone()).collect();
     let resident = process_figures().resident_bytes.saturating_sub(before);
     drop(black_box(copies));
     let delta = one_delta(&base.adapters[base.adapters.len() / 2]);
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..DELTAS {
         black_box(apply_delta(black_box(&base), &delta).is_ok());
     }
-    let delta_us = begun.elapsed().as_secs_f64() * MICROS / f64::from(DELTAS);
+    let delta_us = started.elapsed().as_secs_f64() * MICROS / f64::from(DELTAS);
     let publish = |change| ConfigRecord::Publish {
         base: ConfigVersion(0),
         publish_id: "publish-00000".to_owned(),
@@ -102,7 +107,7 @@
     }
 }
 
-/// A change of one adapter.
+/// Returns a delta that replaces one adapter.
 pub(crate) fn one_delta(adapter: &AdapterEntry) -> ManifestDelta {
     let mut delta = ManifestDelta::default();
     delta.put.adapters = vec![adapter.clone()];
@@ -113,14 +118,14 @@
     serde_json::to_vec(record).map_or(0.0, |text| text.len() as f64)
 }
 
-/// What owning engines costs.
+/// Cost of owning engines.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnerCost {
-    /// Microseconds that one report of every server takes, with a tick of every owner.
+    /// Microseconds to handle one report of every server and one tick of every owner.
     pub(crate) round_us: f64,
 }
 
-/// Measures the owners of so many servers, whose slots are all loaded.
+/// Measures the owners of all groups of `servers` servers with loaded slots.
 pub(crate) fn owner_cost(servers: u32, adapters: u32) -> OwnerCost {
     let mut fleet = RouteFleet::new(servers, adapters);
     let mut rng = Pcg64::seed_from_u64(1);
@@ -139,14 +144,14 @@
                     slots: fleet.reported(at, server),
                 };
                 let event = OwnerEvent::Report { server: server.clone(), report };
-                let begun = Instant::now();
+                let started = Instant::now();
                 fleet.owners[at].handle(now, event, &mut rng, &mut actions);
-                spent += begun.elapsed();
+                spent += started.elapsed();
                 actions.clear();
             }
-            let begun = Instant::now();
+            let started = Instant::now();
             fleet.owners[at].handle(now, OwnerEvent::Tick, &mut rng, &mut actions);
-            spent += begun.elapsed();
+            spent += started.elapsed();
             actions.clear();
         }
     }
--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -1,7 +1,7 @@
-//! `decide`: what one routing decision costs.
+//! `decide`: the cost of one routing decision.
 //!
-//! A decision maps the adapter to a group and chooses the engine and slot there. It returns
-//! numbers; the owned grant is built from them afterwards and is not part of the decision.
+//! A decision maps the adapter to a group and chooses an engine and slot there. The measurement does
+//! not include building the grant from that choice.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -28,14 +28,14 @@
     /// Adapters
     #[bpaf(argument("N"), fallback(16_000), display_fallback)]
     pub(crate) adapters: u32,
-    /// Decisions that are measured at each size
+    /// Number of decisions measured at each size
     #[bpaf(argument("N"), fallback(200_000), display_fallback)]
     pub(crate) decisions: u32,
     /// Print one JSON line
     pub(crate) json: bool,
 }
 
-/// The cost at one size.
+/// Cost at one size.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct DecideFigures {
     servers: u32,
@@ -43,7 +43,7 @@
     groups: usize,
     median_ns: u64,
     p99_ns: u64,
-    /// Part of the decisions that found a slot; the others would wait for a load.
+    /// Fraction of the decisions that found a slot; the others would wait for a load.
     placed: f64,
 }
 
@@ -51,10 +51,10 @@
 struct DecideReport {
     median_ns: u64,
     p99_ns: u64,
-    /// Allocations of a decision; none, because they are not counted: a counting allocator needs
-    /// `unsafe`, which the project forbids. See docs/PLACEMENT.md.
+    /// Always `None`: counting allocations needs an allocator written with `unsafe`, which the project
+    /// forbids. See docs/PLACEMENT.md.
     allocations: Option<u32>,
-    /// The clock's own cost, which the figures contain.
+    /// Median cost of reading the clock, which is contained in the other figures.
     clock_ns: u64,
     sizes: Vec<DecideFigures>,
 }
@@ -69,10 +69,10 @@
         (servers, adapters),
     ];
     let sizes = sizes.map(|(servers, adapters)| measure(servers, adapters, options.decisions));
-    let asked = sizes[sizes.len() - 1];
+    let largest = sizes[sizes.len() - 1];
     let report = DecideReport {
-        median_ns: asked.median_ns,
-        p99_ns: asked.p99_ns,
+        median_ns: largest.median_ns,
+        p99_ns: largest.p99_ns,
         allocations: None,
         clock_ns: clock_cost(),
         sizes: sizes.to_vec(),
@@ -111,11 +111,11 @@
     let mut placed = 0u32;
     for _ in 0..decisions {
         let adapter = &versions[rng.random_range(0..versions.len())];
-        let begun = Instant::now();
+        let started = Instant::now();
         let choice = decide(&fleet, adapter);
-        let took = begun.elapsed();
+        let elapsed = started.elapsed();
         placed += u32::from(choice);
-        histogram.saturating_record(took.as_nanos() as u64);
+        histogram.saturating_record(elapsed.as_nanos() as u64);
     }
     DecideFigures {
         servers,
@@ -127,7 +127,8 @@
     }
 }
 
-/// One decision: the entry VM's choice of group, then its owner's choice of engine and slot.
+/// Makes one decision: the entry VM's choice of group, then the owner's choice of engine and slot.
+/// Returns whether a slot was found.
 fn decide(fleet: &RouteFleet, adapter: &AdapterVersion) -> bool {
     let Ok(groups) = fleet.map.route(adapter.adapter.as_str(), REGION) else { return false };
     let owner = &fleet.owners[groups[0].place()];
@@ -145,15 +146,15 @@
 fn clock_cost() -> u64 {
     let mut histogram = new_histogram();
     for _ in 0..10_000 {
-        let begun = Instant::now();
-        histogram.saturating_record(begun.elapsed().as_nanos() as u64);
+        let started = Instant::now();
+        histogram.saturating_record(started.elapsed().as_nanos() as u64);
     }
     histogram.value_at_quantile(0.5)
 }
 
-/// The longest decision that is told apart from a longer one, in nanoseconds.
-const LONGEST_NS: u64 = 1_000_000_000;
+/// Upper bound of the histogram, in nanoseconds; longer decisions are recorded as this.
+const MAX_NS: u64 = 1_000_000_000;
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_NS, 3).expect("the bounds are constant and valid")
+    Histogram::new_with_bounds(1, MAX_NS, 3).expect("the bounds are constant and valid")
 }
--- a/load/src/drive.rs
+++ b/load/src/drive.rs
@@ -1,5 +1,5 @@
-//! Mixed load on entry VMs that run as separate processes, so that faults can be induced from
-//! outside: a process killed or paused, a log stopped, an engine restarted.
+//! `drive`: mixed load on entry VMs that run as separate processes, so that faults can be injected
+//! from outside, such as a killed or paused process, a stopped log or a restarted engine.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -13,51 +13,51 @@
 use serde::Serialize;
 use tokio_util::sync::CancellationToken;
 
-/// How long the results of accepted jobs are waited for.
-const JOBS_WITHIN: Duration = Duration::from_secs(60);
-const PROGRESS: Duration = Duration::from_secs(5);
+/// Time limit for fetching the results of accepted jobs.
+const JOB_RESULT_TIMEOUT: Duration = Duration::from_secs(60);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What to send and whereto.
+/// Options of `drive`.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct DriveOptions {
-    /// An entry VM's address for callers; may be given several times.
+    /// Caller address of an entry VM; may be given several times.
     #[bpaf(argument("IP:PORT"), some("at least one --caller is needed"))]
     caller: Vec<SocketAddr>,
-    /// Seconds of load.
+    /// Duration of the load in seconds.
     #[bpaf(argument("N"), fallback(30))]
     seconds: u64,
-    /// Completions a second.
+    /// Completions per second.
     #[bpaf(argument("N"), fallback(40.0))]
     rate: f64,
-    /// Adapters in the manifest.
+    /// Number of adapters in the manifest.
     #[bpaf(argument("N"), fallback(24))]
     adapters: usize,
-    /// Tenants in the manifest.
+    /// Number of tenants in the manifest.
     #[bpaf(argument("N"), fallback(2))]
     tenants: usize,
-    /// The seed of arrivals; ids of tickets and jobs come from it, so use each once on a site.
+    /// Seed of the arrivals. Ticket and job ids contain it, so use each seed only once on a site.
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
     /// Print one line of JSON.
     json: bool,
 }
 
-/// The site that a manifest describes.
+/// Options of `manifest`: the site to describe.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct ManifestOptions {
-    /// An engine's address; may be given several times.
+    /// Address of an engine; may be given several times.
     #[bpaf(argument("IP:PORT"), some("at least one --engine is needed"))]
     engine: Vec<SocketAddr>,
     /// Address of a server of the plain service; may be given several times.
     #[bpaf(argument("IP:PORT"), many)]
     service: Vec<SocketAddr>,
-    /// Adapters.
+    /// Number of adapters.
     #[bpaf(argument("N"), fallback(24))]
     adapters: usize,
-    /// Tenants.
+    /// Number of tenants.
     #[bpaf(argument("N"), fallback(2))]
     tenants: usize,
-    /// The engines ignore fencing numbers.
+    /// State that the engines ignore fencing numbers.
     ignore_fencing: bool,
 }
 
@@ -70,7 +70,7 @@
     gap_p95_ms: f64,
 }
 
-/// Sends the load; the code is not 0 if an answer was wrong, cut or lost.
+/// Sends the load and prints the report. The exit code is 1 if an answer was wrong, incomplete or lost.
 pub(crate) fn run(options: &DriveOptions) -> ExitCode {
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
@@ -81,7 +81,7 @@
     };
     let report = runtime.block_on(drive(options));
     if options.json {
-        println!("{}", serde_json::to_string(&report).expect("a report has text keys"));
+        println!("{}", serde_json::to_string(&report).expect("the report has string keys only"));
     } else {
         println!("{:#?}", report.counts);
         println!("first token, 95th centile {:.1} ms", report.ttft_p95_ms);
@@ -108,7 +108,7 @@
     });
     let mut left = Duration::from_secs(options.seconds);
     while !left.is_zero() {
-        let step = left.min(PROGRESS);
+        let step = left.min(PROGRESS_INTERVAL);
         tokio::time::sleep(step).await;
         left -= step;
         let counts = traffic.counts();
@@ -119,7 +119,7 @@
     }
     stop.cancel();
     let _ = running.await;
-    traffic.collect_jobs(JOBS_WITHIN).await;
+    traffic.collect_jobs(JOB_RESULT_TIMEOUT).await;
     let (ttft_p95_ms, urgent_ttft_p95_ms) = traffic.first_p95_ms();
     let gap_p95_ms = traffic.gap_p95_ms();
     DriveReport { counts: traffic.counts(), ttft_p95_ms, urgent_ttft_p95_ms, gap_p95_ms }
@@ -131,6 +131,9 @@
         SiteSettings { adapters: options.adapters, tenants: options.tenants, ..Default::default() };
     settings.engine.checks_fencing = !options.ignore_fencing;
     let manifest = site_manifest(&settings, &options.engine, &options.service);
-    println!("{}", serde_json::to_string_pretty(&manifest).expect("a manifest has text keys"));
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&manifest).expect("the manifest has string keys only")
+    );
     ExitCode::SUCCESS
 }
--- a/load/src/ours.rs
+++ b/load/src/ours.rs
@@ -1,4 +1,4 @@
-//! Drives the owner of the `decision` package in the model.
+//! Adapter that runs the group owner of the `decision` package in the model.
 
 use coltsfoothook_decision::grant::{GrantEnd, GrantId, ReleaseCall, RequestSpec};
 use coltsfoothook_decision::id::{
@@ -17,25 +17,29 @@
 
 use crate::model::{PlaceModel, RequestPlacer, class_deadline};
 
-/// The owner, and what the process around it would keep.
+/// A group owner with the state that the entry process keeps around it.
 pub(crate) struct OwnerPlacer {
     owner: GroupOwner,
     rng: Pcg64,
+    /// The grant and engine of each running request.
     grants: Vec<Option<(GrantId, usize)>>,
+    /// The loaded slots of each engine.
     slots: Vec<Vec<SlotName>>,
+    /// Loads in progress: load, order number, engine, its incarnation, slot.
     loads: Vec<(u64, u64, usize, u32, SlotName)>,
     sequence: u64,
     reported_at: u64,
     next_load: u64,
-    questions: Vec<usize>,
+    /// The request of each ticket.
+    ticket_requests: Vec<usize>,
 }
 
-/// How often engines report.
-const REPORT_MICROS: u64 = 500_000;
-/// How far ahead of its due time a handover's adapter is loaded.
+/// Interval between reports of the engines.
+const REPORT_INTERVAL_MICROS: u64 = 500_000;
+/// Time before a handover at which its adapter may be loaded.
 const LEAD_MS: u64 = 180_000;
-/// How far ahead the owner is told of a schedule.
-const TOLD_MICROS: u64 = 200_000_000;
+/// Time before a handover at which the owner receives its schedule.
+const SCHEDULE_NOTICE_MICROS: u64 = 200_000_000;
 
 impl OwnerPlacer {
     pub(crate) fn new(model: &PlaceModel, seed: u64) -> Self {
@@ -70,11 +74,11 @@
             sequence: 0,
             reported_at: 0,
             next_load: 0,
-            questions: Vec::new(),
+            ticket_requests: Vec::new(),
         }
     }
 
-    /// The invariants that broke.
+    /// Returns the number of invariant violations that the owner counted.
     pub(crate) fn violations(&self) -> u64 {
         self.owner.invariants().violated()
     }
@@ -90,14 +94,14 @@
     fn act(&mut self, model: &mut PlaceModel, action: OwnerAction) {
         match action {
             OwnerAction::Grant { ticket, grant } => {
-                let request = self.questions[ticket as usize];
+                let request = self.ticket_requests[ticket as usize];
                 let engine = engine_of(&grant.server);
-                model.fates[request].stall_us += grant.stall_ms * 1_000;
+                model.results[request].stall_us += grant.stall_ms * 1_000;
                 self.grants[request] = Some((grant.id, engine));
                 model.start(request, engine);
             }
             OwnerAction::Refuse { ticket, .. } => {
-                model.give_up(self.questions[ticket as usize]);
+                model.give_up(self.ticket_requests[ticket as usize]);
             }
             OwnerAction::SendOrder { number, server, order, .. } => {
                 let engine = engine_of(&server);
@@ -109,8 +113,8 @@
                     }
                     EngineOrder::Load { slot, .. } => {
                         self.next_load += 1;
-                        let life = model.engines[engine].life;
-                        self.loads.push((self.next_load, number, engine, life, slot));
+                        let incarnation = model.engines[engine].incarnation;
+                        self.loads.push((self.next_load, number, engine, incarnation, slot));
                         model.load(self.next_load);
                     }
                 }
@@ -124,7 +128,7 @@
         for engine in 0..self.slots.len() {
             let slots = self.slots[engine].iter();
             let report = EngineReport {
-                incarnation: ServerIncarnation(u64::from(model.engines[engine].life) + 1),
+                incarnation: ServerIncarnation(u64::from(model.engines[engine].incarnation) + 1),
                 sequence: self.sequence,
                 running: model.running(engine) as u32,
                 waiting: 0,
@@ -135,13 +139,14 @@
         }
     }
 
-    fn tell_schedules(&mut self, model: &mut PlaceModel) {
-        let near = model.now + TOLD_MICROS;
-        let told = model.now + TOLD_MICROS - REPORT_MICROS;
+    /// Sends the schedules of handovers that came within the notice time since the last report.
+    fn send_schedules(&mut self, model: &mut PlaceModel) {
+        let horizon = model.now + SCHEDULE_NOTICE_MICROS;
+        let sent = model.now + SCHEDULE_NOTICE_MICROS - REPORT_INTERVAL_MICROS;
         let due: Vec<(u32, u64)> = model
             .arrivals
             .iter()
-            .filter(|arrival| arrival.handover && (told..near).contains(&arrival.at))
+            .filter(|arrival| arrival.handover && (sent..horizon).contains(&arrival.at))
             .map(|arrival| (arrival.adapter, arrival.at))
             .collect();
         for (number, at) in due {
@@ -156,14 +161,14 @@
 impl RequestPlacer for OwnerPlacer {
     fn arrive(&mut self, model: &mut PlaceModel, request: usize) {
         let arrival = model.arrivals[request];
-        let left = model.deadline_us(request).saturating_sub(model.now);
+        let remaining = model.deadline_us(request).saturating_sub(model.now);
         let spec = RequestSpec {
             id: "r".into(),
             tenant: "t".into(),
             adapter: adapter(arrival.adapter),
             model: "base".into(),
             class: arrival.class,
-            deadline_left_ms: Some(left / 1_000),
+            deadline_left_ms: Some(remaining / 1_000),
             repeatable: true,
             fingerprint: RequestFingerprint(request as u64),
             prefix: 0,
@@ -171,9 +176,9 @@
             max_tokens: arrival.tokens,
             avoid: Vec::new(),
         };
-        let ticket = self.questions.len() as u64;
-        self.questions.push(request);
-        self.deliver(model, OwnerEvent::Reserve { ticket, asker: asker(), spec });
+        let ticket = self.ticket_requests.len() as u64;
+        self.ticket_requests.push(request);
+        self.deliver(model, OwnerEvent::Reserve { ticket, asker: requester(), spec });
     }
 
     fn finished(&mut self, model: &mut PlaceModel, request: usize) {
@@ -182,8 +187,8 @@
 
     fn loaded(&mut self, model: &mut PlaceModel, load: u64) {
         let Some(at) = self.loads.iter().position(|running| running.0 == load) else { return };
-        let (_, number, engine, life, slot) = self.loads.swap_remove(at);
-        if model.engines[engine].life == life {
+        let (_, number, engine, incarnation, slot) = self.loads.swap_remove(at);
+        if model.engines[engine].incarnation == incarnation {
             self.slots[engine].push(slot);
         }
         let result = OrderResult::Done;
@@ -199,12 +204,12 @@
     }
 
     fn tick(&mut self, model: &mut PlaceModel) {
-        if self.reported_at == 0 || model.now >= self.reported_at + REPORT_MICROS {
+        if self.reported_at == 0 || model.now >= self.reported_at + REPORT_INTERVAL_MICROS {
             self.reported_at = model.now.max(1);
-            let event = OwnerEvent::VmLive { vms: vec![asker().vm], majority: true };
+            let event = OwnerEvent::VmLive { vms: vec![requester().vm], majority: true };
             self.deliver(model, event);
             self.report(model);
-            self.tell_schedules(model);
+            self.send_schedules(model);
         }
         self.deliver(model, OwnerEvent::Tick);
     }
@@ -214,7 +219,7 @@
     fn release(&mut self, model: &mut PlaceModel, request: usize, end: GrantEnd) {
         let Some((grant, _)) = self.grants[request].take() else { return };
         let tokens = model.arrivals[request].tokens;
-        let call = ReleaseCall { holder: asker(), grant, end, tokens };
+        let call = ReleaseCall { holder: requester(), grant, end, tokens };
         self.deliver(model, OwnerEvent::Release(call));
     }
 }
@@ -231,6 +236,6 @@
     AdapterVersion { adapter: format!("a{number}").as_str().into(), version: "v1".into() }
 }
 
-fn asker() -> VmIdentity {
+fn requester() -> VmIdentity {
     VmIdentity { vm: "vm".into(), incarnation: VmIncarnation(1) }
 }
