--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -1,4 +1,4 @@
-//! Requests and jobs at a VM of the soak: grants, runs, claims, retries and releases.
+//! Requests and jobs at a soak VM: grants, runs, claims, retries and releases.
 
 use coltsfoothook_decision::attempt::{AttemptNext, AttemptState, CallStage};
 use coltsfoothook_decision::claim::{ClaimAnswer, ClaimAsk, ClaimStart, ClaimTable, parse_issued};
@@ -25,26 +25,26 @@
 use crate::safeguard::BrokenSafeguard;
 use crate::vm::{SoakVm, TENANT};
 
-/// Milliseconds that a question to another VM may take.
-const ASK_MS: u64 = 1_500;
-/// Milliseconds for which a request waits for a grant or an answer at most.
-const REQUEST_MS: u64 = 20_000;
-/// Milliseconds between repeats of a release that was not acknowledged.
-const RELEASE_MS: u64 = 500;
-/// The base model of the soak.
+/// Timeout of a revocation by another VM, in milliseconds.
+const REVOKE_TIMEOUT_MS: u64 = 1_500;
+/// Deadline of a request or job run at a VM, in milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 20_000;
+/// Retry interval of releases and withdrawals that are not acknowledged, in milliseconds.
+const RELEASE_RETRY_MS: u64 = 500;
+/// The only base model of the soak.
 pub const MODEL: &str = "base";
 
-/// How a run on an engine ended, as the VM sees it.
+/// The end of a run on an engine, as reported to the VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The whole answer came.
+    /// The complete answer was received.
     Done,
     /// The call failed at this stage.
     Failed(CallStage),
 }
 
 impl SoakVm {
-    /// A caller's request arrives.
+    /// Handles a caller's request; `wall_ms` is the VM's wall clock.
     pub fn request(
         &mut self,
         now: TimePoint,
@@ -53,7 +53,7 @@
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
-        let number = (request.number, request.number_of_try);
+        let number = (request.number, request.attempt);
         match request.kind {
             SoakKind::Model { adapter, repeatable } => {
                 let subject = RunSubject { name: request.name, adapter, once: !repeatable };
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A caller submits a job, or submits it again.
+    /// Handles a job submission, the first or a repeated one. Accepts at once if the job is in the log.
     pub fn submit(&mut self, entry: JobEntry, out: &mut Vec<VmOutput>) {
         let known =
             self.jobs.row(TENANT, entry.job.as_str()).is_some_and(|row| row.entry().is_some());
@@ -74,7 +74,7 @@
             out.push(VmOutput::JobAccepted(entry.job.0));
             return;
         }
-        if !self.submitting.iter().any(|waits| waits.job == entry.job) {
+        if !self.submitting.iter().any(|waiting| waiting.job == entry.job) {
             self.submitting.push(entry.clone());
         }
         out.push(VmOutput::Append(LogRecord::Job(JobRecord::Submitted(entry))));
@@ -88,7 +88,7 @@
         repeatable: bool,
     ) -> OpenCall {
         self.next_id += 1;
-        let deadline = CallDeadline::after(now, Some(REQUEST_MS));
+        let deadline = CallDeadline::after(now, Some(REQUEST_TIMEOUT_MS));
         self.budget.first_try();
         OpenCall {
             id: self.next_id,
@@ -97,7 +97,7 @@
             subject,
             key: String::new(),
             attempt: AttemptState::new(repeatable, deadline),
-            phase: CallPhase::Reserving { asked: now },
+            phase: CallPhase::Reserving { since: now },
             avoid: Vec::new(),
             group: GroupName::default(),
         }
@@ -110,7 +110,7 @@
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
-        call.phase = CallPhase::Reserving { asked: now };
+        call.phase = CallPhase::Reserving { since: now };
         let region = self.members.own().place().region.0.clone();
         let name = call.subject.adapter.adapter.as_str();
         let group = match self.groups.route(name, &region) {
@@ -127,7 +127,7 @@
         self.calls.push(call);
         let message = ReserveCall { asker, group, spec };
         if owned.owner == self.identity {
-            self.take_reserve(now, self.identity.vm.clone(), id, message, rng, out);
+            self.handle_reserve(now, self.identity.vm.clone(), id, message, rng, out);
         } else {
             out.push(VmOutput::Peer(owned.owner.vm, PeerMessage::Reserve(id, message)));
         }
@@ -150,12 +150,12 @@
         }
     }
 
-    /// A question for a grant arrives at an owner.
-    pub(crate) fn take_reserve(
+    /// Handles a request for a grant, as owner of the group.
+    pub(crate) fn handle_reserve(
         &mut self,
         now: TimePoint,
         from: VmName,
-        theirs: u64,
+        remote_id: u64,
         call: ReserveCall,
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
@@ -164,45 +164,45 @@
         let ticket = self.next_id;
         let epoch = self.control.epoch(call.group.as_str());
         let owns = self.owners.iter().any(|owned| owned.group == call.group);
-        self.tickets.push((ticket, from, theirs, call.group.clone()));
+        self.tickets.push((ticket, from, remote_id, call.group.clone()));
         if !owns {
             let refusal = GrantRefusal { reason: RefusalReason::NotOwner, retry_after_ms: 100 };
             return self.ticket_done(now, ticket, Err(refusal), rng, out);
         }
         let event = OwnerEvent::Reserve { ticket, asker: call.asker, spec: call.spec };
-        self.owner(now, &call.group, epoch, event, rng, out);
+        self.owner_event(now, &call.group, epoch, event, rng, out);
     }
 
-    /// The answer to a question for a grant arrives.
-    pub(crate) fn reserved(
+    /// Handles the reply to a request for a grant.
+    pub(crate) fn handle_reserved(
         &mut self,
         now: TimePoint,
         id: u64,
-        answer: Result<SlotGrant, GrantRefusal>,
+        reply: Result<SlotGrant, GrantRefusal>,
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
-        let waits = self
+        let waiting = self
             .calls
             .iter()
             .position(|call| call.id == id && matches!(call.phase, CallPhase::Reserving { .. }));
-        let Some(at) = waits else {
-            // The request gave up before; the grant is void and must not stay pinned.
-            if let Ok(grant) = answer {
+        let Some(at) = waiting else {
+            // The request gave up before; releases the grant, so that its slot does not stay pinned.
+            if let Ok(grant) = reply {
                 self.release(&grant, GrantEnd::NotRun);
             }
             return;
         };
         let mut call = self.calls.swap_remove(at);
-        let grant = match answer {
+        let grant = match reply {
             Ok(grant) => grant,
             Err(refusal) if refusal.reason == RefusalReason::NotOwner => {
                 return self.fail_call(now, call, CallStage::OwnerLost, rng, out);
             }
             Err(_) => return self.fail_call(now, call, CallStage::OwnerRefused, rng, out),
         };
-        let CallPhase::Reserving { asked } = call.phase else { return };
-        if !self.usable(now, asked, &grant) {
+        let CallPhase::Reserving { since } = call.phase else { return };
+        if !self.usable(now, since, &grant) {
             self.release(&grant, GrantEnd::NotRun);
             return self.fail_call(now, call, CallStage::GrantVoid, rng, out);
         }
@@ -211,19 +211,19 @@
         self.calls.push(call);
     }
 
-    /// A grant that comes late, to a VM that was paused, may name a slot that is given to another
-    /// adapter by now; so may one of an owner that was deposed after this VM told its successor
-    /// what it holds.
-    fn usable(&self, now: TimePoint, asked: TimePoint, grant: &SlotGrant) -> bool {
-        let late = now.since(asked) > grant.use_within_ms * MICROS_PER_MILLI;
-        let least = self.least_epochs.iter().find(|(group, _)| *group == grant.id.group);
-        let old = least.is_some_and(|(_, epoch)| grant.id.epoch < *epoch);
+    /// Returns whether a grant may be used. The slot of a grant that arrives after its time limit, as at
+    /// a VM that was paused, may hold another adapter by then. So may the slot of a grant from a deposed
+    /// owner, if this VM reported its held grants to a later owner before.
+    fn usable(&self, now: TimePoint, requested: TimePoint, grant: &SlotGrant) -> bool {
+        let late = now.since(requested) > grant.use_within_ms * MICROS_PER_MILLI;
+        let min_epoch = self.min_epochs.iter().find(|(group, _)| *group == grant.id.group);
+        let old = min_epoch.is_some_and(|(_, epoch)| grant.id.epoch < *epoch);
         let late = late && self.broken != BrokenSafeguard::GrantLate;
         let old = old && self.broken != BrokenSafeguard::OldEpochUsed;
         !late && !old
     }
 
-    /// A run on an engine ended.
+    /// Handles the end of a run on an engine.
     pub fn run_ended(
         &mut self,
         now: TimePoint,
@@ -280,20 +280,21 @@
         }
     }
 
-    /// The answer to a question that waited too long may be lost, with a grant in it that would pin
-    /// its slot for good.
+    /// Withdraws a request for a grant that waited too long. Without the withdrawal, a grant in a lost
+    /// reply would keep its slot pinned forever.
     fn withdraw(&mut self, call: &OpenCall) {
         let group = call.group.clone();
         self.withdrawals.push(OpenWithdrawal { id: call.id, group, sent: None });
     }
 
+    /// Sends due withdrawals to the owners in force.
     pub(crate) fn send_withdrawals(
         &mut self,
         now: TimePoint,
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
-        let repeat = RELEASE_MS * MICROS_PER_MILLI;
+        let repeat = RELEASE_RETRY_MS * MICROS_PER_MILLI;
         let mut due = Vec::new();
         for open in &mut self.withdrawals {
             if open.sent.is_none_or(|sent| now.since(sent) >= repeat) {
@@ -306,7 +307,7 @@
             match owner {
                 Some(owner) if owner == self.identity => {
                     let own = self.identity.vm.clone();
-                    self.take_withdrawal(now, &own, id, &group, rng, out);
+                    self.handle_withdrawal(now, &own, id, &group, rng, out);
                     self.withdrawals.retain(|open| open.id != id);
                 }
                 Some(owner) => {
@@ -317,7 +318,8 @@
         }
     }
 
-    fn take_withdrawal(
+    /// Withdraws a pending request for a grant, or releases the grant that was issued for it.
+    fn handle_withdrawal(
         &mut self,
         now: TimePoint,
         from: &VmName,
@@ -327,34 +329,35 @@
         out: &mut Vec<VmOutput>,
     ) {
         let epoch = self.control.epoch(group.as_str());
-        let same = |asker: &VmName, question: u64| asker == from && question == id;
-        let waits = self.tickets.iter().position(|(_, asker, theirs, _)| same(asker, *theirs));
-        if let Some(at) = waits {
+        let same = |requester: &VmName, request: u64| requester == from && request == id;
+        let waiting =
+            self.tickets.iter().position(|(_, requester, request, _)| same(requester, *request));
+        if let Some(at) = waiting {
             let (ticket, ..) = self.tickets.swap_remove(at);
-            self.owner(now, group, epoch, OwnerEvent::Withdraw { ticket }, rng, out);
+            self.owner_event(now, group, epoch, OwnerEvent::Withdraw { ticket }, rng, out);
         }
-        let given = self.given.iter().position(|given| same(&given.asker, given.question));
+        let given = self.given.iter().position(|given| same(&given.requester, given.request));
         if let Some(at) = given {
             let grant = self.given.swap_remove(at).grant;
-            let asker = self.members.row(from.as_str()).map(|row| row.identity().clone());
-            let Some(holder) = asker else { return };
+            let identity = self.members.row(from.as_str()).map(|row| row.identity().clone());
+            let Some(holder) = identity else { return };
             let call = ReleaseCall { holder, grant, end: GrantEnd::NotRun, tokens: 0 };
-            self.owner(now, group, epoch, OwnerEvent::Release(call), rng, out);
+            self.owner_event(now, group, epoch, OwnerEvent::Release(call), rng, out);
         }
     }
 
     fn end_call(&mut self, call: OpenCall, outcome: RequestOutcome, out: &mut Vec<VmOutput>) {
         if let Some(job) = &call.job {
             let result = format!("{outcome:?} by {}", self.identity.vm);
-            // A job may run again, so a run whose outcome is not known is given back as well.
+            // A job may run more than once, so it also runs again after an unknown outcome.
             let outcome = match outcome {
                 RequestOutcome::Unknown => RequestOutcome::NotRun,
                 outcome => outcome,
             };
             self.runner.finish(TENANT, job.job.as_str(), JobEnd { outcome, result });
         }
-        if let Some((request, number_of_try)) = call.request {
-            out.push(VmOutput::Answer(request, number_of_try, outcome));
+        if let Some((request, attempt)) = call.request {
+            out.push(VmOutput::Answer(request, attempt, outcome));
         }
     }
 
@@ -364,15 +367,15 @@
         self.releases.push(OpenRelease { call, sent: None });
     }
 
-    /// Gives grants back until the owner in force has taken them; a lost release would pin the slot
-    /// for good.
+    /// Sends due releases to the owners in force and repeats them until they are acknowledged. A lost
+    /// release would keep the slot pinned forever.
     pub(crate) fn send_releases(
         &mut self,
         now: TimePoint,
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
-        let repeat = RELEASE_MS * MICROS_PER_MILLI;
+        let repeat = RELEASE_RETRY_MS * MICROS_PER_MILLI;
         let mut due = Vec::new();
         for release in &mut self.releases {
             if release.sent.is_none_or(|sent| now.since(sent) >= repeat) {
@@ -387,7 +390,14 @@
             if owned.owner == self.identity {
                 let grant = call.grant.clone();
                 self.given.retain(|given| given.grant != grant);
-                self.owner(now, &grant.group, owned.epoch, OwnerEvent::Release(call), rng, out);
+                self.owner_event(
+                    now,
+                    &grant.group,
+                    owned.epoch,
+                    OwnerEvent::Release(call),
+                    rng,
+                    out,
+                );
                 self.releases.retain(|open| open.call.grant != grant);
             } else {
                 out.push(VmOutput::Peer(owned.owner.vm, PeerMessage::Release(call)));
@@ -395,7 +405,7 @@
         }
     }
 
-    /// Looks after waiting requests: owners and VMs that do not answer, deadlines, takeovers.
+    /// Ends or retries calls that are past their deadline, or whose key's issuer does not reply in time.
     pub(crate) fn tick_calls(
         &mut self,
         now: TimePoint,
@@ -409,7 +419,7 @@
                     self.fail_call(now, call, CallStage::WaitedTooLong, rng, out);
                 }
                 CallPhase::Running { ref grant } if late => {
-                    // The engine may still run it: the grant stays out until the run has ended.
+                    // The engine may still run it: keeps the grant until the run has ended.
                     let abandoned = AbandonedRun { id: call.id, grant: grant.clone() };
                     self.abandoned.push(abandoned);
                     self.fail_call(now, call, CallStage::SentTimeout, rng, out);
@@ -419,7 +429,9 @@
                         self.claims.give_up(TENANT, &call.key, RefusalReason::DeadlinePassed);
                     self.end_call(call, answer.outcome, out);
                 }
-                CallPhase::Revoking { asked } if now.since(asked) > ASK_MS * MICROS_PER_MILLI => {
+                CallPhase::Revoking { since }
+                    if now.since(since) > REVOKE_TIMEOUT_MS * MICROS_PER_MILLI =>
+                {
                     let answer = ClaimTable::revoked(None);
                     self.end_call(call, answer.outcome, out);
                 }
@@ -445,7 +457,7 @@
         let subject = RunSubject { name: key.clone(), adapter, once: true };
         let mut call = self.open(now, Some(number), subject, false);
         call.key = key;
-        let ask = ClaimAsk {
+        let claim = ClaimAsk {
             tenant: TENANT,
             key: &call.key,
             fingerprint: RequestFingerprint(1),
@@ -453,20 +465,21 @@
             wall_ms,
             log_up: self.log_up,
         };
-        let mut start = self.claims.begin(now, &ask);
+        let mut start = self.claims.begin(now, &claim);
         if self.breaks_claim(&call.key, &start) {
             start = ClaimStart::Run;
         }
         self.start_once(now, call, start, out);
     }
 
+    /// Returns whether the disabled safeguard lets the call run although its claim does not.
     fn breaks_claim(&self, key: &str, start: &ClaimStart) -> bool {
         let earlier = parse_issued(key).is_some_and(|issued| {
             issued.issuer.vm == self.identity.vm && issued.issuer != self.identity
         });
         match self.broken {
             BrokenSafeguard::ClaimUnread => *start == ClaimStart::Claiming,
-            BrokenSafeguard::RevokeUnasked => matches!(start, ClaimStart::AskRevoke(_)),
+            BrokenSafeguard::RevocationSkipped => matches!(start, ClaimStart::AskRevoke(_)),
             BrokenSafeguard::IssuedReused => earlier,
             _ => false,
         }
@@ -486,8 +499,8 @@
             }
             ClaimStart::Claiming => call.phase = CallPhase::Claiming,
             ClaimStart::AskRevoke(vm) => {
-                self.ask_revoke(&call, &vm, out);
-                call.phase = CallPhase::Revoking { asked: now };
+                self.send_revoke(&call, &vm, out);
+                call.phase = CallPhase::Revoking { since: now };
             }
             ClaimStart::Answer(ClaimAnswer { outcome, .. }) => {
                 return self.end_call(call, outcome, out);
@@ -496,7 +509,7 @@
         self.calls.push(call);
     }
 
-    fn ask_revoke(&self, call: &OpenCall, vm: &VmIdentity, out: &mut Vec<VmOutput>) {
+    fn send_revoke(&self, call: &OpenCall, vm: &VmIdentity, out: &mut Vec<VmOutput>) {
         let message = RevokeCall {
             tenant: TENANT.into(),
             key: call.key.as_str().into(),
@@ -505,7 +518,7 @@
         out.push(VmOutput::Peer(vm.vm.clone(), PeerMessage::Revoke(call.id, message)));
     }
 
-    /// The claim of a waiting request was read back.
+    /// Continues the call that waiting for this claim, after it was read back from the log.
     pub(crate) fn claim_decided(
         &mut self,
         now: TimePoint,
@@ -513,33 +526,33 @@
         start: ClaimStart,
         out: &mut Vec<VmOutput>,
     ) {
-        let waits = self
+        let waiting = self
             .calls
             .iter()
             .position(|call| call.key == key && matches!(call.phase, CallPhase::Claiming));
-        let Some(at) = waits else { return };
+        let Some(at) = waiting else { return };
         let call = self.calls.swap_remove(at);
         self.start_once(now, call, start, out);
     }
 
-    /// Another VM told what became of a key.
-    pub(crate) fn take_revoked(&mut self, id: u64, reply: RevokeReply, out: &mut Vec<VmOutput>) {
-        let waits = self
+    /// Handles the issuer's reply to a revocation, which ends the call.
+    pub(crate) fn handle_revoked(&mut self, id: u64, reply: RevokeReply, out: &mut Vec<VmOutput>) {
+        let waiting = self
             .calls
             .iter()
             .position(|call| call.id == id && matches!(call.phase, CallPhase::Revoking { .. }));
-        let Some(at) = waits else { return };
+        let Some(at) = waiting else { return };
         let call = self.calls.swap_remove(at);
         self.end_call(call, ClaimTable::revoked(Some(reply)).outcome, out);
     }
 
-    /// The service answered; an error after it ran has the outcome "unknown".
+    /// Handles the outcome of a call of the plain service.
     pub fn served(&mut self, id: u64, outcome: RequestOutcome, out: &mut Vec<VmOutput>) {
-        let waits = self
+        let waiting = self
             .calls
             .iter()
             .position(|call| call.id == id && matches!(call.phase, CallPhase::Serving));
-        let Some(at) = waits else { return };
+        let Some(at) = waiting else { return };
         let call = self.calls.swap_remove(at);
         if self.broken == BrokenSafeguard::None {
             self.claims.end(TENANT, &call.key, outcome);
@@ -547,6 +560,8 @@
         self.end_call(call, outcome, out);
     }
 
+    /// Appends the job records and starts the job runs that the plan contains. Does nothing while the
+    /// log is down.
     pub(crate) fn plan_jobs(&mut self, now: TimePoint, rng: &mut dyn Rng, out: &mut Vec<VmOutput>) {
         if !self.log_up {
             return;
@@ -573,7 +588,7 @@
         }
     }
 
-    /// A message from another VM arrives.
+    /// Handles a message from another VM.
     pub fn peer(
         &mut self,
         now: TimePoint,
@@ -586,46 +601,46 @@
             PeerMessage::Probe(_, message) => {
                 self.next_id += 1;
                 let call = self.next_id;
-                self.foreign_calls.push((call, from));
+                self.inbound_probes.push((call, from));
                 self.member(now, MemberEvent::Probe { call, message }, rng, out);
             }
             PeerMessage::ProbeReply(reply) => self.member(now, MemberEvent::Reply(reply), rng, out),
-            PeerMessage::Reserve(id, call) => self.take_reserve(now, from, id, call, rng, out),
-            PeerMessage::Reserved(id, answer) => self.reserved(now, id, answer, rng, out),
+            PeerMessage::Reserve(id, call) => self.handle_reserve(now, from, id, call, rng, out),
+            PeerMessage::Reserved(id, reply) => self.handle_reserved(now, id, reply, rng, out),
             PeerMessage::Release(call) => {
                 let grant = call.grant.clone();
                 self.given.retain(|given| given.grant != grant);
                 let epoch = self.control.epoch(grant.group.as_str());
-                self.owner(now, &grant.group, epoch, OwnerEvent::Release(call), rng, out);
+                self.owner_event(now, &grant.group, epoch, OwnerEvent::Release(call), rng, out);
                 if self.owners.iter().any(|owned| owned.group == grant.group) {
                     out.push(VmOutput::Peer(from, PeerMessage::Released(grant)));
                 }
             }
             PeerMessage::Withdraw(id, group) => {
-                self.take_withdrawal(now, &from, id, &group, rng, out);
+                self.handle_withdrawal(now, &from, id, &group, rng, out);
                 out.push(VmOutput::Peer(from, PeerMessage::Withdrawn(id)));
             }
             PeerMessage::Withdrawn(id) => self.withdrawals.retain(|open| open.id != id),
             PeerMessage::Released(grant) => self.releases.retain(|open| open.call.grant != grant),
             PeerMessage::Held(call) => {
-                let reply = self.held(&call);
+                let reply = self.held_reply(&call);
                 let message = PeerMessage::HeldReply(call.group, call.epoch, reply);
                 out.push(VmOutput::Peer(from, message));
             }
             PeerMessage::HeldReply(group, epoch, reply) => {
                 let event = OwnerEvent::Held { vm: reply.vm, grants: reply.grants };
-                self.owner(now, &group, epoch, event, rng, out);
+                self.owner_event(now, &group, epoch, event, rng, out);
             }
             PeerMessage::Revoke(id, call) => {
                 let reply = self.claims.revoke(&call);
                 out.push(VmOutput::Peer(from, PeerMessage::Revoked(id, reply)));
             }
-            PeerMessage::Revoked(id, reply) => self.take_revoked(id, reply, out),
+            PeerMessage::Revoked(id, reply) => self.handle_revoked(id, reply, out),
             PeerMessage::CatchUp(call) => {
-                let reply = self.catch_up(&call);
+                let reply = self.catch_up_reply(&call);
                 out.push(VmOutput::Peer(from, PeerMessage::CaughtUp(Box::new(reply))));
             }
-            PeerMessage::CaughtUp(reply) => self.take_caught_up(now, *reply, rng, out),
+            PeerMessage::CaughtUp(reply) => self.apply_catch_up(now, *reply, rng, out),
         }
     }
 }
--- a/load/src/fake.rs
+++ b/load/src/fake.rs
@@ -1,7 +1,7 @@
-//! Small fakes of the platform and the backend servers for the randomised soak.
+//! Fakes of the log and the model engines for the randomised soak.
 //!
-//! They have no time of their own: the world calls them when a message arrives. Faults are switched
-//! on by fields, so that a run can be replayed from its seed.
+//! They have no clock and no randomness of their own: the world calls them when a message arrives, so
+//! that a run can be replayed from its seed.
 
 use std::collections::VecDeque;
 
@@ -13,18 +13,18 @@
 /// The streams of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogStream {
-    /// Configuration.
+    /// Configuration records.
     Config,
-    /// Ownership, orders, drains and suspects.
+    /// Ownership, intents, drains and suspects.
     Control,
-    /// Claims.
+    /// Claims of idempotency keys.
     Claims,
     /// Audit jobs.
     Jobs,
 }
 
 impl LogStream {
-    /// All streams.
+    /// All streams, in the order of their discriminants.
     pub const ALL: [Self; 4] = [Self::Config, Self::Control, Self::Claims, Self::Jobs];
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl LogRecord {
-    /// The record's stream.
+    /// Returns the stream that the record belongs to.
     #[must_use]
     pub fn stream(&self) -> LogStream {
         match self {
@@ -54,21 +54,22 @@
     }
 }
 
-/// What a read of a stream brought.
+/// The result of reading a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogPage {
-    /// The first offset that the stream still holds.
+    /// The first offset that the stream retains.
     pub first: u64,
-    /// The offset of the first record here.
+    /// The offset of the first record of the page.
     pub from: u64,
-    /// The records.
+    /// Consecutive records from offset `from`.
     pub records: Vec<LogRecord>,
-    /// The offset behind the stream's last record.
+    /// The offset after the stream's last record.
     pub end: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct FakeStream {
+    /// Offset of the first retained record.
     first: u64,
     records: VecDeque<(TimePoint, LogRecord)>,
 }
@@ -77,15 +78,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct FakeLog {
     streams: [FakeStream; 4],
-    /// Whether it answers nothing.
+    /// Whether an outage is in progress.
     pub down: bool,
 }
 
-/// The most records in an answer.
-const PAGE_RECORDS: usize = 64;
+/// Maximum number of records of a page.
+const MAX_PAGE_RECORDS: usize = 64;
 
 impl FakeLog {
-    /// Appends a record; false in an outage.
+    /// Appends a record. Returns false, without appending, in an outage.
     pub fn append(&mut self, now: TimePoint, record: LogRecord) -> bool {
         if !self.down {
             self.streams[record.stream() as usize].records.push_back((now, record));
@@ -93,7 +94,8 @@
         !self.down
     }
 
-    /// Reads a stream from an offset; none in an outage.
+    /// Reads a page of a stream from offset `from`, or from the first retained record if that is later.
+    /// Returns `None` in an outage.
     #[must_use]
     pub fn read(&self, stream: LogStream, from: u64) -> Option<LogPage> {
         if self.down {
@@ -102,7 +104,7 @@
         let stream = &self.streams[stream as usize];
         let from = from.max(stream.first);
         let skip = (from - stream.first) as usize;
-        let records = stream.records.iter().skip(skip).take(PAGE_RECORDS);
+        let records = stream.records.iter().skip(skip).take(MAX_PAGE_RECORDS);
         Some(LogPage {
             first: stream.first,
             from,
@@ -125,22 +127,22 @@
 /// A slot of a fake engine.
 #[derive(Clone, Debug)]
 pub struct FakeSlot {
-    /// Its name.
+    /// The slot's name, which contains its adapter.
     pub name: SlotName,
-    /// The runs that use it now.
+    /// The runs in progress on the slot.
     pub runs: Vec<u64>,
 }
 
-/// A model engine that checks or ignores fencing numbers.
+/// A fake model engine.
 #[derive(Clone, Debug)]
 pub struct FakeEngine {
-    /// Its name.
+    /// Its server name in the manifest.
     pub name: ServerName,
-    /// Its life.
+    /// Its incarnation, incremented at each restart.
     pub incarnation: ServerIncarnation,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders of an epoch older than the newest that it received.
     pub checks_fencing: bool,
-    /// Its slots.
+    /// Its loaded slots.
     pub slots: Vec<FakeSlot>,
     capacity: usize,
     sequence: u64,
@@ -148,7 +150,7 @@
 }
 
 impl FakeEngine {
-    /// An empty engine.
+    /// Creates an engine without loaded slots.
     #[must_use]
     pub fn new(name: ServerName, capacity: usize, checks_fencing: bool) -> Self {
         Self {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Restarts it empty. Returns the runs that were cut.
+    /// Restarts the engine with no loaded slots. Returns the runs that this aborted.
     pub fn restart(&mut self) -> Vec<u64> {
         self.incarnation.0 += 1;
         self.sequence = 0;
@@ -170,15 +172,15 @@
         std::mem::take(&mut self.slots).into_iter().flat_map(|slot| slot.runs).collect()
     }
 
-    /// Whether it refuses an order of `epoch`.
-    pub fn fences(&mut self, epoch: OwnerEpoch) -> bool {
+    /// Records the epoch of an order. Returns whether the engine refuses the order.
+    pub fn rejects_epoch(&mut self, epoch: OwnerEpoch) -> bool {
         let old = epoch < self.fence;
         self.fence = self.fence.max(epoch);
         self.checks_fencing && old
     }
 
-    /// Carries out an order. An unload returns the runs that used the slot, which must be none.
-    pub fn obey(&mut self, order: &EngineOrder) -> (OrderResult, Vec<u64>) {
+    /// Executes an order. Returns its result and the runs that an unload aborted; there must be none.
+    pub fn execute(&mut self, order: &EngineOrder) -> (OrderResult, Vec<u64>) {
         match order {
             EngineOrder::Load { slot, .. } => {
                 if self.slots.iter().any(|known| known.name == *slot) {
@@ -192,13 +194,13 @@
             }
             EngineOrder::Unload { slot } => {
                 let at = self.slots.iter().position(|known| known.name == *slot);
-                let cut = at.map(|at| self.slots.remove(at).runs).unwrap_or_default();
-                (OrderResult::Done, cut)
+                let aborted = at.map(|at| self.slots.remove(at).runs).unwrap_or_default();
+                (OrderResult::Done, aborted)
             }
         }
     }
 
-    /// Begins a run on a slot; false if the slot is not there.
+    /// Begins a run on a slot. Returns false if the slot is not loaded.
     pub fn begin(&mut self, run: u64, slot: &SlotName) -> bool {
         let Some(slot) = self.slots.iter_mut().find(|known| known.name == *slot) else {
             return false;
@@ -207,7 +209,7 @@
         true
     }
 
-    /// Ends a run; false if it was cut before.
+    /// Ends a run. Returns false if it was aborted before.
     pub fn end(&mut self, run: u64) -> bool {
         let mut found = false;
         for slot in &mut self.slots {
@@ -218,7 +220,7 @@
         found
     }
 
-    /// Its report, as of now.
+    /// Returns a report of the current state, with the next sequence number.
     pub fn report(&mut self) -> EngineReport {
         self.sequence += 1;
         let slots = self
--- a/load/src/fault.rs
+++ b/load/src/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of the soak, and what must be so when all is mended.
+//! Faults of the soak, and the checks after all faults have ended.
 
 use coltsfoothook_decision::id::{MICROS_PER_MILLI, TimePoint};
 use coltsfoothook_decision::member::{ListedState, ListedVm, MemberState};
@@ -9,50 +9,53 @@
 use crate::vm::{SoakVm, TENANT};
 use crate::world::{FaultKind, SoakWorld, VmEvent, WorldEvent};
 
-/// Milliseconds between readings of the platform's list.
-const LIST_MS: u64 = 2_000;
-/// Milliseconds for which the list still shows a VM that is gone.
+/// Interval at which VMs receive the platform's list, in milliseconds.
+const LIST_INTERVAL_MS: u64 = 2_000;
+/// Time for which the list still contains a stopped VM, and maximum delay of its delivery, in
+/// milliseconds.
 const LIST_LAG_MS: u64 = 5_000;
-/// Milliseconds for which the log keeps a record.
+/// Time for which the log retains a record, in milliseconds.
 pub(crate) const RETENTION_MS: u64 = 60_000;
-/// Milliseconds between the log's sweeps.
-const RETAIN_MS: u64 = 1_000;
+/// Interval at which the log drops old records, in milliseconds.
+const RETAIN_INTERVAL_MS: u64 = 1_000;
 
 impl SoakWorld {
-    /// The platform's list as it is now: it shows VMs for a while after they are gone.
+    /// Returns the platform's current list. It still contains VMs that stopped recently.
     pub(crate) fn listed(&self) -> Vec<ListedVm> {
         let lag = LIST_LAG_MS * MICROS_PER_MILLI;
-        let seats = self.seats.iter();
-        let shown = seats.filter(|seat| seat.vm.is_some() || self.now.since(seat.stopped) < lag);
-        let entries = shown.map(|seat| ListedVm {
-            name: seat.name.clone(),
-            place: seat.place.clone(),
+        let hosts = self.hosts.iter();
+        let shown = hosts.filter(|host| host.vm.is_some() || self.now.since(host.stopped) < lag);
+        let entries = shown.map(|host| ListedVm {
+            name: host.name.clone(),
+            place: host.place.clone(),
             state: ListedState::Live,
         });
         entries.collect()
     }
 
+    /// Sends the platform's list to all VMs, each with a delay of its own.
     pub(crate) fn list(&mut self) {
         let list = self.listed();
-        for at in 0..self.seats.len() {
+        for at in 0..self.hosts.len() {
             let lag = self.rng.random_range(0..LIST_LAG_MS);
-            let life = self.seats[at].life;
-            self.push(lag, WorldEvent::Vm(at, life, VmEvent::List(list.clone())));
+            let generation = self.hosts[at].generation;
+            self.push(lag, WorldEvent::Vm(at, generation, VmEvent::List(list.clone())));
         }
-        self.push(LIST_MS, WorldEvent::List);
+        self.push(LIST_INTERVAL_MS, WorldEvent::List);
     }
 
+    /// Drops the records that are past the retention time.
     pub(crate) fn retain(&mut self) {
         let oldest = self.now.0.saturating_sub(RETENTION_MS * MICROS_PER_MILLI);
         if !self.log.down {
             self.log.retain(TimePoint(oldest));
         }
-        self.push(RETAIN_MS, WorldEvent::Retain);
+        self.push(RETAIN_INTERVAL_MS, WorldEvent::Retain);
     }
 
-    /// Injects one fault, or two at once.
+    /// Injects one or two faults and schedules the next ones.
     pub(crate) fn fault(&mut self) {
-        if self.calm {
+        if self.settling {
             return;
         }
         let count = if self.chance(400) { 2 } else { 1 };
@@ -60,13 +63,13 @@
             let kind = self.draw_fault();
             self.inject(kind);
         }
-        let most = if self.settings.vm_faults { 2_500 } else { 6_000 };
-        let wait = self.rng.random_range(300..most);
+        let max = if self.settings.vm_faults { 2_500 } else { 6_000 };
+        let wait = self.rng.random_range(300..max);
         self.push(wait, WorldEvent::Fault);
     }
 
     fn draw_fault(&mut self) -> FaultKind {
-        let vm = self.rng.random_range(0..self.seats.len());
+        let vm = self.rng.random_range(0..self.hosts.len());
         let engine = self.rng.random_range(0..self.engines.len());
         if self.settings.vm_faults {
             let paused = self.chance(700);
@@ -87,7 +90,7 @@
 
     fn inject(&mut self, kind: FaultKind) {
         self.result.faults += 1;
-        let lasts = match kind {
+        let duration_ms = match kind {
             FaultKind::LogDown => self.rng.random_range(200..12_000),
             FaultKind::VmKilled(_) => self.rng.random_range(100..8_000),
             FaultKind::VmPaused(_) => self.rng.random_range(100..20_000),
@@ -97,31 +100,31 @@
             FaultKind::LogDown => self.log.down = true,
             FaultKind::VmKilled(vm) => self.kill(vm),
             FaultKind::VmPaused(vm) => {
-                self.seats[vm].paused = self.now.plus(lasts * MICROS_PER_MILLI);
+                self.hosts[vm].paused = self.now.plus(duration_ms * MICROS_PER_MILLI);
             }
             FaultKind::Partition => {
-                for at in 0..self.seats.len() {
-                    self.seats[at].side = self.chance(400);
+                for at in 0..self.hosts.len() {
+                    self.hosts[at].partitioned = self.chance(400);
                 }
             }
-            FaultKind::VmWithoutLog(vm) => self.seats[vm].without_log = true,
+            FaultKind::VmWithoutLog(vm) => self.hosts[vm].without_log = true,
             FaultKind::EngineRestarts(engine) => {
                 self.engines[engine].restart();
             }
             FaultKind::ClockJumps(vm) => {
                 let hours = self.rng.random_range(0..3) * 3_600_000;
-                self.seats[vm].clock_ms = 1_700_000_000_000 + hours;
+                self.hosts[vm].clock_ms = 1_700_000_000_000 + hours;
             }
             FaultKind::ServerDrains(engine) => self.drain(engine, true),
             FaultKind::SlowLoads => self.slow_loads = true,
         }
-        self.push(lasts, WorldEvent::Mend(kind));
+        self.push(duration_ms, WorldEvent::Repair(kind));
     }
 
     fn kill(&mut self, at: usize) {
-        self.seats[at].vm = None;
-        self.seats[at].life += 1;
-        self.seats[at].stopped = self.now;
+        self.hosts[at].vm = None;
+        self.hosts[at].generation += 1;
+        self.hosts[at].stopped = self.now;
     }
 
     fn drain(&mut self, engine: usize, draining: bool) {
@@ -132,29 +135,30 @@
         }
     }
 
-    pub(crate) fn mend(&mut self, kind: FaultKind) {
+    /// Ends a fault.
+    pub(crate) fn repair(&mut self, kind: FaultKind) {
         match kind {
             FaultKind::LogDown => self.log.down = false,
             FaultKind::VmKilled(vm) => self.push(0, WorldEvent::Boot(vm)),
-            FaultKind::Partition => self.seats.iter_mut().for_each(|seat| seat.side = false),
-            FaultKind::VmWithoutLog(vm) => self.seats[vm].without_log = false,
+            FaultKind::Partition => self.hosts.iter_mut().for_each(|host| host.partitioned = false),
+            FaultKind::VmWithoutLog(vm) => self.hosts[vm].without_log = false,
             FaultKind::ServerDrains(engine) => self.drain(engine, false),
             FaultKind::SlowLoads => self.slow_loads = false,
             FaultKind::VmPaused(_) | FaultKind::EngineRestarts(_) | FaultKind::ClockJumps(_) => {}
         }
     }
 
-    /// Ends every fault and all new load. The first engine is left to drain, so that the rule on
-    /// leaving servers is seen without faults around it.
-    pub(crate) fn mend_all(&mut self) {
-        self.calm = true;
-        let paused = self.seats.iter().map(|seat| seat.paused);
-        self.troubled = paused.max().unwrap_or_default().max(self.now);
+    /// Ends all faults and stops new load. The first engine starts to drain, so that the rule on draining
+    /// servers is checked without other faults.
+    pub(crate) fn repair_all(&mut self) {
+        self.settling = true;
+        let paused = self.hosts.iter().map(|host| host.paused);
+        self.faults_end = paused.max().unwrap_or_default().max(self.now);
         self.log.down = false;
         self.slow_loads = false;
-        for at in 0..self.seats.len() {
-            self.seats[at].side = false;
-            self.seats[at].without_log = false;
+        for at in 0..self.hosts.len() {
+            self.hosts[at].partitioned = false;
+            self.hosts[at].without_log = false;
             self.push(0, WorldEvent::Boot(at));
         }
         for engine in 0..self.engines.len() {
@@ -162,15 +166,15 @@
         }
     }
 
-    /// What is not yet as it must be at rest: rule and detail.
-    pub(crate) fn unrest(&self) -> Vec<(&'static str, String)> {
+    /// Returns the conditions of a settled system that do not hold yet, as rule and detail.
+    pub(crate) fn unsettled(&self) -> Vec<(&'static str, String)> {
         let mut found = Vec::new();
-        let vms: Vec<&SoakVm> = self.seats.iter().filter_map(|seat| seat.vm.as_ref()).collect();
+        let vms: Vec<&SoakVm> = self.hosts.iter().filter_map(|host| host.vm.as_ref()).collect();
         let Some(first) = vms.first() else { return found };
         for vm in &vms {
             let name = &vm.identity.vm;
             let sees = vm.members.live().count();
-            if sees != self.seats.len() {
+            if sees != self.hosts.len() {
                 found.push(("members_meet", format!("{name} sees {sees} VMs")));
             }
             if vm.config.version().0 != self.versions.len() as u64 {
@@ -186,12 +190,13 @@
                 found.push(("calls_answered", format!("{name} has {}", vm.open_calls())));
             }
         }
-        self.owners_rest(first, &vms, &mut found);
-        self.jobs_rest(&vms, &mut found);
+        self.check_owners(first, &vms, &mut found);
+        self.check_jobs(&vms, &mut found);
         found
     }
 
-    fn owners_rest(
+    /// Checks that the recorded owner of each group is alive and runs its owner.
+    fn check_owners(
         &self,
         first: &SoakVm,
         vms: &[&SoakVm],
@@ -208,7 +213,8 @@
         }
     }
 
-    fn jobs_rest(&self, vms: &[&SoakVm], found: &mut Vec<(&'static str, String)>) {
+    /// Checks that each accepted job has ended, and that every VM knows the end.
+    fn check_jobs(&self, vms: &[&SoakVm], found: &mut Vec<(&'static str, String)>) {
         for job in self.oracle.open_jobs() {
             found.push(("job_once", format!("{job} was accepted and has no end")));
         }
--- a/load/src/fit.rs
+++ b/load/src/fit.rs
@@ -1,20 +1,20 @@
-//! Straight lines through measured points, by least squares.
+//! Least-squares fits of straight lines.
 
 use serde::Serialize;
 
-/// One measurement: a size and what was measured there.
+/// A value measured at a size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub(crate) struct SlopePoint {
     pub(crate) size: f64,
     pub(crate) value: f64,
 }
 
-/// The line `base + slope * size`, and how far the points lie from it.
+/// The line `base + slope * size`, with the error of the fit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct LineFit {
     pub(crate) base: f64,
     pub(crate) slope: f64,
-    /// The root of the mean squared distance of the points, in the value's unit.
+    /// Root mean square of the residuals, in the unit of the values.
     pub(crate) error: f64,
 }
 
@@ -24,15 +24,17 @@
         let count = points.len().max(1) as f64;
         let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
         let mean_value = points.iter().map(|point| point.value).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
-        let both = points.iter().map(|point| (point.size - mean_size) * (point.value - mean_value));
-        let slope = if spread > 0.0 { both.sum::<f64>() / spread } else { 0.0 };
+        let variance: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
+        let covariance =
+            points.iter().map(|point| (point.size - mean_size) * (point.value - mean_value));
+        let slope = if variance > 0.0 { covariance.sum::<f64>() / variance } else { 0.0 };
         let base = mean_value - slope * mean_size;
-        let distance = points.iter().map(|point| (point.value - base - slope * point.size).powi(2));
-        Self { base, slope, error: (distance.sum::<f64>() / count).sqrt() }
+        let residuals =
+            points.iter().map(|point| (point.value - base - slope * point.size).powi(2));
+        Self { base, slope, error: (residuals.sum::<f64>() / count).sqrt() }
     }
 
-    /// The line's value at `size`.
+    /// Returns the line's value at `size`.
     pub(crate) fn at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of many groups with loaded engines, to measure decisions on.
+//! Many groups with loaded engines, for measurements of decisions.
 
 use coltsfoothook_decision::id::{
     AdapterVersion, OwnerEpoch, ServerIncarnation, ServerName, TimePoint,
@@ -13,31 +13,33 @@
 use rand_pcg::Pcg64;
 use rand_pcg::rand_core::SeedableRng;
 
-/// The region whose callers ask.
+/// The region of the callers; only its groups have loaded engines.
 pub(crate) const REGION: &str = "region-0";
-/// Regions and base models of the target size.
+/// Numbers of regions and base models at the target size.
 const REGIONS: u32 = 2;
 const MODELS: u32 = 4;
-/// Slots of each engine, all of them taken.
+/// Adapter slots of each engine.
 const SLOTS: usize = 32;
 
-/// The map of all groups, and the owners of those of [`REGION`] with their engines' reports read.
+/// The map of all groups, with their owners. Engines report loaded slots for the groups of [`REGION`].
 pub(crate) struct RouteFleet {
     pub(crate) map: GroupMap,
-    /// In the order of the groups; those of other regions have no engines' reports.
+    /// Owners, in the order of the groups of the map.
     pub(crate) owners: Vec<GroupOwner>,
-    /// What the engines' slots hold.
+    /// The reported slots of the engines.
     loaded: Vec<LoadedEngine>,
 }
 
-/// The slots of one engine.
+/// The reported slots of one engine.
 struct LoadedEngine {
+    /// Index of its group.
     group: usize,
     server: ServerName,
     slots: Vec<SlotReport>,
 }
 
 impl RouteFleet {
+    /// Creates the groups of [`manifest`] and loads their engines.
     pub(crate) fn new(servers: u32, adapters: u32) -> Self {
         let manifest = manifest(servers, adapters);
         let map = GroupMap::new(&manifest);
@@ -51,15 +53,16 @@
         fleet
     }
 
-    /// Fills each group's slots with the first adapters that belong to it.
+    /// Fills the slots of each group's engines with the first adapters routed to the group, and reports
+    /// them to the owner.
     fn load_engines(&mut self, manifest: &ServingManifest) {
-        let mut wanted: Vec<Vec<AdapterVersion>> = vec![Vec::new(); self.owners.len()];
+        let mut routed: Vec<Vec<AdapterVersion>> = vec![Vec::new(); self.owners.len()];
         for (number, entry) in manifest.adapters.iter().enumerate() {
             let Ok(groups) = self.map.route(entry.name.as_str(), REGION) else { continue };
-            wanted[groups[0].place()].push(Self::adapter(number as u32));
+            routed[groups[0].place()].push(Self::adapter(number as u32));
         }
         let mut rng = Pcg64::seed_from_u64(1);
-        for (at, adapters) in wanted.iter().enumerate() {
+        for (at, adapters) in routed.iter().enumerate() {
             let servers = self.map.groups()[at].servers.clone();
             for (engine, server) in servers.into_iter().enumerate() {
                 let loaded = adapters.iter().skip(engine * SLOTS).take(SLOTS).enumerate();
@@ -83,13 +86,14 @@
         }
     }
 
-    /// What `server` of the group at `place` reports of its slots.
-    pub(crate) fn reported(&self, place: usize, server: &ServerName) -> Vec<SlotReport> {
-        let engine = self.loaded.iter().find(|it| it.group == place && it.server == *server);
+    /// Returns the slots that `server` of the group with the index `group` reports; empty if there is no
+    /// such engine.
+    pub(crate) fn reported(&self, group: usize, server: &ServerName) -> Vec<SlotReport> {
+        let engine = self.loaded.iter().find(|it| it.group == group && it.server == *server);
         engine.map(|engine| engine.slots.clone()).unwrap_or_default()
     }
 
-    /// The adapter of a number.
+    /// Returns version `v1` of the adapter with the given number.
     pub(crate) fn adapter(number: u32) -> AdapterVersion {
         AdapterVersion {
             adapter: format!("adapter-{number:06}").as_str().into(),
@@ -98,7 +102,8 @@
     }
 }
 
-/// A manifest of so many engines and adapters, dealt out to regions, domains and models in turn.
+/// Returns a manifest of `servers` engines and `adapters` adapters, assigned round-robin to regions,
+/// domains and models.
 pub(crate) fn manifest(servers: u32, adapters: u32) -> ServingManifest {
     ServingManifest {
         servers: (0..servers).map(server).collect(),
--- a/load/src/latency.rs
+++ b/load/src/latency.rs
@@ -1,7 +1,7 @@
-//! `latency`: what an entry VM adds to the time to the first token.
+//! `latency`: the latency that an entry VM adds to the time to the first token.
 //!
-//! A call through the entry VM and a call straight to the same engine alternate on kept connections,
-//! with one adapter that is loaded; everything runs in this process on loopback ports.
+//! Calls through the entry VM and direct calls to the same engine alternate on persistent connections,
+//! with one loaded adapter. Everything runs in this process on loopback ports.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -14,35 +14,36 @@
 use futures::future::join_all;
 use serde::Serialize;
 
-/// Calls before the first one that counts.
-const WARM_CALLS: usize = 50;
-/// Tokens of a measured call.
+/// Number of pairs of calls before the measured ones.
+const WARMUP_CALLS: usize = 50;
+/// Tokens of a call in the paired measurement and after a start.
 const SHORT_TOKENS: u32 = 2;
-/// How long a step of the engine takes, in microseconds; short, so that the wait for the next step
-/// does not hide what is measured.
+/// Duration of an engine step in microseconds. It is short, so that waiting for the next step does not
+/// dominate the measurement.
 const STEP_US: u64 = 200;
-/// How long a VM may take to its first answer before the measurement is given up.
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// Time limit for the first answer of a started VM.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Options of `latency`.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct LatencyOptions {
-    /// Pairs of calls
+    /// Number of pairs of calls
     #[bpaf(argument("N"), fallback(2_000), display_fallback)]
     calls: usize,
-    /// Streams at once through one entry VM
+    /// Number of concurrent streams through one entry VM
     #[bpaf(argument("N"), fallback(500), display_fallback)]
     streams: usize,
-    /// Tokens of each of these streams
+    /// Number of tokens of each stream
     #[bpaf(argument("N"), fallback(64), display_fallback)]
     tokens: u32,
-    /// Starts of an entry VM into the running site
+    /// Number of starts of a second entry VM into the running site
     #[bpaf(argument("N"), fallback(5), display_fallback)]
     starts: usize,
     /// Print one JSON line
     json: bool,
 }
 
+/// Result of the measurement; the field names are JSON keys.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 struct LatencyReport {
     calls: usize,
@@ -50,7 +51,7 @@
     direct_p95_ms: f64,
     through_p50_ms: f64,
     through_p95_ms: f64,
-    /// Of the differences of the pairs.
+    /// Median of the differences within the pairs.
     added_p50_ms: f64,
     added_p95_ms: f64,
     streams: usize,
@@ -101,6 +102,7 @@
     Ok(report)
 }
 
+/// Measures direct calls and calls through the entry VM in pairs.
 async fn pairs(
     site: &LocalSite,
     calls: usize,
@@ -108,22 +110,22 @@
 ) -> Result<(), SiteFailure> {
     let through = SiteClient::new(site.callers()[0], &credential(0));
     let direct = SiteClient::new(site.engines[0].address(), "");
-    let ask = short_ask(&format!("{}@1", adapter_name(0)));
-    through.complete(&ask).await?;
+    let request = short_request(&format!("{}@1", adapter_name(0)));
+    through.complete(&request).await?;
     let slots = site.engines[0].report().slots;
     let slot = slots.first().map(|slot| slot.slot.to_string()).unwrap_or_default();
-    let straight = short_ask(&slot);
+    let direct_request = short_request(&slot);
     let (mut directs, mut throughs, mut added) = (Vec::new(), Vec::new(), Vec::new());
-    for number in 0..calls + WARM_CALLS {
-        // Who is first alternates, so that neither profits from the other's warm caches.
+    for number in 0..calls + WARMUP_CALLS {
+        // Alternates the order, so that warm caches do not favour one kind of call.
         let (one, other) = if number % 2 == 0 {
-            let one = direct.complete(&straight).await?;
-            (one, through.complete(&ask).await?)
+            let one = direct.complete(&direct_request).await?;
+            (one, through.complete(&request).await?)
         } else {
-            let other = through.complete(&ask).await?;
-            (direct.complete(&straight).await?, other)
+            let other = through.complete(&request).await?;
+            (direct.complete(&direct_request).await?, other)
         };
-        if number >= WARM_CALLS {
+        if number >= WARMUP_CALLS {
             let (one, other) = (millis(one.first), millis(other.first));
             directs.push(one);
             throughs.push(other);
@@ -139,32 +141,33 @@
     Ok(())
 }
 
+/// Runs concurrent streams through the entry VM and counts incomplete ones and their lost tokens.
 async fn streams(site: &LocalSite, options: &LatencyOptions, report: &mut LatencyReport) {
     let client = SiteClient::new(site.callers()[0], &credential(0));
-    let begun = Instant::now();
+    let started = Instant::now();
     let calls = (0..options.streams).map(|number| {
-        let ask = CompletionAsk {
+        let request = CompletionAsk {
             prompt: format!("stream {number}"),
             max_tokens: options.tokens,
-            ..short_ask(&format!("{}@1", adapter_name(0)))
+            ..short_request(&format!("{}@1", adapter_name(0)))
         };
         let client = &client;
         async move {
-            // Only whole answers of this adapter's version count; what else came is lost.
-            let Ok(read) = client.complete(&ask).await else { return 0 };
+            // An answer that fails or cannot be parsed counts as lost.
+            let Ok(read) = client.complete(&request).await else { return 0 };
             let answer = read_answer(&read.text);
             answer.map_or(0, |_| read.text.split_whitespace().count() as u64)
         }
     });
     let tokens = join_all(calls).await;
-    let wanted = u64::from(options.tokens);
+    let expected = u64::from(options.tokens);
     report.streams = options.streams;
-    report.streams_whole = tokens.iter().filter(|&&count| count == wanted).count();
-    report.tokens_lost = tokens.iter().map(|count| wanted.saturating_sub(*count)).sum();
-    report.streams_ms = millis(begun.elapsed());
+    report.streams_whole = tokens.iter().filter(|&&count| count == expected).count();
+    report.tokens_lost = tokens.iter().map(|count| expected.saturating_sub(*count)).sum();
+    report.streams_ms = millis(started.elapsed());
 }
 
-/// Starts a second VM again and again, and asks it until it answers.
+/// Starts and stops a second VM repeatedly, and measures the time from each start to its first answer.
 async fn starts(
     site: &mut LocalSite,
     count: usize,
@@ -173,21 +176,22 @@
     let mut times = Vec::new();
     site.vms.push(None);
     let at = site.vms.len() - 1;
-    let ask = short_ask(&format!("{}@1", adapter_name(0)));
+    let request = short_request(&format!("{}@1", adapter_name(0)));
     for _ in 0..count {
-        let begun = Instant::now();
+        let started = Instant::now();
         site.start_vm(at).await.map_err(|error| error.to_string())?;
         let Some(address) = site.callers().last().copied() else { break };
         let client = SiteClient::new(address, &credential(0));
-        while client.complete(&ask).await.is_err() {
-            if begun.elapsed() > START_LIMIT {
-                return Err("the VM that was started does not answer".to_owned());
+        while client.complete(&request).await.is_err() {
+            if started.elapsed() > START_TIMEOUT {
+                return Err("the started VM did not answer in time".to_owned());
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        times.push(millis(begun.elapsed()));
+        times.push(millis(started.elapsed()));
         site.stop_vm(at).await;
-        // The list lags; the next life begins on a list without this one.
+        // Waits for longer than the lag of the VM list, so that the next start sees a list without this
+        // VM.
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     report.start_to_answer_p50_ms = quantile(&mut times, 0.5);
@@ -195,7 +199,7 @@
     Ok(())
 }
 
-fn short_ask(model: &str) -> CompletionAsk {
+fn short_request(model: &str) -> CompletionAsk {
     CompletionAsk {
         model: model.to_owned(),
         prompt: "chiller 4".to_owned(),
@@ -209,11 +213,11 @@
     time.as_secs_f64() * 1e3
 }
 
-/// The value that so great a part of `values` does not exceed; 0 if there is none.
-fn quantile(values: &mut [f64], part: f64) -> f64 {
+/// Returns the nearest-rank quantile; 0 if there are no values.
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let place = (part * values.len() as f64).ceil() as usize;
-    values.get(place.saturating_sub(1)).copied().unwrap_or_default()
+    let rank = (fraction * values.len() as f64).ceil() as usize;
+    values.get(rank.saturating_sub(1)).copied().unwrap_or_default()
 }
 
 fn show(report: &LatencyReport) {
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -1,5 +1,5 @@
-//! The randomised soak of coltsfoothook's decisions, as a library that tests and the load tool
-//! share. docs/FAILURES.md tells what it checks and how to replay a run.
+//! Randomised soak of coltsfoothook's decisions, used by the tests and the load tool.
+//! docs/FAILURES.md describes its checks and how to replay a run.
 //!
 //! ```
 //! use coltsfoothook_load::world::{SoakSettings, run_seed};
@@ -7,7 +7,7 @@
 //! let settings = SoakSettings { seed: 5_001, events: 1_000, ..Default::default() };
 //! let result = run_seed(&settings);
 //! assert_eq!(result.violations, []);
-//! assert_eq!(result, run_seed(&settings), "a seed replays itself");
+//! assert_eq!(result, run_seed(&settings), "a run is determined by its seed");
 //! ```
 
 pub mod call;
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -1,7 +1,6 @@
-//! `coltsfoothook-load`: measures the decisions of coltsfoothook and what they cost.
+//! `coltsfoothook-load`: measures the decisions of coltsfoothook and their costs.
 //!
-//! Each subcommand is a module of its own and prints a table for people or, with `--json`, one
-//! line for programs.
+//! Each subcommand that measures prints a table or, with `--json`, one line of JSON.
 
 mod arrival;
 mod baseline;
@@ -32,17 +31,17 @@
     /// Example: coltsfoothook-load compare --deployment wanjiru --seeds 5 --json
     #[bpaf(command("compare"))]
     Compare(#[bpaf(external(compare::compare_options))] compare::CompareOptions),
-    /// Measures what one routing decision costs.
+    /// Measures the cost of one routing decision.
     ///
     /// Example: coltsfoothook-load decide --servers 860 --adapters 16000 --json
     #[bpaf(command("decide"))]
     Decide(#[bpaf(external(decide::decide_options))] decide::DecideOptions),
-    /// Measures what control costs against the size of a site, and fits lines to it.
+    /// Measures control costs by the size of a site, and fits lines to them.
     ///
     /// Example: coltsfoothook-load slopes --plots docs/plots --json
     #[bpaf(command("slopes"))]
     Slopes(#[bpaf(external(slopes::slopes_options))] slopes::SlopesOptions),
-    /// Measures what an entry VM adds to the time to the first token.
+    /// Measures the latency that an entry VM adds to the time to the first token.
     ///
     /// Example: coltsfoothook-load latency --calls 2000 --streams 500 --json
     #[bpaf(command("latency"))]
@@ -57,7 +56,7 @@
     /// Example: coltsfoothook-load manifest --engine 127.0.0.1:7201 --service 127.0.0.1:7400
     #[bpaf(command("manifest"))]
     Manifest(#[bpaf(external(drive::manifest_options))] drive::ManifestOptions),
-    /// Runs the decisions under random faults in virtual time and checks every rule.
+    /// Runs the decisions under random faults in virtual time and checks the system's guarantees.
     ///
     /// Example: coltsfoothook-load soak --seeds 100 --first-seed 1 --json
     #[bpaf(command("soak"))]
--- a/load/src/ownership.rs
+++ b/load/src/ownership.rs
@@ -1,4 +1,4 @@
-//! How a VM of the soak runs the owners of its groups.
+//! Group owners at a soak VM.
 
 use coltsfoothook_decision::grant::{GrantRefusal, HeldGrant, SlotGrant};
 use coltsfoothook_decision::id::{
@@ -20,14 +20,14 @@
 use crate::safeguard::BrokenSafeguard;
 use crate::vm::{OwnedGroup, SoakVm};
 
-/// The number of the order that only tells an engine the epoch.
+/// Number of the order that only sends an epoch to an engine.
 const FENCE_ORDER: u64 = u64::MAX;
 
-/// Milliseconds between questions for engines' reports.
-const REPORT_MS: u64 = 250;
+/// Interval between requests for engine reports, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 250;
 
 impl SoakVm {
-    /// Begins and ends ownership as the log says.
+    /// Starts and ends owners according to the ownership in the control stream.
     pub(crate) fn sync_owners(
         &mut self,
         now: TimePoint,
@@ -35,13 +35,13 @@
         out: &mut Vec<VmOutput>,
     ) {
         for owned in std::mem::take(&mut self.owners) {
-            let in_force = self.control.owner(owned.group.as_str());
-            let mine = in_force
+            let current = self.control.owner(owned.group.as_str());
+            let mine = current
                 .is_some_and(|now| now.epoch == owned.owner.epoch() && now.owner == self.identity);
             if mine {
                 self.owners.push(owned);
             } else {
-                self.past.merge(owned.owner.invariants());
+                self.past_invariants.merge(owned.owner.invariants());
                 self.refuse_tickets(&owned.group, now, rng, out);
             }
         }
@@ -58,15 +58,16 @@
             let intents: Vec<_> = self.control.intents(group.name.as_str()).cloned().collect();
             for intent in intents.into_iter().filter(|intent| intent.epoch < owned.epoch) {
                 let event = OwnerEvent::OldIntent { server: intent.server, evict: intent.evict };
-                self.owner(now, &group.name, owned.epoch, event, rng, out);
+                self.owner_event(now, &group.name, owned.epoch, event, rng, out);
             }
-            self.owner(now, &group.name, owned.epoch, self.vm_live(), rng, out);
-            self.tell_state(now, &group, owned.epoch, rng, out);
+            self.owner_event(now, &group.name, owned.epoch, self.vm_live(), rng, out);
+            self.send_state(now, &group, owned.epoch, rng, out);
         }
     }
 
-    /// A state that was adopted whole brings no single events; owners are told all that it says.
-    pub(crate) fn tell_all_state(
+    /// Sends the control state to the owners of all groups, after a snapshot was adopted. Adopting a
+    /// snapshot produces no single events.
+    pub(crate) fn send_all_state(
         &mut self,
         now: TimePoint,
         rng: &mut dyn Rng,
@@ -74,12 +75,12 @@
     ) {
         for group in self.groups.groups().to_vec() {
             let epoch = self.control.epoch(group.name.as_str());
-            self.tell_state(now, &group, epoch, rng, out);
+            self.send_state(now, &group, epoch, rng, out);
         }
     }
 
-    /// Tells a new owner what the control stream said before it took over: it missed those events.
-    fn tell_state(
+    /// Sends drains and suspects to an owner, which has not received the events before its start.
+    fn send_state(
         &mut self,
         now: TimePoint,
         group: &EngineGroup,
@@ -90,12 +91,13 @@
         for server in &group.servers {
             let draining = self.control.server_drains(server.as_str());
             let event = OwnerEvent::ServerDraining { server: server.clone(), draining };
-            self.owner(now, &group.name, epoch, event, rng, out);
+            self.owner_event(now, &group.name, epoch, event, rng, out);
         }
         let event = OwnerEvent::Suspects(self.control.suspects().to_vec());
-        self.owner(now, &group.name, epoch, event, rng, out);
+        self.owner_event(now, &group.name, epoch, event, rng, out);
     }
 
+    /// Refuses all pending requests for grants of a group that this VM does not own any more.
     fn refuse_tickets(
         &mut self,
         group: &GroupName,
@@ -111,6 +113,8 @@
         }
     }
 
+    /// Returns the event that lists the known VMs and states whether they include a majority of the
+    /// region.
     fn vm_live(&self) -> OwnerEvent {
         let region = self.members.own().place().region.as_str();
         let own = std::iter::once(self.identity.vm.clone());
@@ -121,7 +125,8 @@
         }
     }
 
-    pub(crate) fn tell_owners(
+    /// Sends an event to all owners at this VM.
+    pub(crate) fn notify_owners(
         &mut self,
         now: TimePoint,
         event: &OwnerEvent,
@@ -131,11 +136,13 @@
         let owned: Vec<_> =
             self.owners.iter().map(|owned| (owned.group.clone(), owned.owner.epoch())).collect();
         for (group, epoch) in owned {
-            self.owner(now, &group, epoch, event.clone(), rng, out);
+            self.owner_event(now, &group, epoch, event.clone(), rng, out);
         }
     }
 
-    pub(crate) fn owner(
+    /// Sends an event to the owner of a group and carries out its actions. Ignores the event if this VM
+    /// does not own the group in `epoch`.
+    pub(crate) fn owner_event(
         &mut self,
         now: TimePoint,
         group: &GroupName,
@@ -183,7 +190,7 @@
                 out.push(VmOutput::Append(LogRecord::Control(record)));
                 if self.broken == BrokenSafeguard::IntentUnread {
                     let event = OwnerEvent::IntentRead { number, valid: true };
-                    self.owner(now, group, epoch, event, rng, out);
+                    self.owner_event(now, group, epoch, event, rng, out);
                 }
             }
             OwnerAction::SendOrder { number, server, incarnation, epoch, order } => {
@@ -191,7 +198,7 @@
                 let incarnation = Some(incarnation);
                 out.push(VmOutput::Order { group, epoch, number, server, incarnation, order });
             }
-            OwnerAction::AskHeld { vms } => self.ask_held(now, group, epoch, vms, rng, out),
+            OwnerAction::AskHeld { vms } => self.query_held(now, group, epoch, vms, rng, out),
             OwnerAction::RecordCrash { server, incarnation, suspects } => {
                 let record = ControlRecord::Crash { server, incarnation, suspects };
                 out.push(VmOutput::Append(LogRecord::Control(record)));
@@ -205,7 +212,8 @@
         }
     }
 
-    fn ask_held(
+    /// Queries VMs for the grants of earlier epochs that they hold.
+    fn query_held(
         &mut self,
         now: TimePoint,
         group: &GroupName,
@@ -215,29 +223,30 @@
         out: &mut Vec<VmOutput>,
     ) {
         for vm in vms {
-            if self.broken == BrokenSafeguard::HeldUnasked {
+            if self.broken == BrokenSafeguard::HeldQuerySkipped {
                 let Some(row) = self.members.row(vm.as_str()) else { continue };
                 let vm = row.identity().clone();
                 let event = OwnerEvent::Held { vm, grants: Vec::new() };
-                self.owner(now, group, epoch, event, rng, out);
+                self.owner_event(now, group, epoch, event, rng, out);
                 continue;
             }
             let call = HeldCall { group: group.clone(), epoch, asker: self.identity.clone() };
             if vm == self.identity.vm {
-                let reply = self.held(&call);
+                let reply = self.held_reply(&call);
                 let event = OwnerEvent::Held { vm: reply.vm, grants: reply.grants };
-                self.owner(now, group, epoch, event, rng, out);
+                self.owner_event(now, group, epoch, event, rng, out);
             } else {
                 out.push(VmOutput::Peer(vm, PeerMessage::Held(call)));
             }
         }
     }
 
-    /// Tells what is held, and uses no grant of an earlier epoch from then on.
-    pub(crate) fn held(&mut self, call: &HeldCall) -> HeldReply {
-        match self.least_epochs.iter_mut().find(|(group, _)| *group == call.group) {
+    /// Returns the grants of earlier epochs that this VM holds. From then on the VM uses no new grant of
+    /// an earlier epoch.
+    pub(crate) fn held_reply(&mut self, call: &HeldCall) -> HeldReply {
+        match self.min_epochs.iter_mut().find(|(group, _)| *group == call.group) {
             Some((_, epoch)) => *epoch = call.epoch.max(*epoch),
-            None => self.least_epochs.push((call.group.clone(), call.epoch)),
+            None => self.min_epochs.push((call.group.clone(), call.epoch)),
         }
         let running = self.calls.iter().filter_map(|call| match &call.phase {
             CallPhase::Running { grant } => Some((grant, call)),
@@ -258,42 +267,45 @@
         HeldReply { vm: self.identity.clone(), grants }
     }
 
+    /// Replies to a request for a grant that arrived under `ticket`.
     pub(crate) fn ticket_done(
         &mut self,
         now: TimePoint,
         ticket: u64,
-        answer: Result<SlotGrant, GrantRefusal>,
+        reply: Result<SlotGrant, GrantRefusal>,
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
         let Some(at) = self.tickets.iter().position(|(known, ..)| *known == ticket) else { return };
-        let (_, from, theirs, _) = self.tickets.swap_remove(at);
-        if let Ok(grant) = &answer {
+        let (_, from, remote_id, _) = self.tickets.swap_remove(at);
+        if let Ok(grant) = &reply {
             let given =
-                GivenGrant { asker: from.clone(), question: theirs, grant: grant.id.clone() };
+                GivenGrant { requester: from.clone(), request: remote_id, grant: grant.id.clone() };
             self.given.push(given);
         }
         if from == self.identity.vm {
-            self.reserved(now, theirs, answer, rng, out);
+            self.handle_reserved(now, remote_id, reply, rng, out);
         } else {
-            out.push(VmOutput::Peer(from, PeerMessage::Reserved(theirs, answer)));
+            out.push(VmOutput::Peer(from, PeerMessage::Reserved(remote_id, reply)));
         }
     }
 
+    /// Sends the log's and the VMs' state and a tick to all owners, and requests engine reports at an
+    /// interval. Sends the fence order first to engines that need it.
     pub(crate) fn tick_owners(
         &mut self,
         now: TimePoint,
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
-        self.tell_owners(now, &OwnerEvent::LogState { writable: self.log_up }, rng, out);
+        self.notify_owners(now, &OwnerEvent::LogState { writable: self.log_up }, rng, out);
         let live = self.vm_live();
-        self.tell_owners(now, &live, rng, out);
-        self.tell_owners(now, &OwnerEvent::Tick, rng, out);
-        if now.since(self.reported) < REPORT_MS * MICROS_PER_MILLI {
+        self.notify_owners(now, &live, rng, out);
+        self.notify_owners(now, &OwnerEvent::Tick, rng, out);
+        if now.since(self.reports_requested) < REPORT_INTERVAL_MS * MICROS_PER_MILLI {
             return;
         }
-        self.reported = now;
+        self.reports_requested = now;
         for owned in &self.owners {
             let listed = self.groups.find_group(owned.group.as_str());
             let servers = listed.map(|group| group.servers.clone()).unwrap_or_default();
@@ -306,18 +318,20 @@
         }
     }
 
-    /// An engine that checks fencing numbers learns a new epoch only from an order. Until then a
-    /// deposed owner that was paused may still evict there, under the requests of the new owner;
-    /// so the new owner tells the engine its epoch before it takes any slot over.
+    /// Returns whether an engine must receive the owner's epoch before the owner uses its reports.
+    ///
+    /// An engine that checks fencing numbers receives a new epoch only with an order. Until then a
+    /// deposed owner that was paused could still evict adapters there that the new owner's requests
+    /// use.
     fn must_fence(&self, owned: &OwnedGroup, server: &ServerName) -> bool {
         let entry = self.config.manifest().server(server.as_str());
         let kind = entry.map(|entry| &entry.serves);
         let checks = matches!(kind, Some(ServerKind::Engine(engine)) if engine.checks_fencing);
-        let broken = self.broken == BrokenSafeguard::FenceUntold;
+        let broken = self.broken == BrokenSafeguard::FenceNotSent;
         checks && !broken && !owned.fenced.contains(server)
     }
 
-    /// An engine's report came, or none did.
+    /// Handles an engine's report; `None` if the engine did not return one.
     pub fn report(
         &mut self,
         now: TimePoint,
@@ -332,10 +346,10 @@
             Some(report) => OwnerEvent::Report { server, report },
             None => OwnerEvent::ReportFailed { server },
         };
-        self.owner(now, group, epoch, event, rng, out);
+        self.owner_event(now, group, epoch, event, rng, out);
     }
 
-    /// An order ended.
+    /// Handles the end of an order.
     pub fn ordered(
         &mut self,
         now: TimePoint,
@@ -351,7 +365,7 @@
             }
             return;
         }
-        self.owner(now, &group, epoch, OwnerEvent::OrderDone { number, result }, rng, out);
+        self.owner_event(now, &group, epoch, OwnerEvent::OrderDone { number, result }, rng, out);
     }
 }
 
--- a/load/src/plot.rs
+++ b/load/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of slopes as SVG, with the target marked.
+//! SVG plots of measured slopes, with the target marked.
 
 use std::path::Path;
 
@@ -7,14 +7,14 @@
 use crate::slopes::MeasuredSlope;
 
 const SIZE: (u32, u32) = (720, 420);
-/// Room above the highest value, as a factor.
+/// Factor by which the axes exceed the largest size and value.
 const HEADROOM: f64 = 1.1;
 
 /// Draws the points, the fitted line up to the target, and the target, into `<directory>/<name>.svg`.
 ///
 /// # Errors
 ///
-/// The file cannot be written, in words.
+/// The file cannot be written; the error is a message with its path.
 pub(crate) fn draw(directory: &Path, slope: &MeasuredSlope) -> Result<(), String> {
     std::fs::create_dir_all(directory).map_err(|error| error.to_string())?;
     let path = directory.join(format!("{}.svg", slope.name));
--- a/load/src/safeguard.rs
+++ b/load/src/safeguard.rs
@@ -1,40 +1,40 @@
-//! Safeguards that a run of the soak can break on purpose.
+//! Safeguards that a soak run can disable, to show that its checks detect the consequences.
 
-/// A safeguard that a run breaks on purpose, to show that the checks would notice.
+/// The safeguard that a soak run disables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenSafeguard {
-    /// None.
+    /// No safeguard is disabled.
     None,
-    /// A new owner is told that no VM holds anything.
-    HeldUnasked,
-    /// A claim is taken for won when it is appended.
+    /// A new owner does not query the VMs for held grants and assumes that there are none.
+    HeldQuerySkipped,
+    /// A claim counts as won once it is appended, without reading it back.
     ClaimUnread,
-    /// A restarted VM runs keys of its earlier life.
+    /// A restarted VM runs keys that an earlier incarnation of it issued.
     IssuedReused,
-    /// An intent is taken for valid when it is appended.
+    /// An intent counts as valid once it is appended, without reading it back.
     IntentUnread,
-    /// A grant is used however late it comes.
+    /// A grant is used after its time limit.
     GrantLate,
-    /// A VM uses grants of earlier epochs after it told the new owner what it holds.
+    /// A VM uses grants of earlier epochs after it reported its held grants to the new owner.
     OldEpochUsed,
-    /// A resend to another VM runs there without asking the issuer.
-    RevokeUnasked,
-    /// A new owner does not tell engines that check fencing numbers of its epoch.
-    FenceUntold,
+    /// A VM that did not issue the key runs a resend without a revocation by the issuer.
+    RevocationSkipped,
+    /// A new owner does not send its epoch to engines that check fencing numbers.
+    FenceNotSent,
 }
 
 impl BrokenSafeguard {
-    /// All of them, with their names on the command line.
+    /// All values, with their names on the command line.
     pub const ALL: [(Self, &'static str); 9] = [
         (Self::None, "none"),
-        (Self::HeldUnasked, "held-unasked"),
+        (Self::HeldQuerySkipped, "held-unasked"),
         (Self::ClaimUnread, "claim-unread"),
         (Self::IssuedReused, "issued-reused"),
         (Self::IntentUnread, "intent-unread"),
         (Self::GrantLate, "grant-late"),
         (Self::OldEpochUsed, "old-epoch-used"),
-        (Self::RevokeUnasked, "revoke-unasked"),
-        (Self::FenceUntold, "fence-untold"),
+        (Self::RevocationSkipped, "revoke-unasked"),
+        (Self::FenceNotSent, "fence-untold"),
     ];
 }
 
@@ -50,6 +50,6 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let found = Self::ALL.iter().find(|(_, name)| *name == text).map(|(known, _)| *known);
-        found.ok_or_else(|| format!("no safeguard is called {text:?}"))
+        found.ok_or_else(|| format!("unknown safeguard {text:?}"))
     }
 }
--- a/load/src/sample.rs
+++ b/load/src/sample.rs
@@ -1,4 +1,4 @@
-//! What a site in one process spent between two moments.
+//! Resource consumption of a local site over a period.
 
 use std::ops::Sub;
 use std::time::{Duration, Instant};
@@ -7,37 +7,37 @@
 use coltsfoothook_telemetry::process_figures;
 use serde::Serialize;
 
-/// Sums over all VMs of the site since its start.
+/// Counters of a site since its start, or their differences over a period.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(crate) struct SiteFigures {
-    /// Seconds on the clock.
+    /// Wall-clock seconds.
     pub(crate) seconds: f64,
-    /// Processor seconds of the process: VMs, stand-ins and callers.
+    /// CPU seconds of the process: VMs, stand-in servers and callers.
     pub(crate) cpu_s: f64,
-    /// Control bytes, both ways, at each VM; a message between two VMs counts at both.
+    /// Control bytes sent and received, over all VMs; a message between two VMs counts at both.
     pub(crate) bytes: f64,
-    /// Of them, those of grants and releases.
+    /// The part of `bytes` that belongs to grants and releases.
     pub(crate) grant_bytes: f64,
-    /// Of them, those of probes.
+    /// The part of `bytes` that belongs to probes.
     pub(crate) probe_bytes: f64,
-    /// Control messages, counted likewise.
+    /// Control messages sent and received, counted like `bytes`.
     pub(crate) messages: f64,
-    /// Of them, those of grants and releases.
+    /// The part of `messages` that belongs to grants and releases.
     pub(crate) grant_messages: f64,
-    /// Appends that the log took.
+    /// Appends that the log accepted.
     pub(crate) appends: f64,
-    /// Records in them.
+    /// Records in these appends.
     pub(crate) records: f64,
     /// Reads that the log answered.
     pub(crate) reads: f64,
 }
 
 impl SiteFigures {
-    /// Reads the figures of a site; `origin` is when the measurement began.
+    /// Reads the counters of a site; `seconds` counts from `origin`.
     ///
     /// # Errors
     ///
-    /// A VM does not show its metrics.
+    /// The metrics of a VM cannot be read.
     pub(crate) async fn read(site: &LocalSite, origin: Instant) -> Result<Self, SiteFailure> {
         let mut figures = Self::default();
         for address in site.operators() {
@@ -53,11 +53,11 @@
         Ok(figures)
     }
 
-    /// What the site spends in `time`.
+    /// Waits for `time` and returns the site's consumption in it.
     ///
     /// # Errors
     ///
-    /// A VM does not show its metrics.
+    /// The metrics of a VM cannot be read.
     pub(crate) async fn during(site: &LocalSite, time: Duration) -> Result<Self, SiteFailure> {
         let origin = Instant::now();
         let before = Self::read(site, origin).await?;
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -1,8 +1,8 @@
-//! `slopes`: what control costs against the size of a site; docs/CAPACITY.md builds on it.
+//! `slopes`: control costs by the size of a site, which docs/CAPACITY.md evaluates.
 //!
-//! Sites run in this one process, with stand-ins and callers. Bytes and messages are those that the
-//! VMs count; processor time and memory are the process's, so they hold the stand-ins' share too and
-//! are upper bounds for the VMs.
+//! Each site runs in this process, with stand-in servers and callers. Bytes and messages are counted by
+//! the VMs. CPU time and memory are those of the process and include the stand-in servers, so they are
+//! upper bounds for the VMs.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -25,29 +25,30 @@
 use crate::plot;
 use crate::sample::SiteFigures;
 
-/// VMs and servers of the target, and what else a slope is followed to.
+/// Target sizes, to which the fitted lines are extrapolated.
 const TARGET_VMS: f64 = 360.0;
 const TARGET_SERVERS: f64 = 860.0;
 const TARGET_ADAPTERS: f64 = 16_000.0;
 const TARGET_REQUESTS: f64 = 3_100.0;
 const TARGET_LOADS_HOUR: f64 = 4_800.0;
 const TARGET_CHANGES: f64 = 5_000.0;
-/// Adapters of the sites whose adapters are not varied.
+/// Number of adapters where adapters are not varied.
 const SITE_ADAPTERS: usize = 16;
-/// VMs of the sites whose VMs are not varied.
+/// Number of VMs where VMs are not varied.
 const SITE_VMS: usize = 6;
-/// How long a site is left alone before it counts as at rest.
-const REST: Duration = Duration::from_secs(10);
+/// Time to wait after the start of a site until its start-up traffic has ended.
+const SETTLE_TIME: Duration = Duration::from_secs(10);
 const PERCENT: f64 = 100.0;
 const MEGABYTE: f64 = 1e6;
 
 /// Options of `slopes`.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct SlopesOptions {
-    /// Only these: vms, servers, owners, adapters, requests, claims, loads, changes
+    /// Measure only this; may be given several times: vms, servers, owners, adapters, requests,
+    /// claims, loads, changes
     #[bpaf(argument("NAME"))]
     only: Vec<String>,
-    /// Milliseconds that each point is measured
+    /// Duration of the measurement of each point in milliseconds
     #[bpaf(argument("MS"), fallback(3_000), display_fallback)]
     measure_ms: u64,
     /// Write plots into this directory
@@ -57,7 +58,7 @@
     json: bool,
 }
 
-/// One slope, with the line through it and what it comes to at the target.
+/// One measured slope, with its fitted line and the extrapolated value at the target.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct MeasuredSlope {
     pub(crate) name: String,
@@ -69,15 +70,16 @@
     pub(crate) projected: f64,
 }
 
+/// Result of all measurements; the field names are JSON keys.
 #[derive(Clone, Debug, Serialize)]
 struct SlopesReport {
     measure_ms: u64,
     slopes: Vec<MeasuredSlope>,
-    /// Measurements that could not be made, with the cause.
+    /// Failed measurements, with the cause.
     failed: Vec<String>,
 }
 
-/// Why a slope cannot be measured.
+/// Why a measurement failed.
 #[derive(Debug)]
 enum SlopeFailure {
     Site(SiteError),
@@ -99,13 +101,13 @@
 impl std::fmt::Display for SlopeFailure {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Site(error) => write!(formatter, "the site does not come up: {error}"),
-            Self::Call(failure) => write!(formatter, "a call failed: {failure}"),
+            Self::Site(error) => write!(formatter, "site failed: {error}"),
+            Self::Call(failure) => write!(formatter, "call failed: {failure}"),
         }
     }
 }
 
-/// Slopes over the same sizes.
+/// Slopes that are measured at the same sizes.
 struct SlopeSet {
     size_unit: &'static str,
     target: f64,
@@ -117,6 +119,7 @@
         Self { size_unit, target, slopes: Vec::new() }
     }
 
+    /// Adds a point to the slope `name`, which is created with the first point.
     fn add(&mut self, name: &str, unit: &str, size: f64, value: f64) {
         let point = SlopePoint { size, value };
         if let Some(slope) = self.slopes.iter_mut().find(|slope| slope.name == name) {
@@ -134,6 +137,7 @@
         });
     }
 
+    /// Fits a line to each slope and extrapolates it to the target.
     fn fitted(mut self) -> Vec<MeasuredSlope> {
         for slope in &mut self.slopes {
             slope.fit = LineFit::of(&slope.points);
@@ -147,7 +151,7 @@
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("cannot start: {error}");
+            eprintln!("cannot start the runtime: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -156,40 +160,40 @@
 }
 
 async fn measure(options: &SlopesOptions) -> SlopesReport {
-    let wanted = |name: &str| options.only.is_empty() || options.only.iter().any(|it| it == name);
+    let selected = |name: &str| options.only.is_empty() || options.only.iter().any(|it| it == name);
     let time = Duration::from_millis(options.measure_ms);
     let (mut slopes, mut failed) = (Vec::new(), Vec::new());
-    // Without a site first, and the smaller first: the allocator keeps what was given back, which
-    // hides later growth.
-    if wanted("owners") {
+    // Runs measurements without a site first, and small ones first: the allocator keeps freed memory, so
+    // growth after a larger measurement would not show.
+    if selected("owners") {
         slopes.extend(owners());
     }
-    if wanted("adapters") {
+    if selected("adapters") {
         slopes.extend(adapters());
     }
-    if wanted("vms") {
-        take("vms", vms(time).await, &mut slopes, &mut failed);
+    if selected("vms") {
+        collect("vms", vms(time).await, &mut slopes, &mut failed);
     }
-    if wanted("servers") {
-        take("servers", servers(time).await, &mut slopes, &mut failed);
+    if selected("servers") {
+        collect("servers", servers(time).await, &mut slopes, &mut failed);
     }
-    if wanted("requests") {
-        take("requests", requests("request", true, time).await, &mut slopes, &mut failed);
+    if selected("requests") {
+        collect("requests", requests("request", true, time).await, &mut slopes, &mut failed);
     }
-    if wanted("claims") {
-        take("claims", requests("claim", false, time).await, &mut slopes, &mut failed);
+    if selected("claims") {
+        collect("claims", requests("claim", false, time).await, &mut slopes, &mut failed);
     }
-    if wanted("loads") {
-        take("loads", loads().await, &mut slopes, &mut failed);
+    if selected("loads") {
+        collect("loads", loads().await, &mut slopes, &mut failed);
     }
-    if wanted("changes") {
-        take("changes", changes().await, &mut slopes, &mut failed);
+    if selected("changes") {
+        collect("changes", changes().await, &mut slopes, &mut failed);
     }
     SlopesReport { measure_ms: options.measure_ms, slopes, failed }
 }
 
-/// Keeps what was measured; a measurement that failed does not take the others with it.
-fn take(
+/// Appends the slopes of a measurement, or its failure.
+fn collect(
     name: &str,
     measured: Result<Vec<MeasuredSlope>, SlopeFailure>,
     slopes: &mut Vec<MeasuredSlope>,
@@ -230,8 +234,8 @@
         progress("vms", vms as u32);
         let before = process_figures().resident_bytes;
         let site = LocalSite::start(settings(vms, 2)).await?;
-        // News of the start rides on probes for a while; a site at rest has none.
-        tokio::time::sleep(REST).await;
+        // Probes carry membership updates for a while after the start.
+        tokio::time::sleep(SETTLE_TIME).await;
         let spent = SiteFigures::during(&site, time).await?;
         let resident = process_figures().resident_bytes.saturating_sub(before) as f64;
         let each = vms as f64 * spent.seconds;
@@ -252,7 +256,7 @@
     let mut set = SlopeSet::new("backend servers in all", TARGET_SERVERS);
     for engines in [4, 8, 16, 32, 64] {
         progress("servers", engines as u32);
-        // One group, as the site waits for as many owners as full groups would have.
+        // Puts all engines into one group, since the site expects as many owners as full groups have.
         let mut settings = settings(SITE_VMS, engines);
         settings.policy.group_servers = settings.policy.group_servers.max(engines as u32);
         let site = LocalSite::start(settings).await?;
@@ -265,7 +269,7 @@
     Ok(set.fitted())
 }
 
-/// Completions at several rates; those that are not repeatable are claimed in the log.
+/// Measures completions at several rates. Completions that are not repeatable are claimed in the log.
 async fn requests(
     name: &str,
     repeatable: bool,
@@ -278,7 +282,7 @@
         progress(name, rate);
         let origin = Instant::now();
         let before = SiteFigures::read(&site, origin).await?;
-        let done = ask_at(&site, rate, repeatable, time).await;
+        let done = send_completions(&site, rate, repeatable, time).await;
         let spent = SiteFigures::read(&site, origin).await? - before;
         let (size, seconds) = (f64::from(done) / spent.seconds, spent.seconds);
         let named = |what: &str| format!("{name}-{what}");
@@ -298,8 +302,8 @@
     Ok(set.fitted())
 }
 
-/// Sends so many completions a second, evenly to all VMs, and returns how many were done.
-async fn ask_at(site: &LocalSite, rate: u32, repeatable: bool, time: Duration) -> u32 {
+/// Sends completions at a fixed rate for `time`, round-robin to all VMs. Returns how many succeeded.
+async fn send_completions(site: &LocalSite, rate: u32, repeatable: bool, time: Duration) -> u32 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static KEYS: AtomicU64 = AtomicU64::new(0);
     let clients: Vec<SiteClient> =
@@ -309,16 +313,16 @@
         return 0;
     }
     let count = (f64::from(rate) * time.as_secs_f64()) as usize;
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let calls = (0..count).map(|number| {
         let client = &clients[number % clients.len()];
-        let due = begun + Duration::from_secs_f64(number as f64 / f64::from(rate));
-        // The site has two tenants, and the even adapters belong to the first.
+        let due = started + Duration::from_secs_f64(number as f64 / f64::from(rate));
+        // The site has two tenants; the client's tenant has the adapters with even numbers.
         let adapter = number / clients.len() * 2 % SITE_ADAPTERS;
         let key = (!repeatable).then(|| {
             format!("load-{}-{}", std::process::id(), KEYS.fetch_add(1, Ordering::Relaxed))
         });
-        let ask = CompletionAsk {
+        let request = CompletionAsk {
             model: format!("{}@1", adapter_name(adapter)),
             prompt: format!("chiller {number}"),
             max_tokens: 8,
@@ -328,13 +332,14 @@
         };
         async move {
             tokio::time::sleep_until(due).await;
-            u32::from(client.complete(&ask).await.is_ok())
+            u32::from(client.complete(&request).await.is_ok())
         }
     });
     join_all(calls).await.into_iter().sum()
 }
 
-/// First requests of cold adapters, on engines that ignore fencing numbers: each load has an intent.
+/// Measures first requests of adapters that are not loaded, on engines that ignore fencing numbers, where
+/// each load needs an intent in the log.
 async fn loads() -> Result<Vec<MeasuredSlope>, SlopeFailure> {
     let mut set = SlopeSet::new("loads", TARGET_LOADS_HOUR);
     let mut settings = settings(SITE_VMS, 4);
@@ -351,8 +356,8 @@
         let client = SiteClient::new(site.callers()[0], &credential(0));
         for number in next..next + count {
             let model = format!("{}@1", adapter_name(number * 2 % 256));
-            let ask = CompletionAsk { model, max_tokens: 2, ..Default::default() };
-            client.complete(&ask).await?;
+            let request = CompletionAsk { model, max_tokens: 2, ..Default::default() };
+            client.complete(&request).await?;
         }
         next += count;
         let spent = SiteFigures::read(&site, Instant::now()).await? - before;
@@ -363,7 +368,7 @@
     Ok(set.fitted())
 }
 
-/// Publications of one adapter each.
+/// Measures publications that change one adapter each.
 async fn changes() -> Result<Vec<MeasuredSlope>, SlopeFailure> {
     let mut set = SlopeSet::new("changes", TARGET_CHANGES);
     let mut settings = settings(SITE_VMS, 2);
@@ -378,13 +383,18 @@
         for _ in 0..count {
             let base = site.newest_version();
             let delta = one_delta(&site.manifest.adapters[7]);
-            let call = json!({
+            let body = json!({
                 "base": base, "publish_id": format!("change-on-{base}"), "change": { "delta": delta },
             });
-            client.json(Method::POST, "/v1/publish", Some(call)).await?;
+            client.json(Method::POST, "/v1/publish", Some(body)).await?;
             let accepted = Instant::now();
             let everywhere = |site: &LocalSite| site.running().all(|vm| vm.config_version() > base);
-            site.wait_for("a change in force", Duration::from_secs(8), everywhere).await?;
+            site.wait_for(
+                "a change to be in force at every VM",
+                Duration::from_secs(8),
+                everywhere,
+            )
+            .await?;
             slowest = slowest.max(accepted.elapsed());
         }
         let spent = SiteFigures::read(&site, Instant::now()).await? - before;
@@ -418,7 +428,7 @@
     if let Some(directory) = &options.plots {
         for slope in &report.slopes {
             if let Err(failure) = plot::draw(directory, slope) {
-                eprintln!("cannot draw: {failure}");
+                eprintln!("cannot write a plot: {failure}");
                 return ExitCode::FAILURE;
             }
         }
--- a/load/src/soak.rs
+++ b/load/src/soak.rs
@@ -1,4 +1,4 @@
-//! `coltsfoothook-load soak`: long randomised runs of the decisions under faults.
+//! `soak`: randomised runs of the decisions under faults.
 
 use std::process::ExitCode;
 
@@ -9,27 +9,26 @@
 /// Options of `soak`.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct SoakOptions {
-    /// How many seeds to run.
+    /// Number of seeds to run.
     #[bpaf(argument("N"), fallback(10))]
     pub(crate) seeds: u64,
     /// The first seed.
     #[bpaf(argument("S"), fallback(1))]
     pub(crate) first_seed: u64,
-    /// Events of each seed while faults are injected.
+    /// Number of events of each seed while faults are injected.
     #[bpaf(argument("E"), fallback(30_000))]
     pub(crate) events: u64,
-    /// Only kill and pause VMs, and often, so that ownership moves all the time.
+    /// Inject only killed and paused VMs, and these more often, so that ownership moves continually.
     pub(crate) vm_faults: bool,
-    /// Breaks a safeguard on purpose, to show that the checks notice: held-unasked, claim-unread,
-    /// issued-reused, intent-unread, grant-late, old-epoch-used,
-    /// revoke-unasked or fence-untold.
+    /// Disable a safeguard, to show that the checks detect it: held-unasked, claim-unread,
+    /// issued-reused, intent-unread, grant-late, old-epoch-used, revoke-unasked or fence-untold.
     #[bpaf(argument("SAFEGUARD"), fallback(BrokenSafeguard::None))]
     pub(crate) broken: BrokenSafeguard,
     /// Print one JSON line.
     pub(crate) json: bool,
 }
 
-/// What all seeds did together.
+/// Sums over all seeds; the field names are JSON keys.
 #[derive(Debug, Default, serde::Serialize)]
 struct SoakTotals {
     seeds: u64,
@@ -47,10 +46,12 @@
     takeovers: u64,
     unloads: u64,
     violations: u64,
+    /// Command that replays the first seed with a violation.
     replay: Option<String>,
     first_violation: Option<String>,
 }
 
+/// Runs the seeds and prints the results. The exit code is 1 if there was a violation.
 pub(crate) fn run(options: &SoakOptions) -> ExitCode {
     let mut totals =
         SoakTotals { seeds: options.seeds, first_seed: options.first_seed, ..Default::default() };
--- a/load/src/traffic.rs
+++ b/load/src/traffic.rs
@@ -14,20 +14,22 @@
 use crate::vm::TENANT;
 use crate::world::{CallerRequest, REGION, SoakWorld, VmEvent, WorldEvent};
 
-/// Milliseconds after which a caller sends a request again that got no answer.
-const CALLER_PATIENCE_MS: u64 = 25_000;
-/// The same for a caller that hedges: it sends again while it still waits.
+/// Time after which a caller resends a request without an answer, in milliseconds.
+const CALLER_TIMEOUT_MS: u64 = 25_000;
+/// Time after which a caller that hedges resends a request, while it still waits for the first
+/// attempt, in milliseconds.
 const HEDGE_MS: u64 = 300;
-/// How often a caller sends a request.
-const CALLER_TRIES: u32 = 4;
-/// Milliseconds after its first try beyond which a caller does not send a key again. With the
-/// longest pause of a VM it stays within the time for which the log keeps the claim.
+/// Maximum number of times that a caller sends a request.
+const MAX_CALLER_ATTEMPTS: u32 = 4;
+/// Time after the first attempt in which a caller may resend a key, in milliseconds. Together with the
+/// longest pause of a VM it is shorter than the log's retention of the claim.
 const CALLER_WINDOW_MS: u64 = 30_000;
-/// Milliseconds after which a caller submits a job again that was not accepted.
-const JOB_PATIENCE_MS: u64 = 4_000;
+/// Time after which a caller resubmits a job that was not accepted, in milliseconds.
+const JOB_TIMEOUT_MS: u64 = 4_000;
 
 impl SoakWorld {
-    pub(crate) fn first_manifest(&self) -> ServingManifest {
+    /// Returns the manifest that is published before the VMs start.
+    pub(crate) fn initial_manifest(&self) -> ServingManifest {
         ServingManifest {
             models: vec![ModelEntry { name: MODEL.into() }],
             adapters: (0..self.settings.adapters).map(adapter_entry).collect(),
@@ -60,9 +62,9 @@
         }
     }
 
-    /// A new request arrives.
+    /// Creates a request, and schedules its sending and the next arrival.
     pub(crate) fn arrive(&mut self) {
-        if self.calm {
+        if self.settling {
             return;
         }
         let number = self.requests.len();
@@ -80,13 +82,13 @@
         };
         let hedged = self.chance(300);
         let first = self.now;
-        self.requests.push(CallerRequest { name, kind, hedged, first, tries: 0, done: false });
+        self.requests.push(CallerRequest { name, kind, hedged, first, attempts: 0, done: false });
         self.push(0, WorldEvent::Resend(number));
         let wait = self.rng.random_range(10..120);
         self.push(wait, WorldEvent::Arrive);
     }
 
-    /// Popularity is skewed, and drifts as time passes.
+    /// Draws an adapter. Low numbers are more popular; the popularity shifts by one adapter every 20 s.
     fn draw_adapter(&mut self) -> AdapterVersion {
         let count = self.settings.adapters;
         let first = self.rng.random_range(0..count);
@@ -96,58 +98,59 @@
         AdapterVersion { adapter: format!("adapter-{at:03}").into(), version: "1".into() }
     }
 
+    /// Returns a key issued by a random VM, or one of the caller's own if that VM is down.
     fn issued_key(&mut self, number: usize) -> String {
-        let at = self.rng.random_range(0..self.seats.len());
-        match &mut self.seats[at].vm {
+        let at = self.rng.random_range(0..self.hosts.len());
+        match &mut self.hosts[at].vm {
             Some(vm) => vm.claims.issue().0,
             None => format!("own-{number}"),
         }
     }
 
-    /// A caller sends a request, the first time or again, to any VM: it keeps old answers on which
-    /// addresses to use.
+    /// Sends a request, for the first time or again. The first attempt goes to the VM that issued the
+    /// key, if one did, all others to a random VM, which may be down.
     pub(crate) fn resend(&mut self, number: usize) {
-        let tries = self.requests[number].tries;
+        let attempts = self.requests[number].attempts;
         let request = &self.requests[number];
-        let old = self.now.since(request.first) > CALLER_WINDOW_MS * MICROS_PER_MILLI;
-        if request.done || old || tries >= CALLER_TRIES {
+        let expired = self.now.since(request.first) > CALLER_WINDOW_MS * MICROS_PER_MILLI;
+        if request.done || expired || attempts >= MAX_CALLER_ATTEMPTS {
             return;
         }
-        self.requests[number].tries += 1;
+        self.requests[number].attempts += 1;
         let request = &self.requests[number];
         let kind = match &request.kind {
             SoakKind::Service { key, .. } => {
-                let first_try = tries == 0 && !request.hedged;
+                let first_try = attempts == 0 && !request.hedged;
                 SoakKind::Service { key: key.clone(), first_try }
             }
-            // A completion is sent again as a new request; the oracle knows it by a new name.
-            kind if tries == 0 => kind.clone(),
+            // Model requests are sent once.
+            kind if attempts == 0 => kind.clone(),
             _ => return,
         };
         let name = request.name.clone();
-        let at = self.rng.random_range(0..self.seats.len());
-        let at = self.issuer_of(number).filter(|_| tries == 0).unwrap_or(at);
-        let life = self.seats[at].life;
+        let at = self.rng.random_range(0..self.hosts.len());
+        let at = self.issuer_of(number).filter(|_| attempts == 0).unwrap_or(at);
+        let generation = self.hosts[at].generation;
         let hedged = request.hedged;
-        let number_of_try = u64::from(tries) + 1;
-        let request = SoakRequest { number: number as u64, number_of_try, name, kind };
-        self.push(1, WorldEvent::Vm(at, life, VmEvent::Request(request)));
-        let patience = if hedged { HEDGE_MS } else { CALLER_PATIENCE_MS };
-        self.push(patience, WorldEvent::Resend(number));
+        let attempt = u64::from(attempts) + 1;
+        let request = SoakRequest { number: number as u64, attempt, name, kind };
+        self.push(1, WorldEvent::Vm(at, generation, VmEvent::Request(request)));
+        let timeout = if hedged { HEDGE_MS } else { CALLER_TIMEOUT_MS };
+        self.push(timeout, WorldEvent::Resend(number));
     }
 
+    /// Returns the VM that issued the request's key, if any.
     fn issuer_of(&self, number: usize) -> Option<usize> {
         let name = &self.requests[number].name;
-        self.seats.iter().position(|seat| name.starts_with(&format!("cf1.{}.", seat.name)))
+        self.hosts.iter().position(|host| name.starts_with(&format!("cf1.{}.", host.name)))
     }
 
-    /// A caller is answered. One that is told "unknown" sends the same key again, as careless
-    /// callers do. One that lost patience has closed its connection and hears nothing more of that
-    /// try, unless it hedges: then it keeps both.
-    pub(crate) fn answered(&mut self, number: u64, number_of_try: u64, outcome: RequestOutcome) {
+    /// Handles an answer to a caller. A caller resends the same key after the outcome "unknown". A caller
+    /// that timed out does not receive answers to earlier attempts, unless it hedges.
+    pub(crate) fn answered(&mut self, number: u64, attempt: u64, outcome: RequestOutcome) {
         let number = number as usize;
         let request = &self.requests[number];
-        if !request.hedged && u64::from(request.tries) != number_of_try {
+        if !request.hedged && u64::from(request.attempts) != attempt {
             return;
         }
         let name = self.requests[number].name.clone();
@@ -159,10 +162,10 @@
         }
     }
 
-    /// Two operators publish, often on the same base; now and then one repeats itself, is wrong or
-    /// is late.
+    /// Publishes two changes, often with the same base version. Some are repeated after a delay, and some
+    /// are invalid.
     pub(crate) fn publish(&mut self) {
-        if self.calm {
+        if self.settling {
             return;
         }
         for _ in 0..2 {
@@ -174,17 +177,18 @@
             let wait = self.rng.random_range(0..400);
             self.push(wait, WorldEvent::Republish(record.clone()));
             if self.chance(300) {
-                let late = self.rng.random_range(0..30_000);
-                self.push(late, WorldEvent::Republish(record));
+                let delay = self.rng.random_range(0..30_000);
+                self.push(delay, WorldEvent::Republish(record));
             }
         }
         let wait = self.rng.random_range(300..5_000);
         self.push(wait, WorldEvent::Publish);
     }
 
+    /// Returns the version in force at a random VM, or version 1 if it is down.
     fn some_version(&mut self) -> ConfigVersion {
-        let at = self.rng.random_range(0..self.seats.len());
-        let vm = self.seats[at].vm.as_ref();
+        let at = self.rng.random_range(0..self.hosts.len());
+        let vm = self.hosts[at].vm.as_ref();
         vm.map_or(ConfigVersion(1), |vm| vm.config.version())
     }
 
@@ -199,9 +203,9 @@
         ConfigChange::Delta(ManifestDelta { put, remove: Default::default() })
     }
 
-    /// A caller submits an audit job, and again until it is told that it is accepted.
+    /// Creates and submits an audit job, and schedules the next one.
     pub(crate) fn job(&mut self) {
-        if self.calm {
+        if self.settling {
             return;
         }
         self.jobs += 1;
@@ -219,15 +223,16 @@
         self.push(wait, WorldEvent::Job);
     }
 
-    pub(crate) fn resubmit(&mut self, entry: JobEntry, tries: u32) {
+    /// Submits a job to a random VM, unless it was accepted, and schedules the next attempt.
+    pub(crate) fn resubmit(&mut self, entry: JobEntry, attempts: u32) {
         let accepted = self.oracle.knows_job(entry.job.as_str());
-        if accepted || tries >= CALLER_TRIES {
+        if accepted || attempts >= MAX_CALLER_ATTEMPTS {
             return;
         }
-        let at = self.rng.random_range(0..self.seats.len());
-        let life = self.seats[at].life;
-        self.push(1, WorldEvent::Vm(at, life, VmEvent::Submit(entry.clone())));
-        self.push(JOB_PATIENCE_MS, WorldEvent::Resubmit(entry, tries + 1));
+        let at = self.rng.random_range(0..self.hosts.len());
+        let generation = self.hosts[at].generation;
+        self.push(1, WorldEvent::Vm(at, generation, VmEvent::Submit(entry.clone())));
+        self.push(JOB_TIMEOUT_MS, WorldEvent::Resubmit(entry, attempts + 1));
     }
 }
 
--- a/load/src/vm.rs
+++ b/load/src/vm.rs
@@ -1,7 +1,8 @@
-//! One entry VM of the soak: the decisions of coltsfoothook, wired as in the entry process.
+//! An entry VM of the soak: the state machines of the `decision` package, connected as in the entry
+//! process.
 //!
-//! The VM turns messages into events of the state machines and their actions into outputs, which
-//! the world carries. It keeps nothing between lives.
+//! The VM turns messages into events of the state machines, and their actions into outputs that the
+//! world carries out. It keeps no state across restarts.
 
 use coltsfoothook_decision::claim::{ClaimSettings, ClaimTable};
 use coltsfoothook_decision::config::ConfigFold;
@@ -32,43 +33,44 @@
 use crate::fake::{LogPage, LogRecord, LogStream};
 use crate::safeguard::BrokenSafeguard;
 
-/// Milliseconds between questions for what a VM missed while it cannot read the log.
-const CATCH_UP_MS: u64 = 1_000;
-/// Bits for the numbers of one life of a VM.
+/// Interval between catch-up queries of a VM that cannot read the log, in milliseconds.
+const CATCH_UP_INTERVAL_MS: u64 = 1_000;
+/// Number of low bits of an id that count within an incarnation of a VM.
 const ID_BITS: u32 = 32;
 /// Ticks between reads of the log.
-const READ_TICKS: u64 = 2;
+const READ_INTERVAL_TICKS: u64 = 2;
 
-/// A group that the VM owns.
+/// A group that the VM owns, with its owner.
 pub struct OwnedGroup {
-    /// The group.
+    /// The name of the group.
     pub group: GroupName,
-    /// Its owner's state.
+    /// The owner's state machine.
     pub owner: GroupOwner,
-    /// Engines that check fencing numbers and know this epoch.
+    /// Engines that check fencing numbers and have received this owner's epoch.
     pub fenced: Vec<ServerName>,
 }
 
-/// One life of an entry VM.
+/// One incarnation of an entry VM.
 pub struct SoakVm {
-    /// Who it is.
+    /// Its name and incarnation.
     pub identity: VmIdentity,
-    /// The VMs it knows.
+    /// Its view of the other VMs.
     pub members: MemberTable,
     /// The configuration in force.
     pub config: ConfigFold,
-    /// Ownership and orders.
+    /// Ownership, intents, drains and suspects.
     pub control: ControlFold,
-    /// Claims and issued keys.
+    /// Claims of idempotency keys, and the keys that this VM issued.
     pub claims: ClaimTable,
-    /// Jobs.
+    /// Audit jobs.
     pub jobs: JobFold,
-    /// The checks of owners that are no more.
-    pub past: InvariantLog,
-    /// The groups it owns.
+    /// Invariant checks of owners that ended.
+    pub past_invariants: InvariantLog,
+    /// The groups that it owns.
     pub owners: Vec<OwnedGroup>,
-    /// Whether the log answered its last read.
+    /// Whether the last read of the log succeeded.
     pub log_up: bool,
+    /// The disabled safeguard.
     pub(crate) broken: BrokenSafeguard,
     pub(crate) groups: GroupMap,
     pub(crate) takeover: TakeoverPlan,
@@ -79,19 +81,27 @@
     pub(crate) releases: Vec<OpenRelease>,
     pub(crate) abandoned: Vec<AbandonedRun>,
     pub(crate) withdrawals: Vec<OpenWithdrawal>,
+    /// Grants issued by its owners and not released yet.
     pub(crate) given: Vec<GivenGrant>,
-    pub(crate) least_epochs: Vec<(GroupName, OwnerEpoch)>,
+    /// The oldest epoch of each group whose grants may be used; none if any may.
+    pub(crate) min_epochs: Vec<(GroupName, OwnerEpoch)>,
+    /// Requests for grants pending at its owners: ticket, requester, the requester's number, group.
     pub(crate) tickets: Vec<(u64, VmName, u64, GroupName)>,
+    /// Jobs whose acceptance has not been read back from the log.
     pub(crate) submitting: Vec<JobEntry>,
+    /// Whether a read is in flight, by stream.
     pub(crate) reading: [bool; 4],
-    pub(crate) reported: TimePoint,
-    pub(crate) caught_up: TimePoint,
+    /// When engine reports were requested last.
+    pub(crate) reports_requested: TimePoint,
+    /// When a catch-up query was sent last.
+    pub(crate) catch_up_sent: TimePoint,
     pub(crate) next_id: u64,
     pub(crate) ticks: u64,
-    pub(crate) foreign_calls: Vec<(u64, VmName)>,
+    /// Probes from other VMs that are not answered yet: call and sender.
+    pub(crate) inbound_probes: Vec<(u64, VmName)>,
 }
 
-/// The settings of the soak's jobs: retention is short there.
+/// Returns job settings that fit the short retention of the soak's log.
 fn job_settings() -> JobSettings {
     JobSettings { rewrite_ms: 8_000, result_ms: 3_600_000, ..Default::default() }
 }
@@ -101,7 +111,7 @@
 }
 
 impl SoakVm {
-    /// Starts a VM that knows nothing.
+    /// Creates a VM with empty state.
     #[must_use]
     pub fn new(
         identity: VmIdentity,
@@ -109,7 +119,7 @@
         now: TimePoint,
         broken: BrokenSafeguard,
     ) -> Self {
-        // Numbers of an earlier life must mean nothing to this one, as with connections that broke.
+        // Ids differ between incarnations, so that replies to an earlier one are ignored.
         let next_id = identity.incarnation.0 << ID_BITS;
         let plan = |stream| SnapshotPlan::new(snapshot_settings(), stream, now);
         Self {
@@ -118,7 +128,7 @@
             control: ControlFold::default(),
             claims: ClaimTable::new(ClaimSettings::default(), identity.clone()),
             jobs: JobFold::default(),
-            past: InvariantLog::default(),
+            past_invariants: InvariantLog::default(),
             owners: Vec::new(),
             log_up: false,
             broken,
@@ -132,23 +142,23 @@
             abandoned: Vec::new(),
             withdrawals: Vec::new(),
             given: Vec::new(),
-            least_epochs: Vec::new(),
+            min_epochs: Vec::new(),
             tickets: Vec::new(),
             submitting: Vec::new(),
             reading: [false; 4],
-            reported: now,
-            caught_up: now,
+            reports_requested: now,
+            catch_up_sent: now,
             next_id,
             ticks: 0,
-            foreign_calls: Vec::new(),
+            inbound_probes: Vec::new(),
             identity,
         }
     }
 
-    /// All checks made in this life.
+    /// Returns the invariant checks since the start of this incarnation.
     #[must_use]
     pub fn invariants(&self) -> InvariantLog {
-        let mut log = self.past.clone();
+        let mut log = self.past_invariants.clone();
         log.merge(self.config.invariants());
         log.merge(self.control.invariants());
         log.merge(self.claims.invariants());
@@ -159,13 +169,13 @@
         log
     }
 
-    /// Requests in progress.
+    /// Returns the number of callers' requests in progress.
     #[must_use]
     pub fn open_calls(&self) -> usize {
         self.calls.iter().filter(|call| call.request.is_some()).count()
     }
 
-    /// Time passes: reads the log, probes, plans.
+    /// Does the periodic work: probes, reads of the log, planned records, timeouts and repeats.
     pub fn tick(&mut self, now: TimePoint, rng: &mut dyn Rng, out: &mut Vec<VmOutput>) {
         let facts = MemberFacts {
             config: self.config.version(),
@@ -177,7 +187,7 @@
         self.member(now, MemberEvent::Facts(facts), rng, out);
         self.member(now, MemberEvent::Tick, rng, out);
         self.ticks += 1;
-        if self.ticks.is_multiple_of(READ_TICKS) {
+        if self.ticks.is_multiple_of(READ_INTERVAL_TICKS) {
             self.read_streams(out);
         }
         self.plan_records(now, out);
@@ -186,13 +196,13 @@
         self.tick_owners(now, rng, out);
         self.send_releases(now, rng, out);
         self.send_withdrawals(now, rng, out);
-        self.ask_catch_up(now, rng, out);
+        self.request_catch_up(now, rng, out);
         if let Some(record) = self.claims.batcher().take_due(now) {
             out.push(VmOutput::Append(LogRecord::Claim(record)));
         }
     }
 
-    /// The platform's list was read.
+    /// Handles the VM list of the platform.
     pub fn listed(
         &mut self,
         now: TimePoint,
@@ -203,6 +213,7 @@
         self.member(now, MemberEvent::Listed(list), rng, out);
     }
 
+    /// Sends an event to the member table and carries out its actions.
     pub(crate) fn member(
         &mut self,
         now: TimePoint,
@@ -219,9 +230,9 @@
                     out.push(VmOutput::Peer(to, PeerMessage::Probe(message.number, message)));
                 }
                 MemberAction::Reply { call, reply } => {
-                    let at = self.foreign_calls.iter().position(|(known, _)| *known == call);
+                    let at = self.inbound_probes.iter().position(|(known, _)| *known == call);
                     if let Some(at) = at {
-                        let (_, from) = self.foreign_calls.swap_remove(at);
+                        let (_, from) = self.inbound_probes.swap_remove(at);
                         out.push(VmOutput::Peer(from, PeerMessage::ProbeReply(reply)));
                     }
                 }
@@ -229,14 +240,14 @@
                     if change.state == MemberState::Dead {
                         self.drop_tickets(now, &change.vm.vm, rng, out);
                         let event = OwnerEvent::VmGone { vm: change.vm };
-                        self.tell_owners(now, &event, rng, out);
+                        self.notify_owners(now, &event, rng, out);
                     }
                 }
             }
         }
     }
 
-    /// The questions of a VM that is gone are withdrawn, as when its connection breaks.
+    /// Withdraws the pending requests for grants of a dead VM, as when its connection breaks.
     fn drop_tickets(
         &mut self,
         now: TimePoint,
@@ -244,13 +255,13 @@
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
-        let (gone, kept) =
+        let (dropped, kept) =
             std::mem::take(&mut self.tickets).into_iter().partition(|ticket| ticket.1 == *vm);
         self.tickets = kept;
-        let gone: Vec<(u64, VmName, u64, GroupName)> = gone;
-        for (ticket, _, _, group) in gone {
+        let dropped: Vec<(u64, VmName, u64, GroupName)> = dropped;
+        for (ticket, _, _, group) in dropped {
             let epoch = self.control.epoch(group.as_str());
-            self.owner(now, &group, epoch, OwnerEvent::Withdraw { ticket }, rng, out);
+            self.owner_event(now, &group, epoch, OwnerEvent::Withdraw { ticket }, rng, out);
         }
     }
 
@@ -271,7 +282,7 @@
         }
     }
 
-    /// A read of the log ended; none if it failed.
+    /// Handles the end of a read of the log; `page` is `None` if it failed.
     pub fn page(
         &mut self,
         now: TimePoint,
@@ -282,7 +293,7 @@
     ) {
         self.reading[stream as usize] = false;
         self.log_up = page.is_some();
-        let Some(page) = page else { return self.log_lost(out) };
+        let Some(page) = page else { return self.log_unavailable(out) };
         match stream {
             LogStream::Config => self.config.retained_from(page.first),
             LogStream::Control => self.control.retained_from(page.first),
@@ -301,8 +312,8 @@
         }
     }
 
-    /// The log went down: requests that wait for a claim are answered at once.
-    fn log_lost(&mut self, out: &mut Vec<VmOutput>) {
+    /// Answers the requests that wait for a claim, as the log is unavailable.
+    fn log_unavailable(&mut self, out: &mut Vec<VmOutput>) {
         for call in std::mem::take(&mut self.calls) {
             if !matches!(call.phase, CallPhase::Claiming) {
                 self.calls.push(call);
@@ -310,10 +321,10 @@
             }
             let reason = RefusalReason::LogUnavailable;
             let answer = self.claims.give_up(TENANT, &call.key, reason);
-            let told = call.request.map(|(request, number_of_try)| {
-                VmOutput::Answer(request, number_of_try, answer.outcome)
-            });
-            out.extend(told);
+            let output = call
+                .request
+                .map(|(request, attempt)| VmOutput::Answer(request, attempt, answer.outcome));
+            out.extend(output);
         }
     }
 
@@ -340,10 +351,10 @@
                 if let ControlRecord::Snapshot(state) = &record {
                     self.snapshots[1].note(now, state.through);
                 }
-                let rulings = self.control.fold(offset, record);
+                let resolutions = self.control.fold(offset, record);
                 self.sync_owners(now, rng, out);
-                for ruling in rulings {
-                    self.control_ruled(now, ruling.verdict, rng, out);
+                for resolution in resolutions {
+                    self.apply_verdict(now, resolution.verdict, rng, out);
                 }
             }
             LogRecord::Claim(record) => {
@@ -352,15 +363,16 @@
                 }
             }
             LogRecord::Job(record) => {
-                if let Some(ruling) = self.jobs.fold(now, offset, record) {
-                    self.runner.note(&ruling);
-                    self.job_ruled(ruling.job.as_str(), out);
+                if let Some(resolution) = self.jobs.fold(now, offset, record) {
+                    self.runner.note(&resolution);
+                    self.job_resolved(resolution.job.as_str(), out);
                 }
             }
         }
     }
 
-    fn control_ruled(
+    /// Notifies the owners of the verdict on a control record.
+    fn apply_verdict(
         &mut self,
         now: TimePoint,
         verdict: ControlVerdict,
@@ -372,27 +384,28 @@
             ControlVerdict::IntentVoid(intent, _) => (intent, false),
             ControlVerdict::Crashed(_) | ControlVerdict::Cleared(_) => {
                 let event = OwnerEvent::Suspects(self.control.suspects().to_vec());
-                return self.tell_owners(now, &event, rng, out);
+                return self.notify_owners(now, &event, rng, out);
             }
             ControlVerdict::ServerDrain(server, draining) => {
                 let event = OwnerEvent::ServerDraining { server, draining };
-                return self.tell_owners(now, &event, rng, out);
+                return self.notify_owners(now, &event, rng, out);
             }
-            ControlVerdict::Adopted => return self.tell_all_state(now, rng, out),
+            ControlVerdict::Adopted => return self.send_all_state(now, rng, out),
             _ => return,
         };
         let event = OwnerEvent::IntentRead { number: intent.number, valid };
-        self.owner(now, &intent.group, intent.epoch, event, rng, out);
+        self.owner_event(now, &intent.group, intent.epoch, event, rng, out);
     }
 
-    fn job_ruled(&mut self, job: &str, out: &mut Vec<VmOutput>) {
+    /// Reports the acceptance of a submitted job and its end, once the job stream contains them.
+    fn job_resolved(&mut self, job: &str, out: &mut Vec<VmOutput>) {
         let known = self.jobs.row(TENANT, job).is_some_and(|row| row.entry().is_some());
-        let waits = self.submitting.iter().position(|entry| entry.job.as_str() == job);
-        if let (true, Some(at)) = (known, waits) {
+        let waiting = self.submitting.iter().position(|entry| entry.job.as_str() == job);
+        if let (true, Some(at)) = (known, waiting) {
             self.submitting.swap_remove(at);
             out.push(VmOutput::JobAccepted(job.to_owned()));
         }
-        // While the stream is replayed, a late result may be read before the one that counts.
+        // During the replay of the stream, a result that was superseded may be read first.
         let end = self.jobs.row(TENANT, job).and_then(|row| row.end());
         if let (Some(end), true) = (end, self.jobs.is_caught_up()) {
             let end = format!("{:?} {}", end.outcome, end.result);
@@ -411,7 +424,7 @@
         for topology in topologies {
             let group = topology.group.clone();
             let epoch = self.control.epoch(group.as_str());
-            self.owner(now, &group, epoch, OwnerEvent::Topology(topology), rng, out);
+            self.owner_event(now, &group, epoch, OwnerEvent::Topology(topology), rng, out);
         }
         self.sync_owners(now, rng, out);
         out.push(VmOutput::InForce);
@@ -441,12 +454,14 @@
         }
     }
 
-    fn ask_catch_up(&mut self, now: TimePoint, rng: &mut dyn Rng, out: &mut Vec<VmOutput>) {
+    /// Queries a random live VM for newer state, at an interval, while this VM cannot read the log or its
+    /// state is incomplete.
+    fn request_catch_up(&mut self, now: TimePoint, rng: &mut dyn Rng, out: &mut Vec<VmOutput>) {
         let behind = !self.log_up || !self.config.whole() || !self.control.whole();
-        if !behind || now.since(self.caught_up) < CATCH_UP_MS * MICROS_PER_MILLI {
+        if !behind || now.since(self.catch_up_sent) < CATCH_UP_INTERVAL_MS * MICROS_PER_MILLI {
             return;
         }
-        self.caught_up = now;
+        self.catch_up_sent = now;
         let call =
             CatchUpCall { config: self.config.version(), control_through: self.control.next() };
         let others: Vec<VmName> = self
@@ -462,7 +477,8 @@
         out.push(VmOutput::Peer(others[at].clone(), PeerMessage::CatchUp(call)));
     }
 
-    pub(crate) fn take_caught_up(
+    /// Adopts the newer state in a catch-up reply.
+    pub(crate) fn apply_catch_up(
         &mut self,
         now: TimePoint,
         reply: CatchUpReply,
@@ -475,11 +491,12 @@
         }
         if reply.control.is_some_and(|state| self.control.adopt(state)) {
             self.sync_owners(now, rng, out);
-            self.tell_all_state(now, rng, out);
+            self.send_all_state(now, rng, out);
         }
     }
 
-    pub(crate) fn catch_up(&self, call: &CatchUpCall) -> CatchUpReply {
+    /// Returns the snapshots that are newer than the state in the query.
+    pub(crate) fn catch_up_reply(&self, call: &CatchUpCall) -> CatchUpReply {
         let newer = self.config.version() > call.config;
         let config = if newer { self.config.snapshot() } else { None };
         let control = self.control.snapshot().filter(|state| state.through > call.control_through);
--- a/load/src/world.rs
+++ b/load/src/world.rs
@@ -1,8 +1,8 @@
-//! The world of the soak: virtual time, messages, faults, callers and operators.
+//! The simulated world of the soak: virtual time, messages, faults, callers and operators.
 //!
-//! Everything that happens comes from one queue of events and one seeded generator, so a seed
-//! replays a run exactly. Faults are injected alone and in pairs for as long as the run lasts; then
-//! everything is mended, and the system must come to rest with nothing lost.
+//! One event queue and one seeded random generator drive a run, so a seed replays it exactly. A run
+//! injects faults, alone and in pairs, for a number of events. Then it ends all faults, and the system
+//! must settle with no request or job lost.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -29,24 +29,25 @@
 use crate::safeguard::BrokenSafeguard;
 use crate::vm::SoakVm;
 
-/// Settings of a run.
+/// Settings of a soak run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SoakSettings {
-    /// The seed.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Events while faults are injected.
+    /// Number of events while faults are injected.
     pub events: u64,
-    /// Entry VMs.
+    /// Number of entry VMs.
     pub vms: usize,
-    /// Model engines; every second one ignores fencing numbers.
+    /// Number of model engines; every second one ignores fencing numbers.
     pub engines: usize,
     /// Adapter slots of an engine.
     pub slots: usize,
-    /// Adapters at the start.
+    /// Number of adapters at the start.
     pub adapters: usize,
-    /// Whether only VMs are killed and paused, and often, so that ownership moves all the time.
+    /// Whether to inject no faults but killed and paused VMs, and these more often, so that ownership
+    /// moves continually.
     pub vm_faults: bool,
-    /// The safeguard that is broken on purpose.
+    /// The safeguard that the run disables.
     pub broken: BrokenSafeguard,
 }
 
@@ -65,41 +66,42 @@
     }
 }
 
-/// What a run did and found.
+/// Result of a soak run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoakResult {
-    /// Events, those of coming to rest included.
+    /// Events, including those while the system settles.
     pub events: u64,
-    /// Virtual milliseconds.
+    /// Virtual time at the end, in milliseconds.
     pub virtual_ms: u64,
     /// Runs on backend servers.
     pub runs: u64,
-    /// Answers by outcome: done, not run, failed, unknown.
+    /// Number of answers by outcome: done, not run, failed, unknown.
     pub answers: [u64; 4],
     /// Jobs accepted.
     pub jobs: u64,
     /// The highest configuration version.
     pub versions: u64,
-    /// Takeovers in force.
+    /// Sum over groups of the epoch in force, which counts takeovers.
     pub takeovers: u64,
-    /// Unloads of adapters.
+    /// Unloads of adapters by owners.
     pub unloads: u64,
     /// Faults injected.
     pub faults: u64,
-    /// What did not hold.
+    /// Violations found; empty if every check passed.
     pub violations: Vec<SoakViolation>,
 }
 
-/// Milliseconds between ticks of a VM.
-const TICK_MS: u64 = 100;
-/// Milliseconds between looks at whether the system has come to rest.
-const REST_STEP_MS: u64 = 5_000;
-/// Milliseconds in which it must; slots of a dead VM are free after the zombie window of 120 s.
-const REST_LIMIT_MS: u64 = 400_000;
-/// Milliseconds after which a leaving backend server gets nothing new.
+/// Interval between ticks of a VM, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 100;
+/// Interval between checks of whether the system has settled, in milliseconds.
+const SETTLE_CHECK_INTERVAL_MS: u64 = 5_000;
+/// Time in which the system must settle, in milliseconds. Slots of a dead VM are freed after the
+/// zombie window of 120 s.
+const SETTLE_TIMEOUT_MS: u64 = 400_000;
+/// Time after which a draining backend server must not receive new runs, in milliseconds.
 const DRAIN_GRACE_MS: u64 = 3_000;
 
-/// An event that is addressed to a VM.
+/// An event for a VM.
 #[derive(Clone, Debug)]
 pub(crate) enum VmEvent {
     Tick,
@@ -114,10 +116,11 @@
     Submit(JobEntry),
 }
 
+/// An order in flight to an engine, with its sender.
 #[derive(Clone, Debug)]
 pub(crate) struct OrderCall {
     vm: usize,
-    life: u64,
+    generation: u64,
     engine: usize,
     group: GroupName,
     epoch: OwnerEpoch,
@@ -126,16 +129,18 @@
     order: EngineOrder,
 }
 
+/// A run in flight to an engine or in progress there, with its sender.
 #[derive(Clone, Debug)]
 pub(crate) struct RunCall {
     vm: usize,
-    life: u64,
+    generation: u64,
     id: u64,
     engine: usize,
     grant: SlotGrant,
     subject: RunSubject,
 }
 
+/// An event of the queue. Numbers are the VM's host, its generation and further ids.
 #[derive(Clone, Debug)]
 pub(crate) enum WorldEvent {
     Vm(usize, u64, VmEvent),
@@ -145,7 +150,7 @@
     RunEnds(u64, RunCall, ServerIncarnation),
     OrderArrives(OrderCall),
     OrderActs(OrderCall),
-    ReportAsked(usize, u64, GroupName, usize),
+    ReportRequested(usize, u64, GroupName, usize),
     Serve(usize, u64, u64, String),
     Arrive,
     Resend(usize),
@@ -154,13 +159,13 @@
     Job,
     Resubmit(JobEntry, u32),
     Fault,
-    Mend(FaultKind),
+    Repair(FaultKind),
     Boot(usize),
     List,
     Retain,
 }
 
-/// What goes wrong.
+/// A kind of fault, with the number of the VM host or engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultKind {
     LogDown,
@@ -174,6 +179,7 @@
     SlowLoads,
 }
 
+/// An event with its time; events of the same time are ordered by `order`.
 pub(crate) struct QueuedEvent {
     at: TimePoint,
     order: u64,
@@ -200,52 +206,67 @@
     }
 }
 
-pub(crate) struct VmSeat {
+/// A machine on which one incarnation of a VM after another runs.
+pub(crate) struct VmHost {
     pub(crate) name: VmName,
     pub(crate) place: MemberPlace,
-    pub(crate) life: u64,
+    /// Incremented at each start and kill; events for an earlier generation are dropped.
+    pub(crate) generation: u64,
+    /// The running VM; `None` while it is down.
     pub(crate) vm: Option<SoakVm>,
+    /// Until when the VM is paused.
     pub(crate) paused: TimePoint,
-    pub(crate) side: bool,
+    /// Side of the network partition; VMs on different sides cannot reach each other.
+    pub(crate) partitioned: bool,
+    /// Whether the VM cannot reach the log.
     pub(crate) without_log: bool,
+    /// Wall clock at virtual time 0, in milliseconds.
     pub(crate) clock_ms: u64,
+    /// When the VM was killed last.
     pub(crate) stopped: TimePoint,
 }
 
+/// A caller's request, over all its attempts.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) name: String,
     pub(crate) kind: SoakKind,
+    /// Whether the caller resends it while it still waits for an answer.
     pub(crate) hedged: bool,
+    /// When it was created.
     pub(crate) first: TimePoint,
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
     pub(crate) done: bool,
 }
 
-/// A run in progress.
+/// State of a soak run.
 pub(crate) struct SoakWorld {
     pub(crate) settings: SoakSettings,
     pub(crate) rng: Pcg64,
     pub(crate) now: TimePoint,
     pub(crate) queue: BinaryHeap<Reverse<QueuedEvent>>,
     pub(crate) order: u64,
-    pub(crate) seats: Vec<VmSeat>,
+    pub(crate) hosts: Vec<VmHost>,
     pub(crate) engines: Vec<FakeEngine>,
+    /// Since when each engine drains; `None` if it does not.
     pub(crate) drained: Vec<Option<TimePoint>>,
     pub(crate) log: FakeLog,
     pub(crate) requests: Vec<CallerRequest>,
+    /// Hash of the manifest of each configuration version; 0 if it has not come into force yet.
     pub(crate) versions: Vec<u64>,
     pub(crate) jobs: u64,
     pub(crate) publishes: u64,
     pub(crate) run_number: u64,
     pub(crate) slow_loads: bool,
-    pub(crate) calm: bool,
-    pub(crate) troubled: TimePoint,
+    /// Whether all faults and new load have ended.
+    pub(crate) settling: bool,
+    /// When the last fault ends, pauses included; set when `settling` is.
+    pub(crate) faults_end: TimePoint,
     pub(crate) oracle: SoakOracle,
     pub(crate) result: SoakResult,
 }
 
-/// Runs one seed.
+/// Runs one seed: the same settings always give the same result. Stops at the first violation.
 #[must_use]
 pub fn run_seed(settings: &SoakSettings) -> SoakResult {
     let mut world = SoakWorld::new(settings.clone());
@@ -261,7 +282,7 @@
         let mut world = Self {
             engines: engines.collect(),
             drained: vec![None; settings.engines],
-            seats: (0..settings.vms).map(VmSeat::new).collect(),
+            hosts: (0..settings.vms).map(VmHost::new).collect(),
             settings,
             rng,
             now: TimePoint(0),
@@ -274,8 +295,8 @@
             publishes: 0,
             run_number: 0,
             slow_loads: false,
-            calm: false,
-            troubled: TimePoint(0),
+            settling: false,
+            faults_end: TimePoint(0),
             oracle: SoakOracle::default(),
             result: SoakResult::default(),
         };
@@ -284,13 +305,13 @@
     }
 
     fn begin(&mut self) {
-        let first = ConfigRecord::Publish {
+        let publish = ConfigRecord::Publish {
             base: Default::default(),
             publish_id: "first".to_owned(),
-            change: ConfigChange::Whole(self.first_manifest()),
+            change: ConfigChange::Whole(self.initial_manifest()),
         };
-        self.log.append(self.now, LogRecord::Config(Box::new(first)));
-        for at in 0..self.seats.len() {
+        self.log.append(self.now, LogRecord::Config(Box::new(publish)));
+        for at in 0..self.hosts.len() {
             self.push(0, WorldEvent::Boot(at));
         }
         for event in [WorldEvent::List, WorldEvent::Retain, WorldEvent::Arrive] {
@@ -302,68 +323,71 @@
     }
 
     fn run(&mut self) {
-        while self.result.events < self.settings.events && self.violations_few() {
+        while self.result.events < self.settings.events && self.no_violations() {
             self.step();
         }
-        self.mend_all();
-        let limit = self.now.plus(REST_LIMIT_MS * MICROS_PER_MILLI);
-        let mut unrest = Vec::new();
-        while self.now < limit && self.violations_few() {
-            let until = self.now.plus(REST_STEP_MS * MICROS_PER_MILLI);
+        self.repair_all();
+        let limit = self.now.plus(SETTLE_TIMEOUT_MS * MICROS_PER_MILLI);
+        let mut unsettled = Vec::new();
+        while self.now < limit && self.no_violations() {
+            let until = self.now.plus(SETTLE_CHECK_INTERVAL_MS * MICROS_PER_MILLI);
             while self.now < until {
                 self.step();
             }
-            unrest = self.unrest();
-            if unrest.is_empty() {
+            unsettled = self.unsettled();
+            if unsettled.is_empty() {
                 break;
             }
         }
-        let unrest = if self.violations_few() { unrest } else { Vec::new() };
-        for (rule, detail) in unrest {
+        let unsettled = if self.no_violations() { unsettled } else { Vec::new() };
+        for (rule, detail) in unsettled {
             self.oracle.violate(self.now.0, rule, detail);
         }
         self.finish();
     }
 
-    fn violations_few(&self) -> bool {
+    fn no_violations(&self) -> bool {
         self.oracle.violations().is_empty()
     }
 
     fn finish(&mut self) {
-        for at in 0..self.seats.len() {
-            self.collect_checks(at);
+        for at in 0..self.hosts.len() {
+            self.collect_invariants(at);
         }
         self.result.virtual_ms = self.now.0 / MICROS_PER_MILLI;
         self.result.runs = self.oracle.runs;
         self.result.answers = self.oracle.answers;
         self.result.jobs = self.oracle.jobs() as u64;
         self.result.versions = self.versions.len() as u64;
-        let vms = self.seats.iter().filter_map(|seat| seat.vm.as_ref());
+        let vms = self.hosts.iter().filter_map(|host| host.vm.as_ref());
         let owners =
             vms.map(|vm| vm.control.owners().iter().map(|owner| owner.epoch.0).sum::<u64>());
         self.result.takeovers = owners.max().unwrap_or_default();
         self.result.violations = self.oracle.violations().to_vec();
     }
 
-    /// Takes the checks that a VM made inside the program into the run's result.
-    fn collect_checks(&mut self, at: usize) {
-        let Some(vm) = &self.seats[at].vm else { return };
+    /// Records the invariant violations that a VM detected itself.
+    fn collect_invariants(&mut self, at: usize) {
+        let Some(vm) = &self.hosts[at].vm else { return };
         for violation in vm.invariants().details() {
-            let detail = format!("{}: {}", self.seats[at].name, violation.detail);
+            let detail = format!("{}: {}", self.hosts[at].name, violation.detail);
             self.oracle.violate(self.now.0, violation.name.as_str(), detail);
         }
     }
 
+    /// Schedules an event after a delay in milliseconds.
     pub(crate) fn push(&mut self, after_ms: u64, event: WorldEvent) {
         self.push_micros(after_ms * MICROS_PER_MILLI, event);
     }
 
-    pub(crate) fn push_micros(&mut self, after: u64, event: WorldEvent) {
+    /// Schedules an event after a delay in microseconds.
+    pub(crate) fn push_micros(&mut self, after_us: u64, event: WorldEvent) {
         self.order += 1;
-        let queued = QueuedEvent { at: self.now.plus(after), order: self.order, event };
+        let queued = QueuedEvent { at: self.now.plus(after_us), order: self.order, event };
         self.queue.push(Reverse(queued));
     }
 
+    /// Draws true with the given probability.
     pub(crate) fn chance(&mut self, per_mille: u32) -> bool {
         self.rng.random_range(0..1_000) < per_mille
     }
@@ -373,17 +397,19 @@
         self.now = queued.at;
         self.result.events += 1;
         match queued.event {
-            WorldEvent::Vm(at, life, event) => self.vm_event(at, life, event),
+            WorldEvent::Vm(at, generation, event) => self.vm_event(at, generation, event),
             WorldEvent::Append(at, record) => self.append(at, record),
-            WorldEvent::Read(at, life, stream, from) => self.read(at, life, stream, from),
+            WorldEvent::Read(at, generation, stream, from) => {
+                self.read(at, generation, stream, from)
+            }
             WorldEvent::RunArrives(call) => self.run_arrives(call),
             WorldEvent::RunEnds(run, call, incarnation) => self.run_ends(run, call, incarnation),
             WorldEvent::OrderArrives(call) => self.order_arrives(call),
             WorldEvent::OrderActs(call) => self.order_acts(call),
-            WorldEvent::ReportAsked(at, life, group, engine) => {
-                self.report_asked(at, life, group, engine);
+            WorldEvent::ReportRequested(at, generation, group, engine) => {
+                self.report_requested(at, generation, group, engine);
             }
-            WorldEvent::Serve(at, life, id, key) => self.serve(at, life, id, &key),
+            WorldEvent::Serve(at, generation, id, key) => self.serve(at, generation, id, &key),
             WorldEvent::Arrive => self.arrive(),
             WorldEvent::Resend(request) => self.resend(request),
             WorldEvent::Publish => self.publish(),
@@ -391,47 +417,50 @@
                 self.log.append(self.now, LogRecord::Config(Box::new(record)));
             }
             WorldEvent::Job => self.job(),
-            WorldEvent::Resubmit(entry, tries) => self.resubmit(entry, tries),
+            WorldEvent::Resubmit(entry, attempts) => self.resubmit(entry, attempts),
             WorldEvent::Fault => self.fault(),
-            WorldEvent::Mend(kind) => self.mend(kind),
+            WorldEvent::Repair(kind) => self.repair(kind),
             WorldEvent::Boot(at) => self.boot(at),
             WorldEvent::List => self.list(),
             WorldEvent::Retain => self.retain(),
         }
     }
 
+    /// Starts a VM as a new incarnation, unless it runs.
     fn boot(&mut self, at: usize) {
         let now = self.now;
-        let seat = &mut self.seats[at];
-        if seat.vm.is_some() {
+        let host = &mut self.hosts[at];
+        if host.vm.is_some() {
             return;
         }
-        seat.life += 1;
-        // Drawn like the process does, so that a later life may have the lower number.
+        host.generation += 1;
+        // Drawn at random as in the entry process: a later incarnation may have a lower number.
         let incarnation = VmIncarnation(self.rng.random_range(1..u64::from(u32::MAX)));
-        let identity = VmIdentity { vm: seat.name.clone(), incarnation };
+        let identity = VmIdentity { vm: host.name.clone(), incarnation };
         let broken = self.settings.broken;
-        seat.vm = Some(SoakVm::new(identity, seat.place.clone(), now, broken));
-        let life = seat.life;
-        self.push(1, WorldEvent::Vm(at, life, VmEvent::Tick));
+        host.vm = Some(SoakVm::new(identity, host.place.clone(), now, broken));
+        let generation = host.generation;
+        self.push(1, WorldEvent::Vm(at, generation, VmEvent::Tick));
         let list = self.listed();
-        self.push(2, WorldEvent::Vm(at, life, VmEvent::List(list)));
+        self.push(2, WorldEvent::Vm(at, generation, VmEvent::List(list)));
     }
 
-    fn vm_event(&mut self, at: usize, life: u64, event: VmEvent) {
+    /// Delivers an event to a VM and carries out its outputs. Defers the event while the VM is paused,
+    /// and drops it if the VM has restarted.
+    fn vm_event(&mut self, at: usize, generation: u64, event: VmEvent) {
         let now = self.now;
-        let seat = &mut self.seats[at];
-        if seat.life != life || seat.vm.is_none() {
+        let host = &mut self.hosts[at];
+        if host.generation != generation || host.vm.is_none() {
             return;
         }
-        if seat.paused > now {
-            let wait = seat.paused.since(now);
-            return self.push_micros(wait, WorldEvent::Vm(at, life, event));
+        if host.paused > now {
+            let wait = host.paused.since(now);
+            return self.push_micros(wait, WorldEvent::Vm(at, generation, event));
         }
         let ticked = matches!(event, VmEvent::Tick);
         let mut out = Vec::new();
-        let clock_ms = seat.clock_ms + now.0 / MICROS_PER_MILLI;
-        let Some(vm) = &mut seat.vm else { return };
+        let clock_ms = host.clock_ms + now.0 / MICROS_PER_MILLI;
+        let Some(vm) = &mut host.vm else { return };
         let rng = &mut self.rng;
         match event {
             VmEvent::Tick => vm.tick(now, rng, &mut out),
@@ -448,15 +477,15 @@
             VmEvent::Submit(entry) => vm.submit(entry, &mut out),
         }
         if ticked {
-            self.collect_checks(at);
-            self.push(TICK_MS, WorldEvent::Vm(at, life, VmEvent::Tick));
+            self.collect_invariants(at);
+            self.push(TICK_INTERVAL_MS, WorldEvent::Vm(at, generation, VmEvent::Tick));
         }
         for output in out {
-            self.output(at, life, output);
+            self.output(at, generation, output);
         }
     }
 
-    fn output(&mut self, at: usize, life: u64, output: VmOutput) {
+    fn output(&mut self, at: usize, generation: u64, output: VmOutput) {
         match output {
             VmOutput::Peer(to, message) => self.send(at, &to, message),
             VmOutput::Append(record) => {
@@ -465,29 +494,37 @@
             }
             VmOutput::Read(stream, from) => {
                 let wait = self.rng.random_range(1..8);
-                self.push(wait, WorldEvent::Read(at, life, stream, from));
+                self.push(wait, WorldEvent::Read(at, generation, stream, from));
             }
             VmOutput::Run(id, grant, subject) => {
                 let Some(engine) = self.engine(&grant.server) else { return };
-                let call = RunCall { vm: at, life, id, engine, grant, subject };
+                let call = RunCall { vm: at, generation, id, engine, grant, subject };
                 self.push_micros(700, WorldEvent::RunArrives(call));
             }
             VmOutput::Serve(id, key) => {
-                self.push_micros(700, WorldEvent::Serve(at, life, id, key));
+                self.push_micros(700, WorldEvent::Serve(at, generation, id, key));
             }
             VmOutput::Order { group, epoch, number, server, incarnation, order } => {
                 let Some(engine) = self.engine(&server) else { return };
-                let call =
-                    OrderCall { vm: at, life, engine, group, epoch, number, incarnation, order };
+                let call = OrderCall {
+                    vm: at,
+                    generation,
+                    engine,
+                    group,
+                    epoch,
+                    number,
+                    incarnation,
+                    order,
+                };
                 let wait = self.rng.random_range(500..3_000);
                 self.push_micros(wait, WorldEvent::OrderArrives(call));
             }
             VmOutput::Report(group, server) => {
                 let Some(engine) = self.engine(&server) else { return };
-                self.push_micros(600, WorldEvent::ReportAsked(at, life, group, engine));
+                self.push_micros(600, WorldEvent::ReportRequested(at, generation, group, engine));
             }
-            VmOutput::Answer(request, try_number, outcome) => {
-                self.answered(request, try_number, outcome);
+            VmOutput::Answer(request, attempt, outcome) => {
+                self.answered(request, attempt, outcome);
             }
             VmOutput::JobAccepted(job) => self.oracle.job_accepted(&job),
             VmOutput::JobEnded(job, end) => self.oracle.job_ended(self.now.0, &job, &end),
@@ -499,35 +536,35 @@
         self.engines.iter().position(|engine| engine.name == *server)
     }
 
-    /// A message is lost if a side of it is cut off, or if the other VM is not there; one that is
-    /// paused gets it when it wakes.
+    /// Sends a message between VMs. It is lost if the VMs are on different sides of a partition, or if the
+    /// receiver is down. A paused receiver handles it after the pause.
     fn send(&mut self, from: usize, to: &VmName, message: PeerMessage) {
-        let Some(target) = self.seats.iter().position(|seat| seat.name == *to) else { return };
-        let parted = self.seats[from].side != self.seats[target].side;
+        let Some(target) = self.hosts.iter().position(|host| host.name == *to) else { return };
+        let separated = self.hosts[from].partitioned != self.hosts[target].partitioned;
         let wait = self.rng.random_range(400..3_000);
-        if parted || self.seats[target].vm.is_none() {
+        if separated || self.hosts[target].vm.is_none() {
             return;
         }
-        let name = self.seats[from].name.clone();
-        let life = self.seats[target].life;
-        self.push_micros(wait, WorldEvent::Vm(target, life, VmEvent::Peer(name, message)));
+        let name = self.hosts[from].name.clone();
+        let generation = self.hosts[target].generation;
+        self.push_micros(wait, WorldEvent::Vm(target, generation, VmEvent::Peer(name, message)));
     }
 
     fn append(&mut self, at: usize, record: LogRecord) {
-        if self.seats[at].without_log {
+        if self.hosts[at].without_log {
             return;
         }
-        let taken = self.log.append(self.now, record.clone());
-        // The client repeats an append whose answer was lost, though it took effect.
-        if taken && self.chance(30) {
+        let appended = self.log.append(self.now, record.clone());
+        // The log client repeats an append whose reply was lost although it took effect.
+        if appended && self.chance(30) {
             self.log.append(self.now, record);
         }
     }
 
-    fn read(&mut self, at: usize, life: u64, stream: LogStream, from: u64) {
-        let page = if self.seats[at].without_log { None } else { self.log.read(stream, from) };
+    fn read(&mut self, at: usize, generation: u64, stream: LogStream, from: u64) {
+        let page = if self.hosts[at].without_log { None } else { self.log.read(stream, from) };
         let wait = self.rng.random_range(500..5_000);
-        self.push_micros(wait, WorldEvent::Vm(at, life, VmEvent::Page(stream, page)));
+        self.push_micros(wait, WorldEvent::Vm(at, generation, VmEvent::Page(stream, page)));
     }
 
     fn run_arrives(&mut self, call: RunCall) {
@@ -535,7 +572,7 @@
         let run = self.run_number;
         let engine = &mut self.engines[call.engine];
         if !engine.begin(run, &call.grant.slot) {
-            return self.tell_run(&call, RunEnd::Failed(CallStage::SlotMissing));
+            return self.send_run_end(&call, RunEnd::Failed(CallStage::SlotMissing));
         }
         let incarnation = engine.incarnation;
         let adapter = parse_slot(&call.grant.slot).map(|(adapter, _)| adapter);
@@ -549,12 +586,12 @@
         self.push(wait, WorldEvent::RunEnds(run, call, incarnation));
     }
 
-    /// A leaving server gets nothing new after a few seconds; while faults keep the record of its
-    /// leaving from the owner, nobody can know.
+    /// Checks that a draining server receives no new runs after the grace time. Only checked once all
+    /// faults have ended, since a fault may keep the drain record from the owner.
     fn check_drained(&mut self, engine: usize, name: &str) {
         let Some(since) = self.drained[engine] else { return };
-        let known = since.max(self.troubled);
-        if self.calm && self.now.since(known) > DRAIN_GRACE_MS * MICROS_PER_MILLI {
+        let start = since.max(self.faults_end);
+        if self.settling && self.now.since(start) > DRAIN_GRACE_MS * MICROS_PER_MILLI {
             let detail = format!("{name} began on engine-{engine}, which is leaving");
             self.oracle.violate(self.now.0, "leaving_server_idle", detail);
         }
@@ -562,82 +599,83 @@
 
     fn run_ends(&mut self, run: u64, call: RunCall, incarnation: ServerIncarnation) {
         let engine = &mut self.engines[call.engine];
-        let whole = engine.incarnation == incarnation && engine.end(run);
-        let end = if whole { RunEnd::Done } else { RunEnd::Failed(CallStage::SentNoAnswer) };
-        self.tell_run(&call, end);
+        let completed = engine.incarnation == incarnation && engine.end(run);
+        let end = if completed { RunEnd::Done } else { RunEnd::Failed(CallStage::SentNoAnswer) };
+        self.send_run_end(&call, end);
     }
 
-    fn tell_run(&mut self, call: &RunCall, end: RunEnd) {
+    fn send_run_end(&mut self, call: &RunCall, end: RunEnd) {
         let event = VmEvent::RunEnded(call.id, end);
-        self.push_micros(700, WorldEvent::Vm(call.vm, call.life, event));
+        self.push_micros(700, WorldEvent::Vm(call.vm, call.generation, event));
     }
 
     fn order_arrives(&mut self, call: OrderCall) {
         let engine = &mut self.engines[call.engine];
-        let gone = call.incarnation.is_some_and(|life| life != engine.incarnation);
-        if gone || engine.fences(call.epoch) {
-            let result = if gone { OrderResult::Failed } else { OrderResult::Stale };
-            return self.tell_order(&call, result);
+        let restarted = call.incarnation.is_some_and(|expected| expected != engine.incarnation);
+        if restarted || engine.rejects_epoch(call.epoch) {
+            let result = if restarted { OrderResult::Failed } else { OrderResult::Stale };
+            return self.send_order_end(&call, result);
         }
         let unload = matches!(call.order, EngineOrder::Unload { .. });
-        let most = if self.slow_loads { 30_000 } else { 900 };
-        let wait = if unload { 1 } else { self.rng.random_range(100..most) };
+        let max = if self.slow_loads { 30_000 } else { 900 };
+        let wait = if unload { 1 } else { self.rng.random_range(100..max) };
         self.push(wait, WorldEvent::OrderActs(call));
     }
 
     fn order_acts(&mut self, call: OrderCall) {
-        let life = self.engines[call.engine].incarnation;
-        if call.incarnation.is_some_and(|known| known != life) {
+        let current = self.engines[call.engine].incarnation;
+        if call.incarnation.is_some_and(|expected| expected != current) {
             return;
         }
         let load = matches!(call.order, EngineOrder::Load { .. });
         if load && self.chance(30) {
-            return self.tell_order(&call, OrderResult::Failed);
+            return self.send_order_end(&call, OrderResult::Failed);
         }
-        let (result, cut) = self.engines[call.engine].obey(&call.order);
+        let (result, aborted) = self.engines[call.engine].execute(&call.order);
         self.result.unloads += u64::from(!load && call.incarnation.is_some());
-        if !cut.is_empty() {
-            let detail = format!("{:?} by epoch {} cut runs {cut:?}", call.order, call.epoch);
+        if !aborted.is_empty() {
+            let detail = format!("{:?} by epoch {} cut runs {aborted:?}", call.order, call.epoch);
             self.oracle.violate(self.now.0, "no_eviction_in_use", detail);
         }
         if !self.chance(20) {
-            self.tell_order(&call, result);
+            self.send_order_end(&call, result);
         }
     }
 
-    fn tell_order(&mut self, call: &OrderCall, result: OrderResult) {
+    fn send_order_end(&mut self, call: &OrderCall, result: OrderResult) {
         let server = self.engines[call.engine].name.clone();
         let (group, epoch, number) = (call.group.clone(), call.epoch, call.number);
         let event = VmEvent::Ordered(OrderEnd { server, group, epoch, number, result });
-        self.push_micros(800, WorldEvent::Vm(call.vm, call.life, event));
+        self.push_micros(800, WorldEvent::Vm(call.vm, call.generation, event));
     }
 
-    fn report_asked(&mut self, at: usize, life: u64, group: GroupName, engine: usize) {
+    fn report_requested(&mut self, at: usize, generation: u64, group: GroupName, engine: usize) {
         let engine = &mut self.engines[engine];
         let (server, report) = (engine.name.clone(), engine.report());
         let lag = self.rng.random_range(1..800);
         let event = VmEvent::Report(group, server, Some(report));
-        self.push(lag, WorldEvent::Vm(at, life, event));
+        self.push(lag, WorldEvent::Vm(at, generation, event));
     }
 
-    /// The plain service runs the call when it arrives. Now and then it refuses before it ran, or
-    /// its answer is lost after it ran.
-    fn serve(&mut self, at: usize, life: u64, id: u64, key: &str) {
+    /// Runs a call at the plain service. Some calls are refused before they run, and some answers are
+    /// lost after the run.
+    fn serve(&mut self, at: usize, generation: u64, id: u64, key: &str) {
         if self.chance(40) {
             let event = VmEvent::Served(id, RequestOutcome::NotRun);
-            return self.push(1, WorldEvent::Vm(at, life, event));
+            return self.push(1, WorldEvent::Vm(at, generation, event));
         }
         self.oracle.ran(self.now.0, key, true);
         if self.chance(60) {
             return;
         }
         let wait = self.rng.random_range(1..300);
-        self.push(wait, WorldEvent::Vm(at, life, VmEvent::Served(id, RequestOutcome::Done)));
+        self.push(wait, WorldEvent::Vm(at, generation, VmEvent::Served(id, RequestOutcome::Done)));
     }
 
-    /// A configuration came into force at a VM: the same version must be the same everywhere.
+    /// Checks a configuration that came into force at a VM: a version must have the same content at every
+    /// VM.
     fn in_force(&mut self, at: usize) {
-        let Some(vm) = &self.seats[at].vm else { return };
+        let Some(vm) = &self.hosts[at].vm else { return };
         let version = vm.config.version().0 as usize;
         let manifest = serde_json::to_string(&**vm.config.manifest()).unwrap_or_default();
         let hash = stable_hash(&[&manifest]);
@@ -649,13 +687,13 @@
             *known = hash;
         }
         if *known != hash {
-            let detail = format!("version {version} differs at {}", self.seats[at].name);
+            let detail = format!("version {version} differs at {}", self.hosts[at].name);
             self.oracle.violate(self.now.0, "config_never_reverts", detail);
         }
     }
 }
 
-impl VmSeat {
+impl VmHost {
     fn new(at: usize) -> Self {
         let address = |port: usize| std::net::SocketAddr::from(([127, 0, 0, 1], port as u16));
         let place = MemberPlace {
@@ -667,10 +705,10 @@
         Self {
             name: format!("vm-{at}").into(),
             place,
-            life: 0,
+            generation: 0,
             vm: None,
             paused: TimePoint(0),
-            side: false,
+            partitioned: false,
             without_log: false,
             clock_ms: 1_700_000_000_000,
             stopped: TimePoint(0),
@@ -678,5 +716,5 @@
     }
 }
 
-/// The region of the soak.
+/// The only region of the soak.
 pub(crate) const REGION: &str = "nbo";
--- a/load/tests/suite/main.rs
+++ b/load/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the randomised soak, one file a feature.
+//! Tests of the randomised soak.
 
 mod broken_safeguards;
 mod soak_seeds;
--- a/load/tests/suite/soak_seeds.rs
+++ b/load/tests/suite/soak_seeds.rs
@@ -1,13 +1,13 @@
-// Random faults, alone and in pairs, hit a running system: the log goes down or loses answers, VMs
-// are killed, paused, parted from each other or from the log, engines restart, clocks jump, servers
-// leave. Callers resend and hedge, operators race. Whatever comes, no rule that must hold breaks, and
-// when all is mended every request is answered, every job has one end and all VMs agree.
+// Guards the system's guarantees under random faults: outages of the log, killed, paused and
+// partitioned VMs, engine restarts, clock jumps and draining servers, with resending and hedging
+// callers. No rule may be violated, and after the faults every request must be answered, every job
+// must have one end and all VMs must agree.
 
 use coltsfoothook_load::world::{SoakSettings, run_seed};
 
-/// Seeds that once found a fault; docs/FAILURES.md tells which.
-const FINDERS: [u64; 14] = [1, 5, 6, 9, 29, 84, 122, 129, 149, 158, 161, 186, 354, 11_404];
-/// Seeds that CI runs besides.
+/// Seeds that found a defect before; docs/FAILURES.md lists the defects.
+const REGRESSION_SEEDS: [u64; 14] = [1, 5, 6, 9, 29, 84, 122, 129, 149, 158, 161, 186, 354, 11_404];
+/// Further seeds.
 const FIRST_SEED: u64 = 5_001;
 const SEEDS: u64 = 8;
 
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn finders_stay_sound() {
-    FINDERS.into_iter().for_each(assert_sound);
+fn regression_seeds_sound() {
+    REGRESSION_SEEDS.into_iter().for_each(assert_sound);
 }
 
 #[test]
@@ -31,8 +31,8 @@
     (FIRST_SEED..FIRST_SEED + SEEDS).for_each(assert_sound);
 }
 
-// Ownership moves all the time: two of three VMs stand still or restart at any moment, for longer
-// than the log keeps a record.
+// Guards against violations while ownership moves continually, as VMs are paused or killed at a high
+// rate.
 #[test]
 fn moving_owners_sound() {
     for seed in 1..=6 {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn seed_replays_itself() {
+fn seed_is_deterministic() {
     let settings = SoakSettings { seed: 3, events: 10_000, ..Default::default() };
     assert_eq!(run_seed(&settings), run_seed(&settings));
 }
