--- a/demo/src/client.rs
+++ b/demo/src/client.rs
@@ -264,7 +264,8 @@
         Ok(CompletionRead { text: text.to_owned(), first: took, took, gap: Duration::ZERO })
     }
 
-    /// Sends a request with an optional JSON body and idempotency key, and returns the JSON response.
+    /// Sends a request with an optional JSON body and idempotency key, and returns the JSON
+    /// response.
     ///
     /// # Errors
     ///
@@ -279,8 +280,8 @@
         self.service_try(method, path, body, key, false).await
     }
 
-    /// Does the same as [`Self::service`]. `first_try` sets the header which asserts that no earlier
-    /// attempt under this key can have run.
+    /// Does the same as [`Self::service`]. `first_try` sets the header which asserts that no
+    /// earlier attempt under this key can have run.
     ///
     /// # Errors
     ///
--- a/demo/src/lib.rs
+++ b/demo/src/lib.rs
@@ -1,7 +1,7 @@
 //! A complete site in one process, with a client and generated traffic for it.
 //!
-//! [`LocalSite`] runs entry VMs and stand-in servers as tasks on loopback ports. [`SiteClient`] calls
-//! them over their public HTTP interface, and [`SiteTraffic`] generates load. The binary
+//! [`LocalSite`] runs entry VMs and stand-in servers as tasks on loopback ports. [`SiteClient`]
+//! calls them over their public HTTP interface, and [`SiteTraffic`] generates load. The binary
 //! `coltsfoothook-demo` runs [`run_demo`] and prints its report.
 //!
 //! ```no_run
--- a/demo/src/show.rs
+++ b/demo/src/show.rs
@@ -102,8 +102,8 @@
 const PHASES: u32 = 5;
 const PHASE_DURATION: Duration = Duration::from_secs(10);
 const QUICK_PHASE_DURATION: Duration = Duration::from_millis(1_500);
-/// Loads a second of the weight store. The quick run also begins with empty engines, so its store is
-/// faster to warm them up within its shorter phases.
+/// Loads a second of the weight store. The quick run also begins with empty engines, so its store
+/// is faster to warm them up within its shorter phases.
 const LOADS_PER_S: f64 = 5.0;
 const QUICK_LOADS_PER_S: f64 = 25.0;
 const RESTART_DOWNTIME: Duration = Duration::from_millis(500);
@@ -113,8 +113,8 @@
 /// The VM to stop in the last phase if no VM owns a group at that time.
 const FALLBACK_VM: usize = 2;
 
-/// Runs the demonstration: starts a site, sends traffic through all phases, waits for job results and
-/// stops the site.
+/// Runs the demonstration: starts a site, sends traffic through all phases, waits for job results
+/// and stops the site.
 ///
 /// # Errors
 ///
@@ -267,8 +267,8 @@
     }
 }
 
-/// Returns the upper bound of the histogram bucket that holds the 95th percentile of load stalls, in
-/// milliseconds. Reads the metrics of the running VMs over HTTP.
+/// Returns the upper bound of the histogram bucket that holds the 95th percentile of load stalls,
+/// in milliseconds. Reads the metrics of the running VMs over HTTP.
 async fn stall_p95_ms(site: &LocalSite) -> f64 {
     let mut buckets: Vec<(f64, u64)> = Vec::new();
     for address in site.operators() {
--- a/demo/src/site.rs
+++ b/demo/src/site.rs
@@ -1,7 +1,8 @@
-//! A complete site in one process: entry VMs, stand-in servers and the manifest that configures them.
+//! A complete site in one process: entry VMs, stand-in servers and the manifest that configures
+//! them.
 //!
-//! The entry VMs run the code of the entry binary, each on its own loopback ports. The demonstration,
-//! the tests of the entry process and the experiments of the load tool use it.
+//! The entry VMs run the code of the entry binary, each on its own loopback ports. The
+//! demonstration, the tests of the entry process and the experiments of the load tool use it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -136,8 +137,8 @@
 }
 
 impl LocalSite {
-    /// Starts all servers and VMs and publishes the initial manifest. Returns when it is in force at
-    /// every VM, every VM is ready and every group has an owner.
+    /// Starts all servers and VMs and publishes the initial manifest. Returns when it is in force
+    /// at every VM, every VM is ready and every group has an owner.
     ///
     /// # Errors
     ///
@@ -184,8 +185,8 @@
         Ok(site)
     }
 
-    /// Starts the VM with the number `at` and lists it in the directory. A VM that ran before starts
-    /// as a new incarnation.
+    /// Starts the VM with the number `at` and lists it in the directory. A VM that ran before
+    /// starts as a new incarnation.
     ///
     /// # Errors
     ///
@@ -240,7 +241,8 @@
     }
 
     /// Publishes a manifest based on the newest version in force and waits until it is in force at
-    /// every running VM. Returns the new version and the time from sending the publication until then.
+    /// every running VM. Returns the new version and the time from sending the publication until
+    /// then.
     ///
     /// # Errors
     ///
@@ -299,7 +301,8 @@
         self.running().map(|vm| vm.addresses().operator).collect()
     }
 
-    /// Returns whether every running VM is ready and the VMs together own as many groups as there are.
+    /// Returns whether every running VM is ready and the VMs together own as many groups as there
+    /// are.
     #[must_use]
     pub fn settled(&self) -> bool {
         let groups = self.settings.engines.div_ceil(self.settings.policy.group_servers as usize);
@@ -334,15 +337,15 @@
         self.running().map(|vm| vm.invariants().violated()).sum()
     }
 
-    /// Returns the number of requests that an engine lost because their adapter was evicted while they
-    /// ran.
+    /// Returns the number of requests that an engine lost because their adapter was evicted while
+    /// they ran.
     #[must_use]
     pub fn evicted_in_use(&self) -> u64 {
         self.engines.iter().map(|engine| engine.counters().evicted_in_use).sum()
     }
 
-    /// Returns how many tickets too many were created: for each ticket id the creations after the first,
-    /// over all servers of the plain service.
+    /// Returns how many tickets too many were created: for each ticket id the creations after the
+    /// first, over all servers of the plain service.
     #[must_use]
     pub fn doubled(&self) -> u64 {
         let mut created: Vec<_> =
@@ -353,8 +356,8 @@
         times.map(|times| times.saturating_sub(1)).sum()
     }
 
-    /// Shuts all VMs down gracefully, then stops all servers. Returns the number of invariant violations
-    /// that the VMs counted.
+    /// Shuts all VMs down gracefully, then stops all servers. Returns the number of invariant
+    /// violations that the VMs counted.
     pub async fn stop(mut self) -> u64 {
         let mut violated = 0;
         let running: Vec<EntryProcess> = self.vms.iter_mut().filter_map(Option::take).collect();
@@ -410,8 +413,8 @@
     Ok(path)
 }
 
-/// Returns the manifest of a site whose engines and servers of the plain service have these addresses,
-/// in normal form.
+/// Returns the manifest of a site whose engines and servers of the plain service have these
+/// addresses, in normal form.
 #[must_use]
 pub fn site_manifest(
     settings: &SiteSettings,
--- a/demo/src/traffic.rs
+++ b/demo/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Generated traffic: completions of three classes, tickets that must not be created twice, and audit
-//! jobs.
+//! Generated traffic: completions of three classes, tickets that must not be created twice, and
+//! audit jobs.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -167,8 +167,8 @@
         *lock(&self.counts)
     }
 
-    /// Returns the 95th percentile of the time to the first token, in milliseconds, of all completions
-    /// and of urgent ones.
+    /// Returns the 95th percentile of the time to the first token, in milliseconds, of all
+    /// completions and of urgent ones.
     #[must_use]
     pub fn first_p95_ms(&self) -> (f64, f64) {
         let times = lock(&self.times);
@@ -176,7 +176,8 @@
         (p95(&times.first), p95(&times.urgent_first))
     }
 
-    /// Returns the 95th percentile over streams of the longest gap between two events, in milliseconds.
+    /// Returns the 95th percentile over streams of the longest gap between two events, in
+    /// milliseconds.
     #[must_use]
     pub fn gap_p95_ms(&self) -> f64 {
         lock(&self.times).gap.value_at_quantile(0.95) as f64 / 1_000.0
@@ -263,7 +264,8 @@
         }
     }
 
-    /// Requests a ticket, which must not be created twice. All attempts have the same idempotency key.
+    /// Requests a ticket, which must not be created twice. All attempts have the same idempotency
+    /// key.
     async fn ticket(self: Arc<Self>, call: DrawnCall) {
         lock(&self.counts).requests += 1;
         let id = format!("ticket-{}-{}", self.settings.seed, call.number);
@@ -303,7 +305,8 @@
         }
     }
 
-    /// Fetches the result of each accepted job. A job without a result after `within` counts as lost.
+    /// Fetches the result of each accepted job. A job without a result after `within` counts as
+    /// lost.
     pub async fn collect_jobs(self: &Arc<Self>, within: Duration) {
         let until = Instant::now() + within;
         let jobs = std::mem::take(&mut *lock(&self.jobs));
@@ -404,8 +407,8 @@
         Some(client)
     }
 
-    /// Fetches the list of entry VMs periodically until `stop`. An empty or failed response keeps the
-    /// addresses known so far.
+    /// Fetches the list of entry VMs periodically until `stop`. An empty or failed response keeps
+    /// the addresses known so far.
     async fn refresh_entries(self: Arc<Self>, stop: CancellationToken) {
         let mut pick = 0;
         while !stop.is_cancelled() {
--- a/load/src/baseline.rs
+++ b/load/src/baseline.rs
@@ -1,7 +1,7 @@
 //! Baseline policies of the placement comparison: random, least loaded, sticky hash and affinity.
 //!
-//! All of them evict the least recently used adapter, serve classes in order, let one load serve all
-//! requests that wait for it, and keep to the store budget that the owner has.
+//! All of them evict the least recently used adapter, serve classes in order, let one load serve
+//! all requests that wait for it, and keep to the store budget that the owner has.
 
 use coltsfoothook_decision::id::stable_hash;
 use coltsfoothook_decision::outcome::RequestClass;
@@ -18,11 +18,11 @@
     Random,
     /// The engine with the fewest requests, running or waiting.
     LeastLoaded,
-    /// The engine that ranks first for the adapter by rendezvous hashing, among those with free batch
-    /// slots if there are any.
+    /// The engine that ranks first for the adapter by rendezvous hashing, among those with free
+    /// batch slots if there are any.
     StickyHash,
-    /// The least loaded engine that holds the adapter and has free batch slots, else the least loaded
-    /// engine.
+    /// The least loaded engine that holds the adapter and has free batch slots, else the least
+    /// loaded engine.
     Affinity,
 }
 
@@ -175,8 +175,8 @@
         self.engines[engine].waiting.iter().filter(waits).count() as u32
     }
 
-    /// Evicts the least recently used idle adapter if all slots are taken. Returns whether a slot is
-    /// free.
+    /// Evicts the least recently used idle adapter if all slots are taken. Returns whether a slot
+    /// is free.
     fn make_room(&mut self, engine: usize, capacity: usize) -> bool {
         let slots = &mut self.engines[engine].slots;
         if slots.len() < capacity {
@@ -190,8 +190,8 @@
         true
     }
 
-    /// Starts waiting requests whose adapter is loaded, in order of class and arrival, while the batch
-    /// has free slots.
+    /// Starts waiting requests whose adapter is loaded, in order of class and arrival, while the
+    /// batch has free slots.
     fn run_waiting(&mut self, model: &mut PlaceModel, engine: usize) {
         let mut at = 0;
         while at < self.engines[engine].waiting.len()
--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -53,7 +53,7 @@
         rng: &mut dyn Rng,
         out: &mut Vec<VmOutput>,
     ) {
-        let number = (request.number, request.attempt);
+        let number = (request.number, request.attempt_number);
         match request.kind {
             SoakKind::Model { adapter, repeatable } => {
                 let subject = RunSubject { name: request.name, adapter, once: !repeatable };
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Handles a job submission, the first or a repeated one. Accepts at once if the job is in the log.
+    /// Handles a job submission, the first or a repeated one. Accepts at once if the job is in the
+    /// log.
     pub fn submit(&mut self, entry: JobEntry, out: &mut Vec<VmOutput>) {
         let known =
             self.jobs.row(TENANT, entry.job.as_str()).is_some_and(|row| row.entry().is_some());
@@ -187,7 +188,8 @@
             .iter()
             .position(|call| call.id == id && matches!(call.phase, CallPhase::Reserving { .. }));
         let Some(at) = waiting else {
-            // The request gave up before; releases the grant, so that its slot does not stay pinned.
+            // The request gave up before; releases the grant, so that its slot does not stay
+            // pinned.
             if let Ok(grant) = reply {
                 self.release(&grant, GrantEnd::NotRun);
             }
@@ -211,9 +213,9 @@
         self.calls.push(call);
     }
 
-    /// Returns whether a grant may be used. The slot of a grant that arrives after its time limit, as at
-    /// a VM that was paused, may hold another adapter by then. So may the slot of a grant from a deposed
-    /// owner, if this VM reported its held grants to a later owner before.
+    /// Returns whether a grant may be used. The slot of a grant that arrives after its time limit,
+    /// as at a VM that was paused, may hold another adapter by then. So may the slot of a grant
+    /// from a deposed owner, if this VM reported its held grants to a later owner before.
     fn usable(&self, now: TimePoint, requested: TimePoint, grant: &SlotGrant) -> bool {
         let late = now.since(requested) > grant.use_within_ms * MICROS_PER_MILLI;
         let min_epoch = self.min_epochs.iter().find(|(group, _)| *group == grant.id.group);
@@ -280,8 +282,8 @@
         }
     }
 
-    /// Withdraws a request for a grant that waited too long. Without the withdrawal, a grant in a lost
-    /// reply would keep its slot pinned forever.
+    /// Withdraws a request for a grant that waited too long. Without the withdrawal, a grant in a
+    /// lost reply would keep its slot pinned forever.
     fn withdraw(&mut self, call: &OpenCall) {
         let group = call.group.clone();
         self.withdrawals.push(OpenWithdrawal { id: call.id, group, sent: None });
@@ -356,8 +358,8 @@
             };
             self.runner.finish(TENANT, job.job.as_str(), JobEnd { outcome, result });
         }
-        if let Some((request, attempt)) = call.request {
-            out.push(VmOutput::Answer(request, attempt, outcome));
+        if let Some((request, attempt_number)) = call.request {
+            out.push(VmOutput::Answer(request, attempt_number, outcome));
         }
     }
 
@@ -367,8 +369,8 @@
         self.releases.push(OpenRelease { call, sent: None });
     }
 
-    /// Sends due releases to the owners in force and repeats them until they are acknowledged. A lost
-    /// release would keep the slot pinned forever.
+    /// Sends due releases to the owners in force and repeats them until they are acknowledged. A
+    /// lost release would keep the slot pinned forever.
     pub(crate) fn send_releases(
         &mut self,
         now: TimePoint,
@@ -405,7 +407,8 @@
         }
     }
 
-    /// Ends or retries calls that are past their deadline, or whose key's issuer does not reply in time.
+    /// Ends or retries calls that are past their deadline, or whose key's issuer does not reply in
+    /// time.
     pub(crate) fn tick_calls(
         &mut self,
         now: TimePoint,
@@ -560,8 +563,8 @@
         self.end_call(call, outcome, out);
     }
 
-    /// Appends the job records and starts the job runs that the plan contains. Does nothing while the
-    /// log is down.
+    /// Appends the job records and starts the job runs that the plan contains. Does nothing while
+    /// the log is down.
     pub(crate) fn plan_jobs(&mut self, now: TimePoint, rng: &mut dyn Rng, out: &mut Vec<VmOutput>) {
         if !self.log_up {
             return;
--- a/load/src/compare.rs
+++ b/load/src/compare.rs
@@ -214,8 +214,8 @@
     figures
 }
 
-/// Computes a policy's figures over the arrivals after the warm-up. A request that was given up counts
-/// as stalled for its whole deadline, so that no policy gains by refusing.
+/// Computes a policy's figures over the arrivals after the warm-up. A request that was given up
+/// counts as stalled for its whole deadline, so that no policy gains by refusing.
 fn measure(policy: &'static str, model: &PlaceModel, arrivals: &[Arrival]) -> PolicyFigures {
     let warmup = model.shape.warmup_s * MICROS;
     let mut stalls = Vec::new();
@@ -268,8 +268,8 @@
     percentile(&mut values.collect::<Vec<f64>>(), 0.5)
 }
 
-/// Returns the ratio of two stalls. A millisecond is added to both, so that the ratio of two zeros is
-/// defined.
+/// Returns the ratio of two stalls. A millisecond is added to both, so that the ratio of two zeros
+/// is defined.
 fn stall_ratio(ours: f64, other: f64) -> f64 {
     (ours + 1.0) / (other + 1.0)
 }
--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -1,7 +1,7 @@
 //! `decide`: the cost of one routing decision.
 //!
-//! A decision maps the adapter to a group and chooses an engine and slot there. The measurement does
-//! not include building the grant from that choice.
+//! A decision maps the adapter to a group and chooses an engine and slot there. The measurement
+//! does not include building the grant from that choice.
 
 use std::process::ExitCode;
 use std::time::Instant;
@@ -51,8 +51,8 @@
 struct DecideReport {
     median_ns: u64,
     p99_ns: u64,
-    /// Always `None`: counting allocations needs an allocator written with `unsafe`, which the project
-    /// forbids. See docs/PLACEMENT.md.
+    /// Always `None`: counting allocations needs an allocator written with `unsafe`, which the
+    /// project forbids. See docs/PLACEMENT.md.
     allocations: Option<u32>,
     /// Median cost of reading the clock, which is contained in the other figures.
     clock_ns: u64,
--- a/load/src/drive.rs
+++ b/load/src/drive.rs
@@ -70,7 +70,8 @@
     gap_p95_ms: f64,
 }
 
-/// Sends the load and prints the report. The exit code is 1 if an answer was wrong, incomplete or lost.
+/// Sends the load and prints the report. The exit code is 1 if an answer was wrong, incomplete or
+/// lost.
 pub(crate) fn run(options: &DriveOptions) -> ExitCode {
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
--- a/load/src/effect.rs
+++ b/load/src/effect.rs
@@ -82,7 +82,8 @@
     Answer(u64, u64, RequestOutcome),
     /// Report to a caller that its job is accepted.
     JobAccepted(String),
-    /// Report the end of a job that was read from the log: the job, and its outcome and result as text.
+    /// Report the end of a job that was read from the log: the job, and its outcome and result as
+    /// text.
     JobEnded(String, String),
     /// Report that another configuration came into force at the VM.
     InForce,
@@ -120,7 +121,7 @@
     /// Number assigned by the world; a resend has the same.
     pub number: u64,
     /// Number of the attempt, from 1.
-    pub attempt: u64,
+    pub attempt_number: u64,
     /// Name under which the oracle counts its runs; a resend has the same.
     pub name: String,
     /// What the request is for.
--- a/load/src/fake.rs
+++ b/load/src/fake.rs
@@ -1,7 +1,7 @@
 //! Fakes of the log and the model engines for the randomised soak.
 //!
-//! They have no clock and no randomness of their own: the world calls them when a message arrives, so
-//! that a run can be replayed from its seed.
+//! They have no clock and no randomness of their own: the world calls them when a message arrives,
+//! so that a run can be replayed from its seed.
 
 use std::collections::VecDeque;
 
@@ -94,8 +94,8 @@
         !self.down
     }
 
-    /// Reads a page of a stream from offset `from`, or from the first retained record if that is later.
-    /// Returns `None` in an outage.
+    /// Reads a page of a stream from offset `from`, or from the first retained record if that is
+    /// later. Returns `None` in an outage.
     #[must_use]
     pub fn read(&self, stream: LogStream, from: u64) -> Option<LogPage> {
         if self.down {
@@ -179,7 +179,8 @@
         self.checks_fencing && old
     }
 
-    /// Executes an order. Returns its result and the runs that an unload aborted; there must be none.
+    /// Executes an order. Returns its result and the runs that an unload aborted; there must be
+    /// none.
     pub fn execute(&mut self, order: &EngineOrder) -> (OrderResult, Vec<u64>) {
         match order {
             EngineOrder::Load { slot, .. } => {
--- a/load/src/fault.rs
+++ b/load/src/fault.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Ends all faults and stops new load. The first engine starts to drain, so that the rule on draining
-    /// servers is checked without other faults.
+    /// Ends all faults and stops new load. The first engine starts to drain, so that the rule on
+    /// draining servers is checked without other faults.
     pub(crate) fn repair_all(&mut self) {
         self.settling = true;
         let paused = self.hosts.iter().map(|host| host.paused);
--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -21,7 +21,8 @@
 /// Adapter slots of each engine.
 const SLOTS: usize = 32;
 
-/// The map of all groups, with their owners. Engines report loaded slots for the groups of [`REGION`].
+/// The map of all groups, with their owners. Engines report loaded slots for the groups of
+/// [`REGION`].
 pub(crate) struct RouteFleet {
     pub(crate) map: GroupMap,
     /// Owners, in the order of the groups of the map.
@@ -53,8 +54,8 @@
         fleet
     }
 
-    /// Fills the slots of each group's engines with the first adapters routed to the group, and reports
-    /// them to the owner.
+    /// Fills the slots of each group's engines with the first adapters routed to the group, and
+    /// reports them to the owner.
     fn load_engines(&mut self, manifest: &ServingManifest) {
         let mut routed: Vec<Vec<AdapterVersion>> = vec![Vec::new(); self.owners.len()];
         for (number, entry) in manifest.adapters.iter().enumerate() {
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Returns the slots that `server` of the group with the index `group` reports; empty if there is no
-    /// such engine.
+    /// Returns the slots that `server` of the group with the index `group` reports; empty if there
+    /// is no such engine.
     pub(crate) fn reported(&self, group: usize, server: &ServerName) -> Vec<SlotReport> {
         let engine = self.loaded.iter().find(|it| it.group == group && it.server == *server);
         engine.map(|engine| engine.slots.clone()).unwrap_or_default()
@@ -102,8 +103,8 @@
     }
 }
 
-/// Returns a manifest of `servers` engines and `adapters` adapters, assigned round-robin to regions,
-/// domains and models.
+/// Returns a manifest of `servers` engines and `adapters` adapters, assigned round-robin to
+/// regions, domains and models.
 pub(crate) fn manifest(servers: u32, adapters: u32) -> ServingManifest {
     ServingManifest {
         servers: (0..servers).map(server).collect(),
--- a/load/src/latency.rs
+++ b/load/src/latency.rs
@@ -1,7 +1,7 @@
 //! `latency`: the latency that an entry VM adds to the time to the first token.
 //!
-//! Calls through the entry VM and direct calls to the same engine alternate on persistent connections,
-//! with one loaded adapter. Everything runs in this process on loopback ports.
+//! Calls through the entry VM and direct calls to the same engine alternate on persistent
+//! connections, with one loaded adapter. Everything runs in this process on loopback ports.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -18,8 +18,8 @@
 const WARMUP_CALLS: usize = 50;
 /// Tokens of a call in the paired measurement and after a start.
 const SHORT_TOKENS: u32 = 2;
-/// Duration of an engine step in microseconds. It is short, so that waiting for the next step does not
-/// dominate the measurement.
+/// Duration of an engine step in microseconds. It is short, so that waiting for the next step does
+/// not dominate the measurement.
 const STEP_US: u64 = 200;
 /// Time limit for the first answer of a started VM.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
@@ -167,7 +167,8 @@
     report.streams_ms = millis(started.elapsed());
 }
 
-/// Starts and stops a second VM repeatedly, and measures the time from each start to its first answer.
+/// Starts and stops a second VM repeatedly, and measures the time from each start to its first
+/// answer.
 async fn starts(
     site: &mut LocalSite,
     count: usize,
@@ -190,8 +191,8 @@
         }
         times.push(millis(started.elapsed()));
         site.stop_vm(at).await;
-        // Waits for longer than the lag of the VM list, so that the next start sees a list without this
-        // VM.
+        // Waits for longer than the lag of the VM list, so that the next start sees a list without
+        // this VM.
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     report.start_to_answer_p50_ms = quantile(&mut times, 0.5);
--- a/load/src/model.rs
+++ b/load/src/model.rs
@@ -1,8 +1,8 @@
 //! A model of engines and the weight store in virtual time, on which all policies run.
 //!
 //! It models no network and no VMs. In a step an engine generates one token for each request of its
-//! batch. A step takes longer with the size of the batch and the number of distinct adapters in it. An
-//! idle engine makes no steps.
+//! batch. A step takes longer with the size of the batch and the number of distinct adapters in it.
+//! An idle engine makes no steps.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Starts a load, which ends with [`RequestPlacer::loaded`]. It takes longer if more loads are in
-    /// progress than the store serves at full speed.
+    /// Starts a load, which ends with [`RequestPlacer::loaded`]. It takes longer if more loads are
+    /// in progress than the store serves at full speed.
     pub(crate) fn load(&mut self, load: u64) {
         self.loads += 1;
         self.loads_running += 1;
--- a/load/src/ownership.rs
+++ b/load/src/ownership.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Sends the control state to the owners of all groups, after a snapshot was adopted. Adopting a
-    /// snapshot produces no single events.
+    /// Sends the control state to the owners of all groups, after a snapshot was adopted. Adopting
+    /// a snapshot produces no single events.
     pub(crate) fn send_all_state(
         &mut self,
         now: TimePoint,
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Sends an event to the owner of a group and carries out its actions. Ignores the event if this VM
-    /// does not own the group in `epoch`.
+    /// Sends an event to the owner of a group and carries out its actions. Ignores the event if
+    /// this VM does not own the group in `epoch`.
     pub(crate) fn owner_event(
         &mut self,
         now: TimePoint,
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Returns the grants of earlier epochs that this VM holds. From then on the VM uses no new grant of
-    /// an earlier epoch.
+    /// Returns the grants of earlier epochs that this VM holds. From then on the VM uses no new
+    /// grant of an earlier epoch.
     pub(crate) fn held_reply(&mut self, call: &HeldCall) -> HeldReply {
         match self.min_epochs.iter_mut().find(|(group, _)| *group == call.group) {
             Some((_, epoch)) => *epoch = call.epoch.max(*epoch),
@@ -290,8 +290,8 @@
         }
     }
 
-    /// Sends the log's and the VMs' state and a tick to all owners, and requests engine reports at an
-    /// interval. Sends the fence order first to engines that need it.
+    /// Sends the log's and the VMs' state and a tick to all owners, and requests engine reports at
+    /// an interval. Sends the fence order first to engines that need it.
     pub(crate) fn tick_owners(
         &mut self,
         now: TimePoint,
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -1,8 +1,8 @@
 //! `slopes`: control costs by the size of a site, which docs/CAPACITY.md evaluates.
 //!
-//! Each site runs in this process, with stand-in servers and callers. Bytes and messages are counted by
-//! the VMs. CPU time and memory are those of the process and include the stand-in servers, so they are
-//! upper bounds for the VMs.
+//! Each site runs in this process, with stand-in servers and callers. Bytes and messages are
+//! counted by the VMs. CPU time and memory are those of the process and include the stand-in
+//! servers, so they are upper bounds for the VMs.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -163,8 +163,8 @@
     let selected = |name: &str| options.only.is_empty() || options.only.iter().any(|it| it == name);
     let time = Duration::from_millis(options.measure_ms);
     let (mut slopes, mut failed) = (Vec::new(), Vec::new());
-    // Runs measurements without a site first, and small ones first: the allocator keeps freed memory, so
-    // growth after a larger measurement would not show.
+    // Runs measurements without a site first, and small ones first: the allocator keeps freed
+    // memory, so growth after a larger measurement would not show.
     if selected("owners") {
         slopes.extend(owners());
     }
@@ -256,7 +256,8 @@
     let mut set = SlopeSet::new("backend servers in all", TARGET_SERVERS);
     for engines in [4, 8, 16, 32, 64] {
         progress("servers", engines as u32);
-        // Puts all engines into one group, since the site expects as many owners as full groups have.
+        // Puts all engines into one group, since the site expects as many owners as full groups
+        // have.
         let mut settings = settings(SITE_VMS, engines);
         settings.policy.group_servers = settings.policy.group_servers.max(engines as u32);
         let site = LocalSite::start(settings).await?;
@@ -269,7 +270,8 @@
     Ok(set.fitted())
 }
 
-/// Measures completions at several rates. Completions that are not repeatable are claimed in the log.
+/// Measures completions at several rates. Completions that are not repeatable are claimed in the
+/// log.
 async fn requests(
     name: &str,
     repeatable: bool,
@@ -302,7 +304,8 @@
     Ok(set.fitted())
 }
 
-/// Sends completions at a fixed rate for `time`, round-robin to all VMs. Returns how many succeeded.
+/// Sends completions at a fixed rate for `time`, round-robin to all VMs. Returns how many
+/// succeeded.
 async fn send_completions(site: &LocalSite, rate: u32, repeatable: bool, time: Duration) -> u32 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static KEYS: AtomicU64 = AtomicU64::new(0);
@@ -338,8 +341,8 @@
     join_all(calls).await.into_iter().sum()
 }
 
-/// Measures first requests of adapters that are not loaded, on engines that ignore fencing numbers, where
-/// each load needs an intent in the log.
+/// Measures first requests of adapters that are not loaded, on engines that ignore fencing numbers,
+/// where each load needs an intent in the log.
 async fn loads() -> Result<Vec<MeasuredSlope>, SlopeFailure> {
     let mut set = SlopeSet::new("loads", TARGET_LOADS_HOUR);
     let mut settings = settings(SITE_VMS, 4);
--- a/load/src/soak.rs
+++ b/load/src/soak.rs
@@ -18,7 +18,8 @@
     /// Number of events of each seed while faults are injected.
     #[bpaf(argument("E"), fallback(30_000))]
     pub(crate) events: u64,
-    /// Inject only killed and paused VMs, and these more often, so that ownership moves continually.
+    /// Inject only killed and paused VMs, and these more often, so that ownership moves
+    /// continually.
     pub(crate) vm_faults: bool,
     /// Disable a safeguard, to show that the checks detect it: held-unasked, claim-unread,
     /// issued-reused, intent-unread, grant-late, old-epoch-used, revoke-unasked or fence-untold.
--- a/load/src/traffic.rs
+++ b/load/src/traffic.rs
@@ -21,8 +21,8 @@
 const HEDGE_MS: u64 = 300;
 /// Maximum number of times that a caller sends a request.
 const MAX_CALLER_ATTEMPTS: u32 = 4;
-/// Time after the first attempt in which a caller may resend a key, in milliseconds. Together with the
-/// longest pause of a VM it is shorter than the log's retention of the claim.
+/// Time after the first attempt in which a caller may resend a key, in milliseconds. Together with
+/// the longest pause of a VM it is shorter than the log's retention of the claim.
 const CALLER_WINDOW_MS: u64 = 30_000;
 /// Time after which a caller resubmits a job that was not accepted, in milliseconds.
 const JOB_TIMEOUT_MS: u64 = 4_000;
@@ -88,7 +88,8 @@
         self.push(wait, WorldEvent::Arrive);
     }
 
-    /// Draws an adapter. Low numbers are more popular; the popularity shifts by one adapter every 20 s.
+    /// Draws an adapter. Low numbers are more popular; the popularity shifts by one adapter every
+    /// 20 s.
     fn draw_adapter(&mut self) -> AdapterVersion {
         let count = self.settings.adapters;
         let first = self.rng.random_range(0..count);
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Sends a request, for the first time or again. The first attempt goes to the VM that issued the
-    /// key, if one did, all others to a random VM, which may be down.
+    /// Sends a request, for the first time or again. The first attempt goes to the VM that issued
+    /// the key, if one did, all others to a random VM, which may be down.
     pub(crate) fn resend(&mut self, number: usize) {
         let attempts = self.requests[number].attempts;
         let request = &self.requests[number];
@@ -132,8 +133,8 @@
         let at = self.issuer_of(number).filter(|_| attempts == 0).unwrap_or(at);
         let generation = self.hosts[at].generation;
         let hedged = request.hedged;
-        let attempt = u64::from(attempts) + 1;
-        let request = SoakRequest { number: number as u64, attempt, name, kind };
+        let attempt_number = u64::from(attempts) + 1;
+        let request = SoakRequest { number: number as u64, attempt_number, name, kind };
         self.push(1, WorldEvent::Vm(at, generation, VmEvent::Request(request)));
         let timeout = if hedged { HEDGE_MS } else { CALLER_TIMEOUT_MS };
         self.push(timeout, WorldEvent::Resend(number));
@@ -145,12 +146,12 @@
         self.hosts.iter().position(|host| name.starts_with(&format!("cf1.{}.", host.name)))
     }
 
-    /// Handles an answer to a caller. A caller resends the same key after the outcome "unknown". A caller
-    /// that timed out does not receive answers to earlier attempts, unless it hedges.
-    pub(crate) fn answered(&mut self, number: u64, attempt: u64, outcome: RequestOutcome) {
+    /// Handles an answer to a caller. A caller resends the same key after the outcome "unknown". A
+    /// caller that timed out does not receive answers to earlier attempts, unless it hedges.
+    pub(crate) fn answered(&mut self, number: u64, attempt_number: u64, outcome: RequestOutcome) {
         let number = number as usize;
         let request = &self.requests[number];
-        if !request.hedged && u64::from(request.attempts) != attempt {
+        if !request.hedged && u64::from(request.attempts) != attempt_number {
             return;
         }
         let name = self.requests[number].name.clone();
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Publishes two changes, often with the same base version. Some are repeated after a delay, and some
-    /// are invalid.
+    /// Publishes two changes, often with the same base version. Some are repeated after a delay,
+    /// and some are invalid.
     pub(crate) fn publish(&mut self) {
         if self.settling {
             return;
--- a/load/src/vm.rs
+++ b/load/src/vm.rs
@@ -321,9 +321,9 @@
             }
             let reason = RefusalReason::LogUnavailable;
             let answer = self.claims.give_up(TENANT, &call.key, reason);
-            let output = call
-                .request
-                .map(|(request, attempt)| VmOutput::Answer(request, attempt, answer.outcome));
+            let output = call.request.map(|(request, attempt_number)| {
+                VmOutput::Answer(request, attempt_number, answer.outcome)
+            });
             out.extend(output);
         }
     }
@@ -454,8 +454,8 @@
         }
     }
 
-    /// Queries a random live VM for newer state, at an interval, while this VM cannot read the log or its
-    /// state is incomplete.
+    /// Queries a random live VM for newer state, at an interval, while this VM cannot read the log
+    /// or its state is incomplete.
     fn request_catch_up(&mut self, now: TimePoint, rng: &mut dyn Rng, out: &mut Vec<VmOutput>) {
         let behind = !self.log_up || !self.config.whole() || !self.control.whole();
         if !behind || now.since(self.catch_up_sent) < CATCH_UP_INTERVAL_MS * MICROS_PER_MILLI {
--- a/load/src/world.rs
+++ b/load/src/world.rs
@@ -1,8 +1,8 @@
 //! The simulated world of the soak: virtual time, messages, faults, callers and operators.
 //!
 //! One event queue and one seeded random generator drive a run, so a seed replays it exactly. A run
-//! injects faults, alone and in pairs, for a number of events. Then it ends all faults, and the system
-//! must settle with no request or job lost.
+//! injects faults, alone and in pairs, for a number of events. Then it ends all faults, and the
+//! system must settle with no request or job lost.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -44,8 +44,8 @@
     pub slots: usize,
     /// Number of adapters at the start.
     pub adapters: usize,
-    /// Whether to inject no faults but killed and paused VMs, and these more often, so that ownership
-    /// moves continually.
+    /// Whether to inject no faults but killed and paused VMs, and these more often, so that
+    /// ownership moves continually.
     pub vm_faults: bool,
     /// The safeguard that the run disables.
     pub broken: BrokenSafeguard,
@@ -399,9 +399,7 @@
         match queued.event {
             WorldEvent::Vm(at, generation, event) => self.vm_event(at, generation, event),
             WorldEvent::Append(at, record) => self.append(at, record),
-            WorldEvent::Read(at, generation, stream, from) => {
-                self.read(at, generation, stream, from)
-            }
+            WorldEvent::Read(at, generation, stream, pos) => self.read(at, generation, stream, pos),
             WorldEvent::RunArrives(call) => self.run_arrives(call),
             WorldEvent::RunEnds(run, call, incarnation) => self.run_ends(run, call, incarnation),
             WorldEvent::OrderArrives(call) => self.order_arrives(call),
@@ -445,8 +443,8 @@
         self.push(2, WorldEvent::Vm(at, generation, VmEvent::List(list)));
     }
 
-    /// Delivers an event to a VM and carries out its outputs. Defers the event while the VM is paused,
-    /// and drops it if the VM has restarted.
+    /// Delivers an event to a VM and carries out its outputs. Defers the event while the VM is
+    /// paused, and drops it if the VM has restarted.
     fn vm_event(&mut self, at: usize, generation: u64, event: VmEvent) {
         let now = self.now;
         let host = &mut self.hosts[at];
@@ -523,8 +521,8 @@
                 let Some(engine) = self.engine(&server) else { return };
                 self.push_micros(600, WorldEvent::ReportRequested(at, generation, group, engine));
             }
-            VmOutput::Answer(request, attempt, outcome) => {
-                self.answered(request, attempt, outcome);
+            VmOutput::Answer(request, attempt_number, outcome) => {
+                self.answered(request, attempt_number, outcome);
             }
             VmOutput::JobAccepted(job) => self.oracle.job_accepted(&job),
             VmOutput::JobEnded(job, end) => self.oracle.job_ended(self.now.0, &job, &end),
@@ -536,8 +534,8 @@
         self.engines.iter().position(|engine| engine.name == *server)
     }
 
-    /// Sends a message between VMs. It is lost if the VMs are on different sides of a partition, or if the
-    /// receiver is down. A paused receiver handles it after the pause.
+    /// Sends a message between VMs. It is lost if the VMs are on different sides of a partition, or
+    /// if the receiver is down. A paused receiver handles it after the pause.
     fn send(&mut self, from: usize, to: &VmName, message: PeerMessage) {
         let Some(target) = self.hosts.iter().position(|host| host.name == *to) else { return };
         let separated = self.hosts[from].partitioned != self.hosts[target].partitioned;
@@ -586,8 +584,8 @@
         self.push(wait, WorldEvent::RunEnds(run, call, incarnation));
     }
 
-    /// Checks that a draining server receives no new runs after the grace time. Only checked once all
-    /// faults have ended, since a fault may keep the drain record from the owner.
+    /// Checks that a draining server receives no new runs after the grace time. Only checked once
+    /// all faults have ended, since a fault may keep the drain record from the owner.
     fn check_drained(&mut self, engine: usize, name: &str) {
         let Some(since) = self.drained[engine] else { return };
         let start = since.max(self.faults_end);
@@ -657,8 +655,8 @@
         self.push(lag, WorldEvent::Vm(at, generation, event));
     }
 
-    /// Runs a call at the plain service. Some calls are refused before they run, and some answers are
-    /// lost after the run.
+    /// Runs a call at the plain service. Some calls are refused before they run, and some answers
+    /// are lost after the run.
     fn serve(&mut self, at: usize, generation: u64, id: u64, key: &str) {
         if self.chance(40) {
             let event = VmEvent::Served(id, RequestOutcome::NotRun);
@@ -672,8 +670,8 @@
         self.push(wait, WorldEvent::Vm(at, generation, VmEvent::Served(id, RequestOutcome::Done)));
     }
 
-    /// Checks a configuration that came into force at a VM: a version must have the same content at every
-    /// VM.
+    /// Checks a configuration that came into force at a VM: a version must have the same content at
+    /// every VM.
     fn in_force(&mut self, at: usize) {
         let Some(vm) = &self.hosts[at].vm else { return };
         let version = vm.config.version().0 as usize;
--- a/load/tests/suite/soak_seeds.rs
+++ b/load/tests/suite/soak_seeds.rs
@@ -31,8 +31,8 @@
     (FIRST_SEED..FIRST_SEED + SEEDS).for_each(assert_sound);
 }
 
-// Guards against violations while ownership moves continually, as VMs are paused or killed at a high
-// rate.
+// Guards against violations while ownership moves continually, as VMs are paused or killed at a
+// high rate.
 #[test]
 fn moving_owners_sound() {
     for seed in 1..=6 {
