--- a/demo/src/client.rs
+++ b/demo/src/client.rs
@@ -38,7 +38,7 @@
     },
     /// A stream ended without `[DONE]`.
     #[snafu(display("the stream ended before [DONE]: {problem}"))]
-    Cut {
+    Truncated {
         /// The problem document in the last event; null if the body ended without one.
         problem: Value,
     },
@@ -57,7 +57,7 @@
     #[must_use]
     pub fn outcome(&self) -> &str {
         match self {
-            Self::Problem { problem, .. } | Self::Cut { problem } => {
+            Self::Problem { problem, .. } | Self::Truncated { problem } => {
                 problem.get("outcome").and_then(Value::as_str).unwrap_or("unknown")
             }
             Self::Exchange { source } if source.certainly_not_sent() => "not_run",
@@ -69,7 +69,7 @@
     #[must_use]
     pub fn reason(&self) -> &str {
         match self {
-            Self::Problem { problem, .. } | Self::Cut { problem } => {
+            Self::Problem { problem, .. } | Self::Truncated { problem } => {
                 problem.get("reason").and_then(Value::as_str).unwrap_or_default()
             }
             Self::Exchange { .. } | Self::Unreadable { .. } => "",
@@ -82,7 +82,7 @@
         match self {
             Self::Problem { status, .. } => *status == StatusCode::SERVICE_UNAVAILABLE,
             Self::Exchange { .. } => true,
-            Self::Cut { .. } | Self::Unreadable { .. } => false,
+            Self::Truncated { .. } | Self::Unreadable { .. } => false,
         }
     }
 }
@@ -383,7 +383,7 @@
             let value: Value = serde_json::from_slice(data)
                 .map_err(|error| SiteFailure::Unreadable { detail: error.to_string() })?;
             let Some(text) = value.pointer("/choices/0/text").and_then(Value::as_str) else {
-                return Err(SiteFailure::Cut { problem: value });
+                return Err(SiteFailure::Truncated { problem: value });
             };
             let now = Instant::now();
             match last.replace(now) {
@@ -393,5 +393,5 @@
             read.text.push_str(text);
         }
     }
-    Err(SiteFailure::Cut { problem: Value::Null })
+    Err(SiteFailure::Truncated { problem: Value::Null })
 }
--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Handles a request for a grant, as owner of the group.
+    /// Handles a request for a grant; refuses it if this VM does not own the group.
     pub(crate) fn handle_reserve(
         &mut self,
         now: TimePoint,
@@ -338,9 +338,9 @@
             let (ticket, ..) = self.tickets.swap_remove(at);
             self.owner_event(now, group, epoch, OwnerEvent::Withdraw { ticket }, rng, out);
         }
-        let given = self.given.iter().position(|given| same(&given.requester, given.request));
-        if let Some(at) = given {
-            let grant = self.given.swap_remove(at).grant;
+        let issued = self.issued_grants.iter().position(|open| same(&open.requester, open.request));
+        if let Some(at) = issued {
+            let grant = self.issued_grants.swap_remove(at).grant;
             let identity = self.members.row(from.as_str()).map(|row| row.identity().clone());
             let Some(holder) = identity else { return };
             let call = ReleaseCall { holder, grant, end: GrantEnd::NotRun, tokens: 0 };
@@ -391,7 +391,7 @@
             };
             if owned.owner == self.identity {
                 let grant = call.grant.clone();
-                self.given.retain(|given| given.grant != grant);
+                self.issued_grants.retain(|issued| issued.grant != grant);
                 self.owner_event(
                     now,
                     &grant.group,
@@ -612,7 +612,7 @@
             PeerMessage::Reserved(id, reply) => self.handle_reserved(now, id, reply, rng, out),
             PeerMessage::Release(call) => {
                 let grant = call.grant.clone();
-                self.given.retain(|given| given.grant != grant);
+                self.issued_grants.retain(|issued| issued.grant != grant);
                 let epoch = self.control.epoch(grant.group.as_str());
                 self.owner_event(now, &grant.group, epoch, OwnerEvent::Release(call), rng, out);
                 if self.owners.iter().any(|owned| owned.group == grant.group) {
--- a/load/src/effect.rs
+++ b/load/src/effect.rs
@@ -197,7 +197,7 @@
 
 /// A grant that this VM issued as owner.
 #[derive(Clone, Debug)]
-pub(crate) struct GivenGrant {
+pub(crate) struct IssuedGrant {
     pub(crate) requester: VmName,
     /// The requester's number of its request.
     pub(crate) request: u64,
--- a/load/src/oracle.rs
+++ b/load/src/oracle.rs
@@ -58,7 +58,7 @@
     }
 
     /// Records a violation of `rule` at virtual microsecond `at`.
-    pub fn violate(&mut self, at: u64, rule: &str, detail: String) {
+    pub fn record_violation(&mut self, at: u64, rule: &str, detail: String) {
         self.violations.push(SoakViolation { rule: rule.to_owned(), detail, at });
     }
 
@@ -70,10 +70,14 @@
         trace.once |= once;
         let (repeated, after_not_run) = (trace.once && trace.runs > 1, trace.not_run);
         if repeated {
-            self.violate(at, "at_most_once", format!("{name} ran again"));
+            self.record_violation(at, "at_most_once", format!("{name} ran again"));
         }
         if after_not_run {
-            self.violate(at, "not_run_did_not_run", format!("{name} ran after \"not run\""));
+            self.record_violation(
+                at,
+                "not_run_did_not_run",
+                format!("{name} ran after \"not run\""),
+            );
         }
     }
 
@@ -86,7 +90,11 @@
         let trace = self.trace(name);
         trace.not_run = true;
         if trace.runs > 0 {
-            self.violate(at, "not_run_did_not_run", format!("{name} had run before \"not run\""));
+            self.record_violation(
+                at,
+                "not_run_did_not_run",
+                format!("{name} had run before \"not run\""),
+            );
         }
     }
 
@@ -104,7 +112,7 @@
         let first = trace.end.get_or_insert_with(|| end.to_owned());
         if first != end {
             let detail = format!("job {job} ended as {first} and as {end}");
-            self.violate(at, "job_once", detail);
+            self.record_violation(at, "job_once", detail);
         }
     }
 
--- a/load/src/ownership.rs
+++ b/load/src/ownership.rs
@@ -15,7 +15,7 @@
 use coltsfoothook_decision::route::EngineGroup;
 use rand::Rng;
 
-use crate::effect::{CallPhase, GivenGrant, OrderEnd, PeerMessage, VmOutput};
+use crate::effect::{CallPhase, IssuedGrant, OrderEnd, PeerMessage, VmOutput};
 use crate::fake::LogRecord;
 use crate::safeguard::BrokenSafeguard;
 use crate::vm::{OwnedGroup, SoakVm};
@@ -279,9 +279,12 @@
         let Some(at) = self.tickets.iter().position(|(known, ..)| *known == ticket) else { return };
         let (_, from, remote_id, _) = self.tickets.swap_remove(at);
         if let Ok(grant) = &reply {
-            let given =
-                GivenGrant { requester: from.clone(), request: remote_id, grant: grant.id.clone() };
-            self.given.push(given);
+            let issued = IssuedGrant {
+                requester: from.clone(),
+                request: remote_id,
+                grant: grant.id.clone(),
+            };
+            self.issued_grants.push(issued);
         }
         if from == self.identity.vm {
             self.handle_reserved(now, remote_id, reply, rng, out);
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -234,7 +234,7 @@
         progress("vms", vms as u32);
         let before = process_figures().resident_bytes;
         let site = LocalSite::start(settings(vms, 2)).await?;
-        // Probes carry membership updates for a while after the start.
+        // Probes carry updates about the start for a while; the measurement is without them.
         tokio::time::sleep(SETTLE_TIME).await;
         let spent = SiteFigures::during(&site, time).await?;
         let resident = process_figures().resident_bytes.saturating_sub(before) as f64;
--- a/load/src/vm.rs
+++ b/load/src/vm.rs
@@ -27,7 +27,7 @@
 use rand::Rng;
 
 use crate::effect::{
-    AbandonedRun, CallPhase, GivenGrant, OpenCall, OpenRelease, OpenWithdrawal, PeerMessage,
+    AbandonedRun, CallPhase, IssuedGrant, OpenCall, OpenRelease, OpenWithdrawal, PeerMessage,
     VmOutput,
 };
 use crate::fake::{LogPage, LogRecord, LogStream};
@@ -82,8 +82,8 @@
     pub(crate) abandoned: Vec<AbandonedRun>,
     pub(crate) withdrawals: Vec<OpenWithdrawal>,
     /// Grants issued by its owners and not released yet.
-    pub(crate) given: Vec<GivenGrant>,
-    /// The oldest epoch of each group whose grants may be used; none if any may.
+    pub(crate) issued_grants: Vec<IssuedGrant>,
+    /// The oldest epoch of a group whose grants may be used; a group without an entry has no limit.
     pub(crate) min_epochs: Vec<(GroupName, OwnerEpoch)>,
     /// Requests for grants pending at its owners: ticket, requester, the requester's number, group.
     pub(crate) tickets: Vec<(u64, VmName, u64, GroupName)>,
@@ -141,7 +141,7 @@
             releases: Vec::new(),
             abandoned: Vec::new(),
             withdrawals: Vec::new(),
-            given: Vec::new(),
+            issued_grants: Vec::new(),
             min_epochs: Vec::new(),
             tickets: Vec::new(),
             submitting: Vec::new(),
--- a/load/src/world.rs
+++ b/load/src/world.rs
@@ -149,7 +149,7 @@
     RunArrives(RunCall),
     RunEnds(u64, RunCall, ServerIncarnation),
     OrderArrives(OrderCall),
-    OrderActs(OrderCall),
+    OrderExecutes(OrderCall),
     ReportRequested(usize, u64, GroupName, usize),
     Serve(usize, u64, u64, String),
     Arrive,
@@ -341,7 +341,7 @@
         }
         let unsettled = if self.no_violations() { unsettled } else { Vec::new() };
         for (rule, detail) in unsettled {
-            self.oracle.violate(self.now.0, rule, detail);
+            self.oracle.record_violation(self.now.0, rule, detail);
         }
         self.finish();
     }
@@ -371,7 +371,7 @@
         let Some(vm) = &self.hosts[at].vm else { return };
         for violation in vm.invariants().details() {
             let detail = format!("{}: {}", self.hosts[at].name, violation.detail);
-            self.oracle.violate(self.now.0, violation.name.as_str(), detail);
+            self.oracle.record_violation(self.now.0, violation.name.as_str(), detail);
         }
     }
 
@@ -403,7 +403,7 @@
             WorldEvent::RunArrives(call) => self.run_arrives(call),
             WorldEvent::RunEnds(run, call, incarnation) => self.run_ends(run, call, incarnation),
             WorldEvent::OrderArrives(call) => self.order_arrives(call),
-            WorldEvent::OrderActs(call) => self.order_acts(call),
+            WorldEvent::OrderExecutes(call) => self.order_executes(call),
             WorldEvent::ReportRequested(at, generation, group, engine) => {
                 self.report_requested(at, generation, group, engine);
             }
@@ -576,7 +576,7 @@
         let adapter = parse_slot(&call.grant.slot).map(|(adapter, _)| adapter);
         if adapter.as_ref() != Some(&call.subject.adapter) {
             let detail = format!("{} ran on {}", call.subject.name, call.grant.slot);
-            self.oracle.violate(self.now.0, "right_adapter", detail);
+            self.oracle.record_violation(self.now.0, "right_adapter", detail);
         }
         self.check_drained(call.engine, &call.subject.name);
         self.oracle.ran(self.now.0, &call.subject.name, call.subject.once);
@@ -591,7 +591,7 @@
         let start = since.max(self.faults_end);
         if self.settling && self.now.since(start) > DRAIN_GRACE_MS * MICROS_PER_MILLI {
             let detail = format!("{name} began on engine-{engine}, which is leaving");
-            self.oracle.violate(self.now.0, "leaving_server_idle", detail);
+            self.oracle.record_violation(self.now.0, "leaving_server_idle", detail);
         }
     }
 
@@ -617,10 +617,10 @@
         let unload = matches!(call.order, EngineOrder::Unload { .. });
         let max = if self.slow_loads { 30_000 } else { 900 };
         let wait = if unload { 1 } else { self.rng.random_range(100..max) };
-        self.push(wait, WorldEvent::OrderActs(call));
+        self.push(wait, WorldEvent::OrderExecutes(call));
     }
 
-    fn order_acts(&mut self, call: OrderCall) {
+    fn order_executes(&mut self, call: OrderCall) {
         let current = self.engines[call.engine].incarnation;
         if call.incarnation.is_some_and(|expected| expected != current) {
             return;
@@ -633,7 +633,7 @@
         self.result.unloads += u64::from(!load && call.incarnation.is_some());
         if !aborted.is_empty() {
             let detail = format!("{:?} by epoch {} cut runs {aborted:?}", call.order, call.epoch);
-            self.oracle.violate(self.now.0, "no_eviction_in_use", detail);
+            self.oracle.record_violation(self.now.0, "no_eviction_in_use", detail);
         }
         if !self.chance(20) {
             self.send_order_end(&call, result);
@@ -686,7 +686,7 @@
         }
         if *known != hash {
             let detail = format!("version {version} differs at {}", self.hosts[at].name);
-            self.oracle.violate(self.now.0, "config_never_reverts", detail);
+            self.oracle.record_violation(self.now.0, "config_never_reverts", detail);
         }
     }
 }
