--- a/demo/src/client.rs
+++ b/demo/src/client.rs
@@ -163,7 +163,7 @@
         self.address
     }
 
-    /// Whether the client calls `address` with `credential`.
+    /// Returns whether the client calls `address` with `credential`.
     pub(crate) fn is_for(&self, address: SocketAddr, credential: &str) -> bool {
         self.address == address && self.credential == credential
     }
--- a/demo/src/site.rs
+++ b/demo/src/site.rs
@@ -131,7 +131,7 @@
     pub services: Vec<ServiceHandle>,
     /// The entry VMs by number; `None` where a VM was stopped or killed.
     pub vms: Vec<Option<EntryProcess>>,
-    /// The manifest of the last successful [`LocalSite::publish`], or the initial one.
+    /// The manifest that was accepted last, or the initial one.
     pub manifest: ServingManifest,
     token: PathBuf,
 }
--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -521,7 +521,7 @@
         out.push(VmOutput::Peer(vm.vm.clone(), PeerMessage::Revoke(call.id, message)));
     }
 
-    /// Continues the call that waiting for this claim, after it was read back from the log.
+    /// Continues the call that waits for this claim, after it was read back from the log.
     pub(crate) fn claim_decided(
         &mut self,
         now: TimePoint,
--- a/load/src/world.rs
+++ b/load/src/world.rs
@@ -206,7 +206,7 @@
     }
 }
 
-/// A machine on which one incarnation of a VM after another runs.
+/// State of one named VM, across its incarnations.
 pub(crate) struct VmHost {
     pub(crate) name: VmName,
     pub(crate) place: MemberPlace,
