--- a/decision/src/claim.rs
+++ b/decision/src/claim.rs
@@ -35,7 +35,8 @@
 
 /// Prefix of an issued key, `cf1.<vm>.<incarnation>.<n>`.
 const ISSUED_PREFIX: &str = "cf1.";
-/// Buckets of the claim window. Each is a short sorted vector, which keeps insertions cheap.
+/// Number of buckets of the claim window, and of the keys of a VM. Each is a short sorted vector,
+/// which keeps insertions cheap.
 const CLAIM_BUCKETS: usize = 256;
 /// Bits per word of the bitmap of used issued keys.
 const WORD_BITS: u64 = 64;
@@ -43,15 +44,16 @@
 /// Settings of claims.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClaimSettings {
-    /// Number of claims remembered, the latest in offset order. A count and not a time, because
-    /// readers whose clocks differ must forget the same claims.
+    /// Number of claims remembered, the latest in offset order. A count rather than a time, so that
+    /// readers whose clocks differ forget the same claims.
     pub window_claims: usize,
     /// Minimum milliseconds for which a key is protected; must be shorter than the log's retention.
-    /// An older key that contains its own time (UUID version 7) is refused.
+    /// A key that contains its time of creation (UUID version 7) is refused once it is older.
     pub window_ms: u64,
     /// Milliseconds by which the clocks of callers and VMs may differ.
     pub clock_ms: u64,
-    /// Keys whose outcome is remembered. Of older issued keys only the fact of their use is.
+    /// Number of keys whose state this VM remembers. Of an older issued key it remembers only that
+    /// the key was used.
     pub issued_kept: usize,
     /// Upper bound of keys that one incarnation of a VM issues, at one bit of memory each.
     pub max_issued: u64,
@@ -61,7 +63,8 @@
     pub flush_ms: u64,
     /// Milliseconds after which claims whose append was not read back are appended again.
     pub repeat_ms: u64,
-    /// Claims that may wait for their append; further ones are refused.
+    /// Maximum number of claims that are queued until they are read back; requests with further
+    /// ones are refused.
     pub queue: usize,
 }
 
@@ -88,7 +91,7 @@
     Won,
     /// The same claimer claimed it before, for instance because the append's answer was lost.
     Repeated,
-    /// Another VM's claim came first.
+    /// A claim of another VM, or of another incarnation of the same VM, came first.
     Lost(KeptClaim),
 }
 
@@ -126,6 +129,7 @@
     window: usize,
     cursor: StreamCursor<()>,
     buckets: Vec<Vec<BucketEntry>>,
+    /// Hashes of the remembered keys, the oldest claim first.
     order: std::collections::VecDeque<u128>,
 }
 
@@ -201,8 +205,8 @@
     (hash % CLAIM_BUCKETS as u128) as usize
 }
 
-/// Combines two independent 64-bit hashes: a collision of two keys would wrongly refuse a request,
-/// and is negligible at 128 bits.
+/// Combines two independent 64-bit hashes. A collision of two keys would wrongly refuse a request;
+/// at 128 bits its probability is negligible.
 fn key_hash(tenant: &str, key: &str) -> u128 {
     let high = stable_hash(&[tenant, key]);
     let low = stable_hash(&[key, "claim", tenant]);
@@ -233,7 +237,7 @@
 pub enum ClaimStart {
     /// It may run now, once.
     Run,
-    /// Its claim waits for its append to be read back; see [`ClaimTable::read_back`].
+    /// It waits until its claim is appended and read back; see [`ClaimTable::read_back`].
     Claiming,
     /// Only this other VM may run it: request a revocation there, then call
     /// [`ClaimTable::revoked`].
@@ -309,10 +313,10 @@
     let number = parts.next()?.parse().ok()?;
     let incarnation = VmIncarnation(parts.next()?.parse().ok()?);
     let vm = parts.next().filter(|vm| !vm.is_empty())?.into();
-    let read = IssuedKey { issuer: VmIdentity { vm, incarnation }, number };
-    // `+7` and `07` also parse as 7. Accepting only the canonical form keeps two keys from standing
-    // for one number.
-    (read.to_key().as_str() == key).then_some(read)
+    let parsed = IssuedKey { issuer: VmIdentity { vm, incarnation }, number };
+    // `+7` and `07` also parse as 7. Only the canonical form is accepted, so that no two keys have
+    // the same number.
+    (parsed.to_key().as_str() == key).then_some(parsed)
 }
 
 impl IssuedKey {
@@ -343,15 +347,18 @@
     fold: ClaimFold,
     batcher: ClaimBatcher,
     buckets: Vec<Vec<KeyEntry>>,
+    /// Hashes of the remembered keys, the oldest first.
     order: std::collections::VecDeque<u128>,
+    /// Number of keys issued.
     issued: u64,
+    /// Bitmap of the issued keys that were run or revoked.
     used: Vec<u64>,
     invariants: InvariantLog,
 }
 
 impl ClaimTable {
-    /// Creates the table of a VM that has just started. A VM persists nothing, so keys of its
-    /// earlier incarnations are as unknown to it as those of other VMs, and never run.
+    /// Creates the table of a VM that has just started. A VM persists nothing, so it does not know
+    /// which keys its earlier incarnations ran, and never runs keys that they issued.
     #[must_use]
     pub fn new(settings: ClaimSettings, vm: VmIdentity) -> Self {
         Self {
@@ -367,7 +374,7 @@
         }
     }
 
-    /// The first claims read from the log.
+    /// The first claim of each key, as read from the log.
     #[must_use]
     pub fn fold(&self) -> &ClaimFold {
         &self.fold
@@ -378,7 +385,7 @@
         self.fold.skip(offset);
     }
 
-    /// The claims that wait for their append.
+    /// The claims that are queued until they are read back.
     pub fn batcher(&mut self) -> &mut ClaimBatcher {
         &mut self.batcher
     }
@@ -427,7 +434,7 @@
     }
 
     fn begin_claim(&mut self, now: TimePoint, request: &ClaimRequest<'_>) -> ClaimStart {
-        let retried = match self.entry(request.tenant, request.key) {
+        let given_up = match self.entry(request.tenant, request.key) {
             Some(entry) if entry.state == KeyState::GivenUp => true,
             Some(entry) => return known_answer(entry, request),
             None => false,
@@ -435,9 +442,9 @@
         if let Some(claim) = self.fold.claim(request.tenant, request.key) {
             return claimed_answer(claim, &self.vm, request.fingerprint);
         }
-        let oldest = request.wall_ms.saturating_sub(self.settings.window_ms);
-        let limit = oldest + self.settings.clock_ms;
-        if oldest > 0 && key_time_ms(request.key).is_some_and(|time| time < limit) {
+        let window_start = request.wall_ms.saturating_sub(self.settings.window_ms);
+        let oldest = window_start + self.settings.clock_ms;
+        if window_start > 0 && key_time_ms(request.key).is_some_and(|time| time < oldest) {
             return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::KeyExpired));
         }
         if !request.log_up {
@@ -454,15 +461,15 @@
             let outcome = ClaimAnswer::without_log(request.first_try).outcome;
             return ClaimStart::Answer(ClaimAnswer { outcome, reason });
         }
-        if retried {
+        if given_up {
             self.forget(request.tenant, request.key);
         }
         self.remember(request, KeyState::Claiming { first_try: request.first_try });
         ClaimStart::Claiming
     }
 
-    /// Folds a record of the claim stream and decides the requests that waited for it. Entries of
-    /// other VMs, or that no request waits for, have no outcome.
+    /// Folds a record of the claim stream and returns the decisions on the requests that waited for
+    /// it. A claim of a key that no request waits for has no outcome.
     pub fn read_back(&mut self, offset: u64, record: ClaimRecord) -> Vec<ClaimOutcome> {
         let resolutions = self.fold.fold(offset, record);
         let mut outcomes = Vec::new();
@@ -495,8 +502,8 @@
             }
             _ => None,
         };
-        // Another VM's claim came first, so this VM will never run the key. Forgetting it makes a
-        // resend query that VM.
+        // Another claim came first, so this incarnation will never run the key. Once the key is
+        // forgotten, a resend is answered from that first claim.
         if !won {
             self.batcher.drop_claim(tenant.as_str(), key.as_str());
             self.forget(tenant.as_str(), key.as_str());
@@ -524,7 +531,7 @@
         ClaimAnswer { outcome, reason }
     }
 
-    /// Records the end of a run. After "not run" the key cannot be used anywhere: a resend gets the
+    /// Records the end of a run. After "not run" the key is never run anywhere: a resend gets the
     /// same answer.
     pub fn end(&mut self, tenant: &str, key: &str, outcome: RequestOutcome) {
         let entry = self.entry_mut(tenant, key);
@@ -707,7 +714,7 @@
     if claim.fingerprint != fingerprint {
         return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::KeyReused));
     }
-    // Claimed by this VM and since forgotten, or by its earlier incarnation: it may have run.
+    // Claimed by this VM and since forgotten, or by an earlier incarnation of it: it may have run.
     if claim.claimer.vm == vm.vm {
         return ClaimStart::Answer(ClaimAnswer::unknown(RefusalReason::AlreadyClaimed));
     }
@@ -717,7 +724,9 @@
 #[derive(Clone, Debug)]
 struct OpenClaim {
     entry: ClaimEntry,
+    /// When it was queued.
     since: TimePoint,
+    /// When it was last sent in an append.
     sent: Option<TimePoint>,
 }
 
@@ -726,7 +735,9 @@
 pub struct ClaimBatcher {
     vm: VmIdentity,
     batch: usize,
+    /// [`ClaimSettings::flush_ms`] in microseconds.
     flush: u64,
+    /// [`ClaimSettings::repeat_ms`] in microseconds.
     repeat: u64,
     queue: usize,
     open: Vec<OpenClaim>,
@@ -776,7 +787,8 @@
         Some(ClaimRecord { claimer: self.vm.clone(), claims })
     }
 
-    /// When [`Self::take_due`] is to be called next; `None` while no claim waits.
+    /// When [`Self::take_due`] is to be called next if no full batch waits before; `None` while no
+    /// claim is queued.
     #[must_use]
     pub fn next_due(&self) -> Option<TimePoint> {
         let due = self.open.iter().map(|claim| match claim.sent {
--- a/decision/src/limit.rs
+++ b/decision/src/limit.rs
@@ -1,12 +1,13 @@
 //! Customer limits over the whole fleet.
 //!
-//! No VM sends a request to another before it admits a request. Each VM reports, per customer, its
-//! demand and admissions as totals since its process started, and keeps an estimate of a fleet-wide
-//! token bucket that fills at the customer's rate and is drained by the admissions of all VMs.
-//! While the bucket is not empty, every VM admits requests. Once it is empty, each VM admits its
-//! share of the rate, in proportion to its part of the fleet's demand; far below empty none admits
-//! anything. So no request below the limit is refused, whichever VM it arrives at, and the amount
-//! admitted above the limit is bounded by the age of the VMs' knowledge of each other.
+//! A VM admits a request without asking another VM. Each VM reports, per customer, its demand and
+//! admissions as totals since its process started, and keeps an estimate of a fleet-wide token
+//! bucket that fills at the customer's rate and is drained by the admissions of all VMs. While the
+//! bucket is not empty, every VM admits requests. Once it is empty, each VM admits its share of the
+//! rate, in proportion to its fraction of the fleet's demand; once it is overdrawn by more than a
+//! fraction of the allowed excess, none admits anything. So while VMs receive each other's reports,
+//! hardly any request of a customer below its limit is refused, whichever VM it arrives at, and the
+//! amount admitted above the limit is bounded by the age of the usage that VMs know of each other.
 //! docs/LIMITS.md has the bound.
 
 use crate::customer::{CustomerLimit, LimitMeasure};
@@ -28,18 +29,19 @@
 /// Fraction of the allowed excess, or of the burst, that may be admitted at once; the rest of what
 /// a limit allows in a window is admitted evenly over it. If the whole burst were reserved for one
 /// moment, a customer that constantly requests somewhat more than its rate, but less than its limit
-/// in each window, would always be refused.
+/// in each window, would have requests refused all the time.
 const BURST_FRACTION: f64 = 0.35;
-/// Fraction of the burst that is admitted evenly over the window.
+/// Fraction of the burst that is admitted evenly over the window, less the part of it that the
+/// capacity of the bucket admits at once.
 const EVEN_FRACTION: f64 = 0.75;
 /// Fraction of the allowed excess by which the bucket may be overdrawn before nothing is admitted.
 /// Most of the excess covers what VMs admit before they receive each other's reports.
 const MAX_OVERDRAFT_FRACTION: f64 = 0.03;
-/// Initial overdraft of a bucket at a VM that starts, in seconds of its rate: counts are lost when
-/// all VMs restart.
+/// Initial overdraft of a bucket at a VM that starts, in seconds of its rate: when all VMs restart,
+/// what they admitted before is not known.
 const INITIAL_OVERDRAFT_S: f64 = 0.4;
-/// Multiple of its part of the bucket that a VM may spend between two reports, so that a burst that
-/// arrives at all VMs at once cannot empty the bucket many times over.
+/// Multiple of its fraction of the bucket that a VM may spend between two reports, so that a burst
+/// that arrives at all VMs at once cannot empty the bucket many times over.
 const SPEND_FACTOR: f64 = 2.0;
 /// Multiple of an equal part of the bucket that any VM may spend between two reports, also without
 /// recent demand from the customer.
@@ -55,19 +57,21 @@
 /// Gap between reports, in microseconds, after which the known demand at other VMs is considered
 /// outdated and has to settle again: it may have moved to any VM.
 const MAX_REPORT_GAP_US: u64 = 3_000_000;
-/// Time after the first report for the demand rates of other VMs to settle at a VM that started, in
-/// microseconds.
+/// Time after the first report, in microseconds, in which the demand rates of other VMs settle at a
+/// VM that has just started.
 const SETTLE_TIME_US: u64 = 1_500_000;
 /// Demand per second below which a customer counts as idle, since a decaying rate never reaches
 /// zero.
 const MIN_DEMAND_PER_S: f64 = 0.01;
-/// Interval between reports where VMs report in digests, in microseconds.
+/// Interval between reports if VMs report usage in membership digests, in microseconds.
 const DIGEST_INTERVAL_US: u64 = 1_000_000;
 /// Validity of the last report, in report intervals. A VM that is cut off while demand jumps would
 /// otherwise continue to spend a bucket that is already empty.
 const REPORT_TTL_INTERVALS: u64 = 2;
 /// Fraction of the known VMs from which on a group of mutually reachable VMs admits the whole rate.
-/// The others are dead, or so few that the allowed excess covers them until they stop admitting.
+/// The other VMs are expected to be dead, or in a smaller group whose admissions the allowed excess
+/// covers until they are reduced. Two groups that both reach this fraction both admit the whole
+/// rate.
 const FULL_RATE_FRACTION: f64 = 0.4;
 /// Fraction of its equal part that a smaller group, or a single VM, admits.
 const MINORITY_FRACTION: f64 = 0.2;
@@ -139,8 +143,8 @@
     report_interval_us: u64,
     /// Whether the bucket estimate includes recent admissions of the other VMs.
     level_valid: bool,
-    /// Whether the demand at other VMs has been known for long enough to be compared with the own
-    /// demand.
+    /// Whether the demand at other VMs has been known for long enough to be compared with this
+    /// VM's own.
     demand_valid: bool,
 }
 
@@ -188,13 +192,14 @@
     fraction: f64,
     /// Number of known VMs, this one included.
     known: usize,
-    /// When another VM's usage was last received. `None` at a VM that started: its buckets are
-    /// estimated without the others' usage.
+    /// When another VM's usage was last received. `None` before that: the buckets are estimated
+    /// without the others' usage.
     last_report_at: Option<TimePoint>,
     /// Since when reports have been received without a gap of [`MAX_REPORT_GAP_US`].
     reports_since: TimePoint,
-    /// When this VM began to count, and when it began to aggregate the usage of others.
+    /// When this VM began to count its usage.
     started: Option<TimePoint>,
+    /// When it began to aggregate the usage of others.
     sums_since: TimePoint,
     /// Usage that VMs report of themselves.
     members: UsageLedger,
@@ -369,17 +374,17 @@
     }
 
     /// Applies the bucket states from the aggregator, which include this VM's usage up to its last
-    /// report. Customers without a state have no demand in the fleet.
-    pub fn stand(&mut self, now: TimePoint, standings: &[BucketState]) {
+    /// report. A customer without a state has no demand in the fleet; its estimate is kept.
+    pub fn stand(&mut self, now: TimePoint, states: &[BucketState]) {
         let fraction = self.fraction;
         self.note_report(now);
         for bucket in &mut self.buckets {
             bucket.advance(now, fraction);
-            let named = standings.iter().find(|standing| standing.customer == bucket.customer);
-            let Some(standing) = named else { continue };
+            let found = states.iter().find(|state| state.customer == bucket.customer);
+            let Some(state) = found else { continue };
             let unreported = bucket.own.admitted - bucket.reported.admitted;
-            bucket.level = standing.level.min(bucket.capacity(fraction)) - unreported;
-            bucket.fleet_demand.set(now, standing.demand_per_s);
+            bucket.level = state.level.min(bucket.capacity(fraction)) - unreported;
+            bucket.fleet_demand.set(now, state.demand_per_s);
         }
     }
 
@@ -387,7 +392,7 @@
     /// without demand whose bucket is full.
     pub fn standings(&mut self, now: TimePoint) -> Vec<BucketState> {
         let fraction = self.fraction;
-        let mut standings = Vec::new();
+        let mut states = Vec::new();
         for bucket in &mut self.buckets {
             bucket.advance(now, fraction);
             let demand_per_s = bucket.fleet_demand.get(now);
@@ -395,9 +400,9 @@
                 continue;
             }
             let (customer, level) = (bucket.customer.clone(), bucket.level);
-            standings.push(BucketState { customer, level, demand_per_s });
+            states.push(BucketState { customer, level, demand_per_s });
         }
-        standings
+        states
     }
 
     /// Returns this VM's usage report and marks the usage as reported. `start_id` identifies this
@@ -535,8 +540,8 @@
     /// Returns the fill rate per second: the limit's rate plus the part of the burst that is
     /// admitted evenly.
     fn rate(&self, fraction: f64) -> f64 {
-        let saved = self.capacity(1.0) - BURST_FRACTION * self.excess;
-        let even = EVEN_FRACTION * self.limit.burst - saved;
+        let at_once = self.capacity(1.0) - BURST_FRACTION * self.excess;
+        let even = EVEN_FRACTION * self.limit.burst - at_once;
         fraction * (self.limit.per_second + even.max(0.0) / self.window_s)
     }
 
@@ -568,14 +573,14 @@
             self.spend(cost);
             return Ok(());
         }
-        let overdraft = -self.level - MAX_OVERDRAFT_FRACTION * self.excess * fraction;
-        if overdraft < 0.0 && self.share > 0.0 {
+        let excess_overdraft = -self.level - MAX_OVERDRAFT_FRACTION * self.excess * fraction;
+        if excess_overdraft < 0.0 && self.share > 0.0 {
             self.share -= cost;
             self.spend(cost);
             return Ok(());
         }
         let wait_s =
-            self.until_share(cost, overdraft, fraction).min(self.until_level(now, fraction));
+            self.until_share(cost, excess_overdraft, fraction).min(self.until_level(now, fraction));
         let retry_after_ms = (wait_s * 1_000.0).clamp(1.0, MAX_RETRY_MS) as u64;
         Err(LimitRefusal {
             retry_after_ms,
@@ -586,26 +591,26 @@
         })
     }
 
-    /// Returns the seconds until this VM's share covers a request.
-    fn until_share(&self, cost: f64, overdraft: f64, fraction: f64) -> f64 {
+    /// Returns the seconds until this VM's share covers a request and the bucket is no longer
+    /// overdrawn too far, by `excess_overdraft` now.
+    fn until_share(&self, cost: f64, excess_overdraft: f64, fraction: f64) -> f64 {
         let rate = self.rate(fraction).max(f64::MIN_POSITIVE);
         let share_rate = rate * SHARE_FRACTION * self.own_fraction;
-        (overdraft / rate).max((cost - self.share) / share_rate.max(f64::MIN_POSITIVE))
+        (excess_overdraft / rate).max((cost - self.share) / share_rate.max(f64::MIN_POSITIVE))
     }
 
     /// Returns the seconds until the bucket is above zero if the demand stays below the fill rate,
-    /// infinity otherwise. A VM that started has a small share; without this estimate its callers
-    /// would be given delays far beyond the recovery of the bucket.
+    /// infinity otherwise. A VM that has just started has a small share; without this estimate its
+    /// callers would be given delays far beyond the recovery of the bucket.
     fn until_level(&mut self, now: TimePoint, fraction: f64) -> f64 {
         let spare = self.rate(fraction) - self.fleet_demand.get(now);
         if spare > 0.0 { (-self.level).max(0.0) / spare } else { f64::INFINITY }
     }
 
+    /// Starts a new report interval if the previous one has ended: determines this VM's fraction of
+    /// the fleet's demand and the amount that it may spend in the interval.
     fn start_interval(&mut self, now: TimePoint, view: FleetView) {
-        if self
-            .interval_start
-            .is_some_and(|interval_start| now.since(interval_start) < view.report_interval_us)
-        {
+        if self.interval_start.is_some_and(|start| now.since(start) < view.report_interval_us) {
             return;
         }
         self.interval_start = Some(now);
@@ -618,7 +623,7 @@
             true if previous > 0.0 => previous / fleet,
             true => INITIAL_SHARE_FRACTION * equal,
         };
-        let fraction = (SPEND_FACTOR * self.own_fraction).max(EQUAL_SPEND_FACTOR * equal).min(1.0);
-        self.spend_limit = self.level.max(0.0) * fraction;
+        let spendable = (SPEND_FACTOR * self.own_fraction).max(EQUAL_SPEND_FACTOR * equal).min(1.0);
+        self.spend_limit = self.level.max(0.0) * spendable;
     }
 }
--- a/decision/src/member.rs
+++ b/decision/src/member.rs
@@ -77,9 +77,9 @@
     }
 }
 
-/// Milliseconds that each known VM adds to the interval between updates of a VM's own facts. With
-/// 360 VMs each one updates its facts every 9 s, which keeps the digests that a VM receives near 4
-/// KB/s.
+/// Milliseconds that each known VM adds to the interval between updates of a VM's own facts. This
+/// bounds the digests that a VM receives in a large fleet: near 4 KB/s with 360 VMs, each of which
+/// updates its facts every 9 s.
 pub const SPREAD_PER_VM_MS: u64 = 25;
 /// Maximum number of customers whose usage a VM includes in its digest.
 pub const MAX_SPREAD_CUSTOMERS: usize = 8;
@@ -105,12 +105,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum ProbePurpose {
-    /// A probe for this VM itself; `indirect` is set once helpers were requested.
+    /// A probe that this VM sent to learn whether the target answers; `indirect` is set once
+    /// helpers were requested to probe it too.
     Own { indirect: bool },
     /// A request to a helper; its positive answer completes the own probe with this number.
     Helper { own: u64 },
-    /// A probe on behalf of another VM, which is answered through `call` with its own probe number
-    /// `requested`.
+    /// A probe on behalf of another VM, which is answered through `call` with the number
+    /// `requested` of its request.
     Relayed { call: u64, requested: u64 },
 }
 
@@ -121,11 +122,14 @@
     own: MemberRow,
     rows: Vec<MemberRow>,
     probes: Vec<OpenProbe>,
+    /// VMs still to be probed in this round, the next one last.
     round: Vec<VmName>,
+    /// Number of probe periods since the start.
     periods: u64,
     next_number: u64,
     next_period: TimePoint,
     last_tick: Option<TimePoint>,
+    /// Own facts that the next update will contain.
     pending: Option<MemberFacts>,
     next_spread: TimePoint,
     next_push: TimePoint,
@@ -211,16 +215,17 @@
         &self.rows
     }
 
-    /// Returns the VMs that take new work, including this one unless it leaves. Suspected VMs are
-    /// left out: a false suspicion keeps callers away only briefly, a true one is acted on a second
-    /// earlier.
+    /// Returns the VMs that take new work, including this one unless it is leaving. Suspected VMs
+    /// are left out: a false suspicion keeps callers away only until it is refuted, and a true one
+    /// keeps them away before the VM is declared dead.
     pub fn live(&self) -> impl Iterator<Item = &MemberRow> {
         let all = std::iter::once(&self.own).chain(&self.rows);
         all.filter(|row| row.state() == MemberState::Alive)
     }
 
     /// Returns whether the platform's list was read and a digest was received from every VM in the
-    /// table. Until then a VM that does not answer cannot be told from one that was not probed yet.
+    /// table. Until then a VM that does not answer cannot be distinguished from one that was not
+    /// probed yet.
     #[must_use]
     pub fn all_members_seen(&self) -> bool {
         self.own.listed.is_some() && self.rows.iter().all(|row| row.received)
@@ -423,8 +428,8 @@
     }
 
     /// Returns the next VM to probe. Each VM is probed once per round, in a newly shuffled order,
-    /// so that every other VM probes a dead one within a round. Listed VMs from which nothing was
-    /// received yet are probed like live ones.
+    /// so that each VM probes a VM that has failed within one round. Listed VMs from which nothing
+    /// was received yet are probed like live ones.
     fn next_in_round(&mut self, rng: &mut dyn Rng) -> Option<VmName> {
         loop {
             if self.round.is_empty() {
@@ -589,7 +594,8 @@
         }
     }
 
-    /// Marks this VM as leaving and notifies as many VMs as a probe has helpers at once.
+    /// Marks this VM as leaving and at once notifies [`MemberSettings::helpers`] random VMs by
+    /// probes.
     fn leave(&mut self, now: TimePoint, rng: &mut dyn Rng, actions: &mut Vec<MemberAction>) {
         self.own.digest.state = MemberState::Leaving;
         self.own.digest.sequence += 1;
@@ -689,8 +695,8 @@
         ProbeReply { number, from, reached, updates }
     }
 
-    /// Selects the digests for a message: what the receiver must refute about itself first, then
-    /// changes of state, then other changes, those sent least often first.
+    /// Selects the digests for a message: first what the receiver must refute about itself, then
+    /// changes of state, then other changes; within each group, those sent least often come first.
     fn select_updates(&mut self, now: TimePoint, to: Option<&VmIdentity>) -> Vec<MemberDigest> {
         let rounds = SPREAD_ROUNDS * (self.vm_count() + 1).ilog2().max(1);
         let mut candidates: Vec<(bool, bool, u32, usize)> = Vec::new();
@@ -710,9 +716,9 @@
     /// Fills the reply to a VM that has just started with randomly selected other VMs, so that it
     /// knows a large fleet within a few probes.
     fn fill_joiner_reply(&self, reply: &mut ProbeReply, rng: &mut dyn Rng) {
-        let mut order: Vec<usize> = (0..self.rows.len()).collect();
-        while reply.updates.len() < self.settings.join_digests && !order.is_empty() {
-            let at = order.swap_remove(rng.random_range(0..order.len()));
+        let mut candidates: Vec<usize> = (0..self.rows.len()).collect();
+        while reply.updates.len() < self.settings.join_digests && !candidates.is_empty() {
+            let at = candidates.swap_remove(rng.random_range(0..candidates.len()));
             let row = &self.rows[at];
             let included = reply.updates.iter().any(|digest| digest.vm == row.digest.vm);
             if row.received && row.answers() && !included {
--- a/decision/src/order_tracker.rs
+++ b/decision/src/order_tracker.rs
@@ -51,7 +51,7 @@
 pub enum OrderReply {
     /// The server is carrying it out.
     Accepted,
-    /// The server has carried it out, or its effect was in slot already.
+    /// The server has carried it out, or its effect was already in place.
     Done,
     /// The server has accepted another number of orders, or is busy.
     Conflict,
@@ -81,14 +81,17 @@
     pub max_in_flight: usize,
     /// Maximum age of a server's report when it arrives.
     pub report_lag_us: u64,
-    /// Delay before querying a report after an order without a reply; longer than the report lag.
+    /// Delay before a report is queried after an order to load a base model without a reply, or
+    /// after a failed query; longer than the report lag.
     pub lost_delay_us: u64,
-    /// Time without requests after which an adapter may be evicted; longer than a VM's report of a
-    /// new request takes to arrive.
+    /// Time without requests after which an adapter may be evicted; longer than the time in which a
+    /// VM's report of a new request arrives.
     pub idle_us: u64,
-    /// Time for which an adapter without any request yet is kept for those that it was loaded for.
+    /// Time for which an adapter that no request has used yet is kept for the requests that it was
+    /// loaded for.
     pub first_use_us: u64,
-    /// Validity of a VM's report that requests are running. VMs repeat it several times within it.
+    /// Validity of a VM's report that requests are running. VMs repeat the report several times
+    /// within this time.
     pub user_ttl_us: u64,
     /// Time after which a load request that is not repeated is dropped.
     pub request_ttl_us: u64,
@@ -128,6 +131,7 @@
     key: AdapterKey,
     version: u64,
     state: SlotStatus,
+    /// When a VM last reported on its use, and the time to which `usage_score` has decayed.
     used_at: TimePoint,
     /// VMs with requests running on it, and the time of each one's last report.
     users: Vec<(VmName, TimePoint)>,
@@ -140,7 +144,9 @@
 struct LoadRequest {
     key: AdapterKey,
     version: u64,
+    /// When it was first received.
     since: TimePoint,
+    /// When it was last repeated.
     requested_at: TimePoint,
     waiting: Vec<WaitingRequests>,
 }
@@ -156,9 +162,10 @@
     pub in_time_until: TimePoint,
 }
 
-/// Value of a request that is served late, and of a further copy of an adapter, relative to a
-/// request that is served in time.
+/// Value of a request that is served late, relative to one that is served in time.
 const LATE_VALUE: f64 = 0.3;
+/// Minimum value of a load, which is that of a further copy, relative to a request that is served
+/// in time.
 const COPY_VALUE: f64 = 0.25;
 
 impl LoadRequest {
@@ -183,7 +190,7 @@
     pub running: u32,
 }
 
-/// Tracks the orders to one incarnation of a server and its resulting state.
+/// Tracks the orders to one incarnation of a server, and the state that they lead to.
 #[derive(Debug)]
 pub struct OrderTracker {
     settings: TrackerSettings,
@@ -201,29 +208,32 @@
     query_at: TimePoint,
     /// Orders in a row that the server did not reply to.
     unanswered: u32,
+    /// Adapters that the server no longer holds in a slot but probably still in its own memory, the
+    /// latest last.
     recently_held: Vec<AdapterKey>,
     revision: u64,
 }
 
-/// How long an adapter's expected arrival is postponed when a request came too early: a fraction of
-/// the time since its load was ordered, and a minimum. If loads take twice as long as expected,
-/// three attempts reach the end; each rejected attempt counts as a retry.
+/// Fraction of the time since a load was ordered by which the adapter's expected arrival is
+/// postponed when a request came too early. It grows with that time because each rejected request
+/// counts as a retry.
 const DELAY_FRACTION: f64 = 0.25;
+/// Minimum postponement, in microseconds.
 const MIN_DELAY_US: u64 = 45_000;
-/// Ratio to its expected time after which a load is verified by a report. Otherwise it would be
-/// postponed for ever if the server has lost it.
+/// Multiple of its expected time after which a load is verified by a report. Otherwise a load that
+/// the server has lost would be postponed for ever.
 const MAX_EXPECTED_RATIO: f64 = 2.5;
 /// Maximum number of adapters remembered as recently held.
 const MAX_RECENTLY_HELD: usize = 120;
 /// Interval of queries to a server that is loading a base model, in microseconds.
 const MODEL_QUERY_INTERVAL_US: u64 = 250_000;
-/// Number of orders in a row without a reply from which a server is considered unresponsive. Below
-/// it the next order follows at once, since some servers lose single replies; it states the same
-/// count, so that at most one of the two can be accepted.
+/// Number of orders in a row without a reply at which a server is considered unresponsive. Below
+/// that number the next order follows at once, since some servers lose single replies; it states
+/// the same count as the lost one, so that at most one of the two can be accepted.
 const MAX_LOST_IN_ROW: u32 = 3;
 /// Delay before an unresponsive server is queried, in microseconds; it gets no order until it has
-/// reported. A server that is down refuses connections at once, so that without the delay orders
-/// would flood the network.
+/// reported. A server that is down refuses connections at once, so that without the delay repeated
+/// attempts would flood the network.
 const UNRESPONSIVE_QUERY_DELAY_US: u64 = 60_000;
 /// Delay before the progress of an eviction is queried, in microseconds.
 const EVICTION_QUERY_DELAY_US: u64 = 400_000;
@@ -283,7 +293,7 @@
         self.slots = slots;
     }
 
-    /// Returns whether it neither holds nor loads a base model.
+    /// Returns whether the server is known neither to hold nor to load a base model.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.accepted.is_some() && self.models.is_empty() && !self.busy
@@ -330,8 +340,8 @@
         }
     }
 
-    /// Records that the server rejected a request because it lacks the adapter; its state is then
-    /// queried again.
+    /// Records that the server rejected a request because it lacks the adapter; the server's state
+    /// is then queried again.
     pub fn missing(&mut self, key: &AdapterKey, now: TimePoint) {
         if self.version_of(key).is_some() {
             self.accepted = None;
@@ -365,10 +375,10 @@
         {
             let later_us = (now.since(load.at) as f64 * DELAY_FRACTION) as u64;
             let later = now.plus(later_us.max(MIN_DELAY_US));
-            // If requests checked early on purpose, the expected time still holds.
+            // A check before the expected time doesn't show that the load is late.
             let expected = load.at.plus(load.expected_us);
-            let next = if expected > now { expected } else { later };
-            *usable_from = (*usable_from).max(next);
+            let postponed = if expected > now { expected } else { later };
+            *usable_from = (*usable_from).max(postponed);
             load.check_us = 0;
             self.revision += 1;
         }
@@ -407,7 +417,8 @@
         Some(TrackerAction::Order(ServerOrder { action, expected }))
     }
 
-    /// Moves the arrival of loads in flight forward if they are now expected to take less time.
+    /// Makes the expected arrival of loads in flight earlier if they are now expected to take much
+    /// less time.
     fn shorten_loads(&mut self, forecast: &LoadForecast, now: TimePoint) {
         for slot in &mut self.held {
             let SlotStatus::Held { usable_from, load } = &mut slot.state else { continue };
@@ -444,14 +455,15 @@
             return None;
         }
         let holds_model = |request: &&LoadRequest| self.models.contains(&request.key.model);
-        let cached = |request: &&LoadRequest| self.recently_held.contains(&request.key);
-        let allowed = |request: &&LoadRequest| !forecast.is_crowded() || cached(request);
-        let value = |load: &&LoadRequest| load.value(now.plus(forecast.expected_us(cached(load))));
-        let first = |a: &&LoadRequest, b: &&LoadRequest| {
+        let from_memory = |request: &&LoadRequest| self.recently_held.contains(&request.key);
+        let allowed = |request: &&LoadRequest| !forecast.is_crowded() || from_memory(request);
+        let value =
+            |load: &&LoadRequest| load.value(now.plus(forecast.expected_us(from_memory(load))));
+        let by_value = |a: &&LoadRequest, b: &&LoadRequest| {
             value(b).total_cmp(&value(a)).then(a.since.cmp(&b.since))
         };
         let request =
-            self.load_requests.iter().filter(holds_model).filter(allowed).min_by(first)?;
+            self.load_requests.iter().filter(holds_model).filter(allowed).min_by(by_value)?;
         let replaces = self.held.binary_search_by(|slot| slot.key.cmp(&request.key)).is_ok();
         if replaces || self.held.len() < self.slots {
             let (key, version) = (request.key.clone(), request.version);
@@ -516,7 +528,8 @@
 
     /// A lost order may still be carried out, but only at the count that it states. The next order
     /// states the same count: if it is accepted, the lost one can't be carried out any more; if it
-    /// is rejected, the lost one was. No report has to be awaited in between.
+    /// conflicts, the lost one may have been accepted, and a report is queried. So no report has to
+    /// be awaited in between, except after an order to load a base model.
     fn order_lost(&mut self, order: &ServerOrder, now: TimePoint) {
         if self.is_unresponsive() {
             self.query_at = now.plus(UNRESPONSIVE_QUERY_DELAY_US);
@@ -550,7 +563,7 @@
             reply == OrderReply::Done && !matches!(order.action, OrderAction::UnloadAdapter { .. });
         let count = order.expected + u64::from(!held_already);
         self.accepted = Some(count);
-        // The server replies `Done` both after dropping an adapter and if it never had it, and
+        // The server replies `Done` both after evicting an adapter and if it never had it, and
         // counts only the former. With the higher count as lower bound, all later reports could
         // look out of date, and the server would get no more orders.
         let unload = matches!(order.action, OrderAction::UnloadAdapter { .. });
@@ -701,7 +714,7 @@
         free.saturating_sub(self.load_requests.len())
     }
 
-    /// Returns whether load requests are pending; they may be delayed until others are done.
+    /// Returns whether load requests are pending, including those that wait for other loads to end.
     #[must_use]
     pub fn has_wishes(&self) -> bool {
         !self.load_requests.is_empty()
--- a/decision/src/owner.rs
+++ b/decision/src/owner.rs
@@ -1,10 +1,10 @@
 //! Owner of a group: admits requests to the group's engines and orders loads and evictions there.
 //!
 //! The owner is a state machine without clock or I/O. Its process turns messages and timers into
-//! [`OwnerEvent`]s and executes the [`OwnerAction`]s. This module holds the reservations; `place`
-//! chooses slots, `plan` plans loads, `order` tracks load orders, `fleet` tracks the state of
-//! engines and VMs, and `topology` and `event` hold the plain types. See docs/PLACEMENT.md for the
-//! design.
+//! [`OwnerEvent`]s and executes the [`OwnerAction`]s. This module admits requests and releases
+//! their grants; `placement` chooses slots, `plan` plans loads, `order` sends the orders for them,
+//! `fleet` tracks the state of engines and VMs, `topology` defines the configuration of a group,
+//! and `event` the events and actions. See docs/PLACEMENT.md for the design.
 //!
 //! ```
 //! use coltsfoothook_decision::id::{OwnerEpoch, TimePoint};
@@ -60,7 +60,9 @@
 /// An adapter load required by a schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ScheduledLoad {
+    /// When the scheduled requests are due.
     pub(crate) due: TimePoint,
+    /// From when the adapter may be loaded for them and is kept.
     pub(crate) from: TimePoint,
     pub(crate) adapter: u32,
 }
@@ -112,6 +114,7 @@
     /// Loads required by schedules, sorted by due time.
     pub(crate) scheduled_loads: Vec<ScheduledLoad>,
     pub(crate) suspects: SuspectTracker,
+    /// VMs queried for their grants of earlier epochs.
     pub(crate) vms: Vec<PendingHolder>,
     pub(crate) vms_known: bool,
     /// When VMs were last queried for their grants of earlier epochs.
@@ -134,7 +137,7 @@
 
 impl GroupOwner {
     /// Starts ownership of `topology`'s group in `epoch`. Loaded adapters become known from engine
-    /// reports, and grants held by other VMs from their answers.
+    /// reports, and grants of earlier epochs from the reports of the VMs that hold them.
     #[must_use]
     pub fn new(
         settings: OwnerSettings,
@@ -261,7 +264,7 @@
         }
     }
 
-    /// The slots of all engines that are not empty, for `status` and `explain`.
+    /// The non-empty slots of all engines, for `status` and `explain`.
     #[must_use]
     pub fn slots(&self) -> Vec<SlotView> {
         let mut views = Vec::new();
@@ -313,8 +316,8 @@
             actions.push(OwnerAction::Refuse { ticket, refusal });
             return;
         }
-        let left = spec.deadline_left_ms.unwrap_or(self.class_limits(spec.class).deadline_ms);
-        let deadline = now.plus(left.saturating_mul(MICROS_PER_MILLI));
+        let left_ms = spec.deadline_left_ms.unwrap_or(self.class_limits(spec.class).deadline_ms);
+        let deadline = now.plus(left_ms.saturating_mul(MICROS_PER_MILLI));
         let stalled = !self.is_ready(now, adapter);
         let arriving =
             ArrivingRequest { ticket, requester, spec, adapter, deadline: Some(deadline), stalled };
@@ -346,8 +349,8 @@
         let state = self.adapters.get(adapter);
         let failing = state.failures >= self.settings.load_attempts && state.retry_at > now;
         if failing && !self.is_ready(now, adapter) {
-            let left = state.retry_at.since(now) / MICROS_PER_MILLI;
-            return refuse(RefusalReason::LoadFailed, left as f64);
+            let left_ms = state.retry_at.since(now) / MICROS_PER_MILLI;
+            return refuse(RefusalReason::LoadFailed, left_ms as f64);
         }
         if self.grants.len() >= self.settings.grants {
             return refuse(RefusalReason::Overloaded, self.service_ms);
@@ -393,7 +396,8 @@
         });
     }
 
-    /// Expected wait in milliseconds: for the load, then for room on an engine.
+    /// Expected wait in milliseconds: the longer of the waits for a load that is not in flight yet
+    /// and for room on an engine.
     fn expected_wait_ms(&self, now: TimePoint, arriving: &ArrivingRequest) -> f64 {
         let room = self.wait_for_room_ms(arriving.spec.class);
         if !arriving.stalled || self.is_loading(arriving.adapter) {
@@ -404,7 +408,7 @@
     }
 
     /// Expected milliseconds until the queued requests of this and more urgent classes have been
-    /// admitted; 0 while less than half of the batch slots run.
+    /// admitted; 0 while less than half of the batch slots are in use.
     pub(crate) fn wait_for_room_ms(&self, class: RequestClass) -> f64 {
         let batch: u32 =
             self.engines.iter().filter(|engine| engine.usable()).map(|e| e.info.batch_slots).sum();
@@ -460,8 +464,8 @@
                     self.lose_slot(now, grant.choice, actions);
                 }
             }
-            // Counted as a failed report. Otherwise requests would be sent to an engine that is
-            // down until the engine's own reports fail.
+            // Counted as a failed poll. Otherwise requests would be sent to an engine that is down
+            // until the polls for its report fail.
             GrantEnd::Unreachable => {
                 let server = engine.info.server.clone();
                 self.report_failed(now, &server, actions);
@@ -586,8 +590,8 @@
     ) {
         let engine = &self.engines[choice.server as usize];
         let slot = &engine.slots[choice.slot as usize];
-        let right = self.adapters.get(slot.adapter).version == spec.adapter;
-        self.invariants.check(InvariantName::RightAdapter, right, || {
+        let matches = self.adapters.get(slot.adapter).version == spec.adapter;
+        self.invariants.check(InvariantName::RightAdapter, matches, || {
             format!("request {} for {} granted {}", spec.id, spec.adapter, slot.name)
         });
         let ready = slot.phase == SlotPhase::Ready && slot.at_risk_until <= now;
@@ -650,7 +654,7 @@
 /// Retry hint in milliseconds while no engine is up.
 const NO_SERVER_RETRY_MS: f64 = 2_000.0;
 
-/// How long a request waited for its load and for room, in milliseconds.
+/// How long a request waited for its load and then for room on an engine, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WaitTimes {
     stall_ms: u64,
