--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -1,7 +1,9 @@
 //! Requests and jobs at a soak VM: grants, runs, claims, retries and releases.
 
 use coltsfoothook_decision::attempt::{AttemptNext, AttemptState, CallStage};
-use coltsfoothook_decision::claim::{ClaimAnswer, ClaimRequest, ClaimStart, ClaimTable, parse_issued};
+use coltsfoothook_decision::claim::{
+    ClaimAnswer, ClaimRequest, ClaimStart, ClaimTable, parse_issued,
+};
 use coltsfoothook_decision::grant::{
     GrantEnd, GrantRefusal, ReleaseCall, RequestSpec, ReserveCall, SlotGrant,
 };
