--- a/load/src/call.rs
+++ b/load/src/call.rs
@@ -1,7 +1,9 @@
 //! Requests and jobs at a soak VM: grants, runs, claims, retries and releases.
 
 use coltsfoothook_decision::attempt::{AttemptNext, AttemptState, CallStage};
-use coltsfoothook_decision::claim::{ClaimAnswer, ClaimRequest, ClaimStart, ClaimTable, parse_issued};
+use coltsfoothook_decision::claim::{
+    ClaimAnswer, ClaimRequest, ClaimStart, ClaimTable, parse_issued,
+};
 use coltsfoothook_decision::grant::{
     GrantEnd, GrantRefusal, ReleaseCall, RequestSpec, ReserveCall, SlotGrant,
 };
@@ -435,7 +437,7 @@
                 CallPhase::Revoking { since }
                     if now.since(since) > REVOKE_TIMEOUT_MS * MICROS_PER_MILLI =>
                 {
-                    let answer = ClaimTable::revoked(None);
+                    let answer = ClaimTable::answer_after_revocation(None);
                     self.end_call(call, answer.outcome, out);
                 }
                 CallPhase::Serving if late => {
@@ -546,7 +548,7 @@
             .position(|call| call.id == id && matches!(call.phase, CallPhase::Revoking { .. }));
         let Some(at) = waiting else { return };
         let call = self.calls.swap_remove(at);
-        self.end_call(call, ClaimTable::revoked(Some(reply)).outcome, out);
+        self.end_call(call, ClaimTable::answer_after_revocation(Some(reply)).outcome, out);
     }
 
     /// Handles the outcome of a call of the plain service.
--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -60,7 +60,7 @@
         let mut routed: Vec<Vec<AdapterVersion>> = vec![Vec::new(); self.owners.len()];
         for (number, entry) in manifest.adapters.iter().enumerate() {
             let Ok(groups) = self.map.route(entry.name.as_str(), REGION) else { continue };
-            routed[groups[0].place()].push(Self::adapter(number as u32));
+            routed[groups[0].index()].push(Self::adapter(number as u32));
         }
         let mut rng = Pcg64::seed_from_u64(1);
         for (at, adapters) in routed.iter().enumerate() {
--- a/load/src/ownership.rs
+++ b/load/src/ownership.rs
@@ -57,7 +57,8 @@
             self.owners.push(OwnedGroup { group: group.name.clone(), owner, fenced: Vec::new() });
             let intents: Vec<_> = self.control.intents(group.name.as_str()).cloned().collect();
             for intent in intents.into_iter().filter(|intent| intent.epoch < owned.epoch) {
-                let event = OwnerEvent::EarlierIntent { server: intent.server, evict: intent.evict };
+                let event =
+                    OwnerEvent::EarlierIntent { server: intent.server, evict: intent.evict };
                 self.owner_event(now, &group.name, owned.epoch, event, rng, out);
             }
             self.owner_event(now, &group.name, owned.epoch, self.vm_live(), rng, out);
@@ -198,7 +199,9 @@
                 let incarnation = Some(incarnation);
                 out.push(VmOutput::Order { group, epoch, number, server, incarnation, order });
             }
-            OwnerAction::QueryHeldGrants { vms } => self.query_held(now, group, epoch, vms, rng, out),
+            OwnerAction::QueryHeldGrants { vms } => {
+                self.query_held(now, group, epoch, vms, rng, out)
+            }
             OwnerAction::RecordCrash { server, incarnation, suspects } => {
                 let record = ControlRecord::Crash { server, incarnation, suspects };
                 out.push(VmOutput::Append(LogRecord::Control(record)));
--- a/load/src/vm.rs
+++ b/load/src/vm.rs
@@ -304,7 +304,7 @@
             self.fold(now, offset, record, rng, out);
         }
         if stream == LogStream::Jobs && end {
-            self.jobs.caught_up();
+            self.jobs.set_caught_up();
         }
         if !end {
             self.reading[stream as usize] = true;
@@ -457,7 +457,7 @@
     /// Queries a random live VM for newer state, at an interval, while this VM cannot read the log
     /// or its state is incomplete.
     fn request_catch_up(&mut self, now: TimePoint, rng: &mut dyn Rng, out: &mut Vec<VmOutput>) {
-        let behind = !self.log_up || !self.config.whole() || !self.control.whole();
+        let behind = !self.log_up || !self.config.is_complete() || !self.control.is_complete();
         if !behind || now.since(self.catch_up_sent) < CATCH_UP_INTERVAL_MS * MICROS_PER_MILLI {
             return;
         }
