--- a/entry/src/jobs.rs
+++ b/entry/src/jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs: accepted once they are in the log, run by one VM; the first result in the log is kept.
+//! Jobs: accepted once they are read back from the log and run by one VM at a time. A run may be
+//! repeated after a crash; the first result in the log is kept.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -27,7 +28,7 @@
 use crate::held::lock;
 use crate::serve::complete;
 
-/// Timeout of the append of a caller's record, and again of reading it back.
+/// Timeout of the append of a record that a caller waits for, and a second time of reading it back.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout of appends that no caller waits for.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
@@ -35,13 +36,13 @@
 const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Shortest time between two plans, so that many records cause few plans.
 const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(20);
-/// Retry delay returned when the log or the configuration does not allow the call now.
+/// Retry delay returned when the log, or the configuration in force, does not permit the call.
 const LOG_RETRY_MS: u64 = 2_000;
 /// Retry delay returned when the limit of stored jobs is reached.
 const FULL_RETRY_MS: u64 = 30_000;
 /// Retry delay returned for the result of an unfinished job.
 const UNFINISHED_RETRY_MS: u64 = 1_000;
-const RESULT_TYPE: &str = "application/json";
+const RESULT_CONTENT_TYPE: &str = "application/json";
 
 /// The parts of a completion call that a job's record stores as its body.
 #[derive(Serialize, Deserialize)]
@@ -79,8 +80,8 @@
         lock(&self.fold).next()
     }
 
-    /// Continues at `first`, the first retained offset. Jobs do not depend on each other, so those
-    /// removed by retention need no replacement.
+    /// Continues at `first`, the first retained offset. Jobs do not depend on each other, so the
+    /// fold needs no snapshot of those that retention has removed.
     pub(crate) fn retained_from(&self, first: u64) {
         if first > 0 {
             lock(&self.fold).skip(first - 1);
@@ -108,7 +109,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Records that the stream was read to its end.
+    /// Records that the stream has been read to its end.
     pub(crate) fn caught_up(&self) {
         let mut fold = lock(&self.fold);
         if !fold.is_caught_up() {
@@ -124,14 +125,14 @@
     pub(crate) fn counts(&self) -> (u64, u64, u64) {
         let fold = lock(&self.fold);
         let ended = fold.rows().iter().filter(|row| row.end().is_some()).count();
-        let started = fold.rows().iter().filter(|row| row.end().is_none());
-        let running = started.filter(|row| !row.starts().is_empty()).count();
+        let unfinished = fold.rows().iter().filter(|row| row.end().is_none());
+        let running = unfinished.filter(|row| !row.starts().is_empty()).count();
         let waiting = fold.rows().len() - ended - running;
         (waiting as u64, running as u64, ended as u64)
     }
 }
 
-/// Accepts a job; returns once its record was read back from the log.
+/// Accepts a job; returns once its record has been read back from the log.
 pub(crate) async fn submit(core: &Arc<EntryCore>, call: JobCall) -> Result<JobStatus, CallProblem> {
     let job = call.job.clone().unwrap_or_else(|| JobId(call.call.request_id.0.clone()));
     let tenant = call.call.tenant.clone();
@@ -148,7 +149,7 @@
     append(core, &record).await?;
     await_row(core, &tenant, &job, |row| row.entry().is_some()).await?;
     let status = known_job(core, &tenant, &job, &entry)?;
-    status.ok_or_else(|| outcome_unknown("the job was not read back from the log yet"))
+    status.ok_or_else(|| outcome_unknown("the job has not been read back from the log yet"))
 }
 
 /// Builds a job's record. The adapter version is fixed here, so a later change of the default
@@ -170,8 +171,8 @@
     let mut body = body;
     body.insert("model".to_owned(), Value::from(adapter.to_string()));
     body.insert("stream".to_owned(), Value::from(false));
-    let kept = JobBody { chat: kind == CompletionKind::Chat, fingerprint, body };
-    let body = serde_json::to_string(&kept).expect("a body has text keys");
+    let stored = JobBody { chat: kind == CompletionKind::Chat, fingerprint, body };
+    let body = serde_json::to_string(&stored).expect("a body has text keys");
     let due_ms = deadline_ms.map(|left| wall_ms().saturating_add(left));
     Ok(JobEntry { job, tenant, adapter, class, due_ms, body, rewritten: 0 })
 }
@@ -185,9 +186,9 @@
 ) -> Result<Option<JobStatus>, CallProblem> {
     let fold = lock(&core.jobs.fold);
     let Some(row) = fold.row(tenant.as_str(), job.as_str()) else { return Ok(None) };
-    let other =
+    let differs =
         |entry: &JobEntry| entry.body != submitted.body || entry.adapter != submitted.adapter;
-    if row.entry().is_some_and(other) {
+    if row.entry().is_some_and(differs) {
         let detail = format!("job {job} was submitted with another body");
         return Err(CallProblem::refused(RefusalReason::KeyReused, 0, detail));
     }
@@ -230,7 +231,7 @@
     job: &JobId,
     wanted: impl Fn(&JobRow) -> bool,
 ) -> Result<(), CallProblem> {
-    let until = Instant::now() + ACCEPT_TIMEOUT;
+    let deadline = Instant::now() + ACCEPT_TIMEOUT;
     loop {
         let changed = core.jobs.changed.notified();
         let satisfied =
@@ -238,7 +239,7 @@
         if satisfied {
             return Ok(());
         }
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if timeout(left, changed).await.is_err() {
             return Err(outcome_unknown("the record was not read back in time"));
         }
@@ -256,8 +257,8 @@
     fold.row(tenant.as_str(), job.as_str()).map(status_of).ok_or_else(|| unknown_job(core, job))
 }
 
-/// Refuses until the job stream was read to its end. Before that this VM does not know all jobs,
-/// nor which result of a job is the first.
+/// Refuses until the job stream has been read to its end. Before that this VM does not know all
+/// jobs, nor which result of a job is the first.
 fn check_caught_up(core: &EntryCore) -> Result<(), CallProblem> {
     if lock(&core.jobs.fold).is_caught_up() {
         return Ok(());
@@ -292,7 +293,7 @@
         .with_retry(UNFINISHED_RETRY_MS)),
         Some(end) if end.outcome == RequestOutcome::Done => {
             let body = Bytes::from(end.result.clone());
-            Ok(JobResult { content_type: RESULT_TYPE.to_owned(), body })
+            Ok(JobResult { content_type: RESULT_CONTENT_TYPE.to_owned(), body })
         }
         Some(end) => {
             Err(CallProblem::ended(FaceReason::BackendFailed, end.outcome, end.result.clone()))
@@ -306,8 +307,8 @@
     tenant: &CustomerName,
     job: &JobId,
 ) -> Result<JobStatus, CallProblem> {
-    let now = status(core, tenant, job)?;
-    if now.outcome.is_none() {
+    let current = status(core, tenant, job)?;
+    if current.outcome.is_none() {
         let record = JobRecord::Cancelled { job: job.clone(), tenant: tenant.clone() };
         append(core, &record).await?;
         await_row(core, tenant, job, |row| row.end().is_some()).await?;
@@ -356,8 +357,8 @@
         }
         JobAction::Abort { tenant, job } => {
             let tasks = lock(&core.jobs.tasks);
-            let found = tasks.iter().find(|task| task.tenant == tenant && task.job == job);
-            if let Some(task) = found {
+            let task = tasks.iter().find(|task| task.tenant == tenant && task.job == job);
+            if let Some(task) = task {
                 task.abort.cancel();
             }
         }
@@ -366,7 +367,7 @@
 
 async fn run_job(core: Arc<EntryCore>, entry: JobEntry, abort: CancellationToken) {
     let end = tokio::select! {
-        end = answer_job(&core, &entry) => end,
+        end = complete_job(&core, &entry) => end,
         () = abort.cancelled() => not_run("the run was stopped"),
     };
     let (tenant, job) = (entry.tenant.as_str(), entry.job.as_str());
@@ -379,9 +380,9 @@
     JobEnd { outcome: RequestOutcome::NotRun, result: detail.to_owned() }
 }
 
-/// Runs a job's completion. Errors that another run may not have end as `NotRun`, so that the job
-/// runs again and is not lost to an outage.
-async fn answer_job(core: &Arc<EntryCore>, entry: &JobEntry) -> JobEnd {
+/// Runs a job's completion. An error that may not recur in another run ends the run as `NotRun`, so
+/// that the job runs again and does not fail because of an outage.
+async fn complete_job(core: &Arc<EntryCore>, entry: &JobEntry) -> JobEnd {
     let Some(call) = job_call(core, entry) else {
         let result = "the job's record cannot be read".to_owned();
         return JobEnd { outcome: RequestOutcome::Failed, result };
@@ -416,26 +417,26 @@
 }
 
 fn job_call(core: &EntryCore, entry: &JobEntry) -> Option<CompletionCall> {
-    let kept: JobBody = serde_json::from_str(&entry.body).ok()?;
-    let kind = if kept.chat { CompletionKind::Chat } else { CompletionKind::Completions };
-    let body = serde_json::to_vec(&kept.body).ok()?;
-    let read = parse_completion(kind, &body, &core.settings.caller_settings()).ok()?;
+    let stored: JobBody = serde_json::from_str(&entry.body).ok()?;
+    let kind = if stored.chat { CompletionKind::Chat } else { CompletionKind::Completions };
+    let body = serde_json::to_vec(&stored.body).ok()?;
+    let parsed = parse_completion(kind, &body, &core.settings.caller_settings()).ok()?;
     Some(CompletionCall {
         kind,
         tenant: entry.tenant.clone(),
         request_id: core.next_request_id(),
         caller_id: None,
-        model: read.model,
+        model: parsed.model,
         class: entry.class,
         deadline_ms: None,
         repeatable: true,
         first_try: false,
         key: None,
         stream: false,
-        max_tokens: read.max_tokens,
-        prompt_tokens: read.prompt_tokens,
-        prefix: read.prefix,
-        fingerprint: kept.fingerprint,
-        body: read.fields,
+        max_tokens: parsed.max_tokens,
+        prompt_tokens: parsed.prompt_tokens,
+        prefix: parsed.prefix,
+        fingerprint: stored.fingerprint,
+        body: parsed.fields,
     })
 }
--- a/entry/src/own.rs
+++ b/entry/src/own.rs
@@ -1,5 +1,5 @@
-//! The groups that this VM owns: passes messages to the owner state machine as events and performs
-//! its actions.
+//! The groups that this VM owns: each has an owner state machine, which receives messages as events
+//! and whose actions are performed here.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -51,9 +51,9 @@
     owner: GroupOwner,
     rng: Pcg64,
     next_ticket: u64,
-    /// Requests without an answer, sorted by ticket, since tickets increase.
+    /// Requests without an answer, sorted by ticket: each new one has the highest ticket.
     waiting: Vec<WaitingRequest>,
-    /// Grants not released yet, sorted by number.
+    /// Grants not released yet, sorted by grant number.
     outstanding: Vec<OutstandingGrant>,
 }
 
@@ -74,22 +74,22 @@
 impl OwnerShard {
     /// Passes an event to the owner and performs its actions.
     ///
-    /// Events that arrive after the shard has ended, such as the end of an order or a withdrawal,
-    /// are ignored: a deposed owner that acted on them could evict slots that its successor has
-    /// granted.
+    /// Events that arrive after the shard has ended, such as the result of an order or a
+    /// withdrawal, are ignored: a deposed owner that acted on them could evict slots that its
+    /// successor has granted.
     pub(crate) fn drive(self: &Arc<Self>, core: &Arc<EntryCore>, event: OwnerEvent) {
         if self.ended.is_cancelled() {
             return;
         }
-        let mut others = Vec::new();
+        let mut remaining = Vec::new();
         {
             let mut state = lock(&self.state);
             let mut events = vec![event];
             while let Some(event) = events.pop() {
-                state.handle(core, event, &mut events, &mut others);
+                state.handle(core, event, &mut events, &mut remaining);
             }
         }
-        for action in others {
+        for action in remaining {
             self.perform(core, action);
         }
     }
@@ -148,6 +148,7 @@
         self.drive(core, event);
     }
 
+    /// Returns the release of a grant whose request did not run.
     fn unused(&self, number: u64, holder: VmIdentity) -> ReleaseCall {
         let grant = coltsfoothook_decision::grant::GrantId {
             group: self.group.clone(),
@@ -165,13 +166,13 @@
         let queues = queues.map(|(&class, waiting)| QueueStatus { class, waiting }).collect();
         let slots = state.owner.slots();
         let servers = state.owner.topology().engines.iter().map(|engine| {
-            let own = slots.iter().filter(|slot| slot.server == engine.server);
+            let server_slots = slots.iter().filter(|slot| slot.server == engine.server);
             ServerStatus {
                 server: engine.server.clone(),
                 up: state.owner.engine_up(engine.server.as_str()),
                 draining: read(&core.control).is_server_draining(engine.server.as_str()),
-                running: own.clone().map(|slot| slot.grants).sum(),
-                slots: own
+                running: server_slots.clone().map(|slot| slot.grants).sum(),
+                slots: server_slots
                     .filter_map(|slot| {
                         let adapter = slot_adapter(slot.slot.as_str())?;
                         Some(SlotStatus { adapter, in_use: slot.grants })
@@ -260,9 +261,9 @@
         }
     }
 
-    /// Answers for a dead VM whose process has ended: it holds no grants. Without this the slots
-    /// of the previous owner could not be evicted until the zombie window has passed, which would
-    /// delay loads by two minutes after a crash.
+    /// Reports that a dead VM holds no grants, if its process has ended. Otherwise the new owner
+    /// would have to wait for `zombie_window_ms` (two minutes by default) before it evicts the
+    /// slots of the previous one, which would delay loads after a crash.
     async fn report_if_ended(self: &Arc<Self>, core: &Arc<EntryCore>, target: &PeerTarget) {
         let dead = {
             let members = lock(&core.members);
@@ -283,7 +284,7 @@
         core: &EntryCore,
         event: OwnerEvent,
         events: &mut Vec<OwnerEvent>,
-        others: &mut Vec<OwnerAction>,
+        remaining: &mut Vec<OwnerAction>,
     ) {
         if let OwnerEvent::Withdraw { ticket } = &event {
             self.take_waiting(*ticket);
@@ -302,7 +303,7 @@
                     self.grant(ticket, grant, events);
                 }
                 OwnerAction::Refuse { ticket, refusal } => self.refuse(ticket, refusal),
-                other => others.push(other),
+                other => remaining.push(other),
             }
         }
     }
@@ -351,7 +352,7 @@
     }
 }
 
-/// Withdraws a reservation whose future is dropped, because the caller or the requesting VM
+/// Withdraws a request whose future is dropped, because the caller or the requesting VM
 /// disconnected. Without it the request would stay queued, and a grant that nobody receives would
 /// pin its slot forever.
 struct ReserveGuard {
@@ -392,10 +393,12 @@
     ReserveReply::Refused(GrantRefusal { reason, retry_after_ms: NOT_OWNER_RETRY_MS })
 }
 
-/// Returns the grants of earlier epochs that this VM holds, and refuses to use further ones.
+/// Returns the grants of earlier epochs that this VM holds. From then on this VM uses no further
+/// grants of those epochs.
 ///
-/// The floor is raised before the register is read, and a grant is registered before its epoch is
-/// compared with the floor, so every grant is either reported here or not used.
+/// The group's lowest usable epoch is raised before the held grants are read, and a grant is
+/// added to them before its epoch is compared with the lowest usable one, so every grant is either
+/// reported here or not used.
 pub(crate) fn answer_held(core: &EntryCore, call: &HeldCall) -> Vec<HeldGrant> {
     {
         let mut floors = lock(&core.floors);
@@ -476,7 +479,8 @@
     tokio::spawn(crate::watch::watch_shard(Arc::clone(core), shard));
 }
 
-/// Returns the events that initialise a new owner: suspects, open intents and draining servers.
+/// Returns the events that initialise a new owner from the control stream: suspects, open intents
+/// and draining servers.
 fn initial_events(core: &EntryCore, group: &GroupName) -> Vec<OwnerEvent> {
     let control = read(&core.control);
     let mut events = vec![OwnerEvent::Suspects(control.suspects().to_vec())];
@@ -498,7 +502,7 @@
     events
 }
 
-/// Updates every owned group to the topology of the configuration in force.
+/// Passes the topology of the configuration in force to every owned group.
 pub(crate) fn configuration_changed(core: &Arc<EntryCore>) {
     let view = core.view();
     let shards = read(&core.owners).clone();
@@ -552,8 +556,8 @@
     };
     let result = order_result(&sent);
     if matches!(sent, Err(OrderError::OrderNotSent { .. })) {
-        // An engine that refuses connections is down. Until its next reports failed, the owner
-        // would keep sending it loads.
+        // An engine that refuses connections is probably down. This counts as a failed poll, so
+        // the owner marks the engine down earlier and stops sending loads to it.
         shard.drive(core, OwnerEvent::ReportFailed { server: server.into() });
     }
     if let Err(error) = sent {
--- a/entry/src/process.rs
+++ b/entry/src/process.rs
@@ -40,11 +40,13 @@
 
 /// Random low bits of an incarnation; the others are the start time in milliseconds.
 const RANDOM_BITS: u32 = 20;
-/// Maximum time at shutdown for the takeover of owned groups and the delivery of releases.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
-const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(20);
-const LIMIT_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum time for a listener to close after the last request has ended.
+/// Maximum time at shutdown until other VMs have taken over the owned groups and the releases are
+/// delivered.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(3);
+const TAKEOVER_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between updates of the limiter.
+const LIMIT_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum time for the caller listener, and then the operator listener, to close.
 const LISTENER_CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why an entry process could not start.
@@ -62,7 +64,7 @@
         /// The cause, with the file's path.
         reason: String,
     },
-    /// The interface to other VMs did not start.
+    /// The peer interface, to other VMs, did not start.
     #[snafu(display("{source}"))]
     Peer {
         /// Failed listener or TLS setup.
@@ -99,7 +101,7 @@
     pub caller: SocketAddr,
     /// Operator interface.
     pub operator: SocketAddr,
-    /// Interface to other VMs.
+    /// Peer interface, to other VMs.
     pub peer: SocketAddr,
 }
 
@@ -193,25 +195,25 @@
     }
 
     /// Shuts down gracefully and returns the invariant counts: notifies the other VMs, refuses new
-    /// requests as not run, waits for running ones up to `shutdown_ms`, waits until its groups are
-    /// taken over and closes the listeners.
+    /// requests with the outcome "not run", waits for running ones up to `shutdown_ms`, waits for
+    /// a limited time until other VMs have taken over its groups, and closes the listeners.
     ///
-    /// Callers with a cached address list still connect; "not run" makes them use another VM. The
-    /// owned groups stay usable until another VM has taken them over.
+    /// Callers with a cached address list still connect; "not run" tells them to use another VM.
+    /// The owned groups stay usable until another VM has taken them over.
     pub async fn shut_down(self) -> InvariantLog {
         let core = Arc::clone(&self.core);
         event!(ShutdownStarted, vm = core.me.vm, in_flight = core.gate.active());
         core.gate.close();
         self.roster.drive(MemberEvent::Leave);
         let limit = Duration::from_millis(core.settings.shutdown_ms);
-        let emptied = timeout(limit, core.gate.wait_empty()).await.is_ok();
-        core.check(InvariantName::ShutdownCutsNothing, emptied, || {
-            format!("{} requests were running at the end", core.gate.active())
+        let all_ended = timeout(limit, core.gate.wait_empty()).await.is_ok();
+        core.check(InvariantName::ShutdownCutsNothing, all_ended, || {
+            format!("{} requests were running when the time limit passed", core.gate.active())
         });
-        if !emptied {
+        if !all_ended {
             event!(ShutdownOverdue, vm = core.me.vm, in_flight = core.gate.active());
         }
-        wait_for_hand_over(&core).await;
+        wait_for_takeover(&core).await;
         let _ = timeout(LISTENER_CLOSE_TIMEOUT, self.caller.close()).await;
         let counts = core.invariant_counts();
         core.closing.cancel();
@@ -221,7 +223,7 @@
         counts
     }
 
-    /// Ends at once like a failing VM: notifies nobody and hands nothing over.
+    /// Ends at once, as a crash would: notifies no other VM and waits for no takeover.
     pub async fn abort(self) {
         self.core.closing.cancel();
         drop(self.caller);
@@ -231,16 +233,16 @@
 }
 
 /// Waits until other VMs own this VM's groups and its releases are delivered. The wait is bounded,
-/// since no takeover happens while the log is down; a later owner queries the held grants.
-async fn wait_for_hand_over(core: &EntryCore) {
-    let until = Instant::now() + HAND_OVER_TIMEOUT;
-    while Instant::now() < until {
-        let alone = lock(&core.members).live().next().is_none();
-        let taken_over = read(&core.owners).is_empty() || alone;
+/// since no takeover happens while the log is down; the next owner queries the VMs for held grants.
+async fn wait_for_takeover(core: &EntryCore) {
+    let deadline = Instant::now() + TAKEOVER_TIMEOUT;
+    while Instant::now() < deadline {
+        let no_successor = lock(&core.members).live().next().is_none();
+        let taken_over = read(&core.owners).is_empty() || no_successor;
         if taken_over && core.held.len() == 0 {
             return;
         }
-        sleep(HAND_OVER_POLL_INTERVAL).await;
+        sleep(TAKEOVER_POLL_INTERVAL).await;
     }
 }
 
@@ -345,6 +347,6 @@
 async fn update_limits(core: Arc<EntryCore>) {
     while !core.closing.is_cancelled() {
         core.limits.apply_digests(&core);
-        sleep(LIMIT_INTERVAL).await;
+        sleep(LIMIT_UPDATE_INTERVAL).await;
     }
 }
--- a/entry/src/roster.rs
+++ b/entry/src/roster.rs
@@ -1,4 +1,5 @@
-//! Drives the membership: probes, the platform's VM list, takeovers and catch-up from peers.
+//! Runs the membership protocol: probes, the platform's VM list, takeovers and catch-up from other
+//! VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,13 +27,13 @@
 use crate::held::lock;
 use crate::own::{append_control, drive_all};
 
-/// Bounds of the time between two ticks of the membership. The upper one also bounds how late a
-/// change of this VM's own facts is noticed.
+/// Bounds of the time between two ticks of the membership table. The upper one also bounds how late
+/// a change of this VM's own facts is noticed.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const TAKEOVER_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval between reads of the VM list. It grows with the number of VMs, so that the cost per VM
-/// stays constant; probes detect most changes earlier.
+/// Interval between reads of the VM list. In large clusters it grows with the number of other VMs,
+/// so that the entries each VM reads per second stay constant; probes detect most changes earlier.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 const LIST_INTERVAL_PER_VM: Duration = Duration::from_millis(30);
 /// Interval after a start while no other VM is known, and the number of reads that use it.
@@ -40,8 +41,8 @@
 const INITIAL_LISTINGS: u32 = 50;
 const CATCH_UP_INTERVAL: Duration = Duration::from_millis(500);
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(5);
-/// Factor of the probe timeout for an indirect probe, which takes two hops.
-const INDIRECT_FACTOR: u32 = 2;
+/// Factor by which the timeout of an indirect probe, which takes two hops, exceeds that of a probe.
+const INDIRECT_TIMEOUT_FACTOR: u32 = 2;
 
 /// Connects the membership table to the network: sends its probes and answers those of other VMs.
 pub(crate) struct RosterDriver {
@@ -80,7 +81,7 @@
         self.started.cancel();
     }
 
-    /// Passes an event to the membership and performs its actions.
+    /// Passes an event to the membership table and performs its actions.
     pub(crate) fn drive(self: &Arc<Self>, event: MemberEvent) {
         let mut actions = Vec::new();
         {
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Answers a probe of another VM; `None` if the membership gives no reply.
+    /// Answers a probe of another VM, once this VM's addresses are set; `None` if the membership
+    /// table gives no reply.
     pub(crate) async fn answer(self: &Arc<Self>, message: ProbeMessage) -> Option<ProbeReply> {
         self.started.cancelled().await;
         let (answer, answered) = oneshot::channel();
@@ -112,7 +114,7 @@
             }
             MemberAction::SendIndirect { via, address, message } => {
                 let target = PeerTarget { address, vm: via };
-                self.send(target, message, INDIRECT_FACTOR);
+                self.send(target, message, INDIRECT_TIMEOUT_FACTOR);
             }
             MemberAction::Reply { call, reply } => {
                 let mut pending_replies = lock(&self.pending_replies);
@@ -121,8 +123,8 @@
                 }
             }
             MemberAction::Changed(change) => {
-                // A VM that restarts before its death is detected is never dead in the table; only
-                // this change reports that its previous incarnation has ended.
+                // A VM that restarts before its death is detected is never marked dead in the
+                // table; only this change reports that its previous incarnation has ended.
                 if change.state == MemberState::Dead {
                     let vm = change.vm.clone();
                     drive_all(&self.core, &OwnerEvent::VmDead { vm });
@@ -163,15 +165,14 @@
     }
 }
 
-/// Drives the membership's timers and updates its view of this VM's own facts until the process
-/// ends.
+/// Sends ticks and changes of this VM's own facts to the membership table until the process ends.
 pub(crate) async fn run_roster(driver: Arc<RosterDriver>) {
     let mut reported = None;
     let stop = driver.core.closing.clone();
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = sleep(pause(&driver.core)) => {}
+            () = sleep(next_tick_delay(&driver.core)) => {}
         }
         let facts = own_facts(&driver.core);
         if reported.as_ref() != Some(&facts) {
@@ -182,23 +183,23 @@
     }
 }
 
-fn pause(core: &EntryCore) -> Duration {
+fn next_tick_delay(core: &EntryCore) -> Duration {
     let due = lock(&core.members).next_due();
     let micros = due.since(core.clock.now());
     Duration::from_micros(micros).clamp(MIN_TICK_INTERVAL, MAX_TICK_INTERVAL)
 }
 
 fn own_facts(core: &EntryCore) -> MemberFacts {
-    let (control, drains) = {
+    let (control, draining) = {
         let control = read(&core.control);
         (control.next(), control.is_vm_draining(core.me.vm.as_str()))
     };
-    let takes = !drains && core.own_state() == MemberState::Alive;
+    let accepts_requests = !draining && core.own_state() == MemberState::Alive;
     MemberFacts {
         config: core.view().version,
         control,
         reads_log: core.health.readable(core.clock.now()),
-        weight: if takes { core.settings.weight } else { 0 },
+        weight: if accepts_requests { core.settings.weight } else { 0 },
         usage: core.limits.usage(core.clock.now()),
     }
 }
@@ -216,20 +217,20 @@
                 }
                 driver.drive(MemberEvent::Listed(list));
             }
-            // Logged once per outage, to avoid up to ten lines a second.
+            // Logged once per outage: up to ten reads fail each second.
             Err(error) if !std::mem::replace(&mut down, true) => event!(ListDown, error = error),
             Err(_) => {}
         }
         let others = lock(&core.members).others().len() as u32;
-        let period = LIST_INTERVAL.max(LIST_INTERVAL_PER_VM * others);
-        let first = others == 0 && listings < INITIAL_LISTINGS;
+        let interval = LIST_INTERVAL.max(LIST_INTERVAL_PER_VM * others);
+        let initial = others == 0 && listings < INITIAL_LISTINGS;
         listings = listings.saturating_add(1);
-        sleep(if first { INITIAL_LIST_INTERVAL } else { period }).await;
+        sleep(if initial { INITIAL_LIST_INTERVAL } else { interval }).await;
     }
 }
 
 /// Appends the takeovers that are due for this VM, until the process ends. Takes over nothing
-/// while the log is not readable or this VM shuts down.
+/// while the log is not readable or this VM is shutting down.
 pub(crate) async fn run_takeovers(core: Arc<EntryCore>) {
     let mut plan = TakeoverPlan::new(TakeoverSettings::default(), core.clock.now());
     while !core.closing.is_cancelled() {
@@ -252,6 +253,7 @@
 /// Requests from other VMs the state that this one cannot read from the log, until the process
 /// ends.
 pub(crate) async fn run_catch_up(core: Arc<EntryCore>) {
+    // The rotation makes the sequence differ from that of `RosterDriver`.
     let mut rng = Pcg64::seed_from_u64(core.me.incarnation.0.rotate_left(17));
     while !core.closing.is_cancelled() {
         sleep(CATCH_UP_INTERVAL).await;
@@ -269,29 +271,29 @@
     }
 }
 
-/// Returns a random VM that reports newer state than this one, or any live VM while this VM's
-/// state is incomplete. `None` if the state is complete and the log readable, or there is no such
-/// VM.
+/// Returns a random alive or leaving VM: any of them while this VM's state is incomplete, else one
+/// that reports newer state. `None` if there is no such VM, or if the state is complete and the log
+/// readable.
 fn catch_up_source(core: &EntryCore, rng: &mut Pcg64) -> Option<PeerTarget> {
     let now = core.clock.now();
     let config = core.view().version;
-    let (control, whole) = {
+    let (control, complete) = {
         let control = read(&core.control);
         (control.next(), control.is_complete())
     };
-    let whole = whole && lock(&core.config).is_complete();
-    if whole && core.health.readable(now) {
+    let complete = complete && lock(&core.config).is_complete();
+    if complete && core.health.readable(now) {
         return None;
     }
     let members = lock(&core.members);
-    let better: Vec<PeerTarget> = members
+    let sources: Vec<PeerTarget> = members
         .others()
         .iter()
         .filter(|row| matches!(row.state(), MemberState::Alive | MemberState::Leaving))
-        .filter(|row| !whole || row.facts().config > config || row.facts().control > control)
+        .filter(|row| !complete || row.facts().config > config || row.facts().control > control)
         .map(|row| PeerTarget { address: row.place().peer, vm: row.identity().vm.clone() })
         .collect();
-    (!better.is_empty()).then(|| better[rng.random_range(0..better.len())].clone())
+    (!sources.is_empty()).then(|| sources[rng.random_range(0..sources.len())].clone())
 }
 
 fn apply_catch_up(core: &Arc<EntryCore>, reply: CatchUpReply) {
--- a/entry/src/serve.rs
+++ b/entry/src/serve.rs
@@ -1,4 +1,5 @@
-//! Serves completions: claim, grant, run and answer, with retries where they are allowed.
+//! Serves completions: claims the key, obtains a grant, runs the request on an engine and returns
+//! the answer, with retries where they are allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,14 +35,15 @@
 use crate::reserve::{TimedGrant, reserve, usable};
 use crate::stream::AnswerRun;
 
-/// Wait before the first retry. Each further one waits [`RETRY_DELAY_FACTOR`] times as long, so
-/// that a failed engine is detected before the attempts are used up.
+/// Delay before the first retry. Each further delay is [`RETRY_DELAY_FACTOR`] times the previous
+/// one, so that a failed engine is detected before the attempts are used up.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 const RETRY_DELAY_FACTOR: u32 = 4;
-/// How long a retry waits until the owner knows how the previous attempt ended.
+/// Maximum wait, before a retry, until the owner knows how the previous attempt ended.
 pub(crate) const RELEASE_WAIT: Duration = Duration::from_millis(1_000);
-const NOT_READY_RETRY_MS: u64 = 1_000;
-const STREAM_TYPE: &str = "text/event-stream";
+/// Retry delay returned when a request was refused before it was sent to an engine.
+const NOT_RUN_RETRY_MS: u64 = 1_000;
+const STREAM_CONTENT_TYPE: &str = "text/event-stream";
 
 /// A request from its arrival to its end. Dropping it counts and logs the request.
 pub(crate) struct RequestRun {
@@ -142,15 +144,11 @@
     let Some((entry, adapter)) = view.adapter_version(choice.adapter.as_str(), version) else {
         let detail =
             format!("version {} of the configuration has no {}", view.version, run.adapter);
-        return Err(CallProblem::refused(
-            RefusalReason::UnknownAdapter,
-            NOT_READY_RETRY_MS,
-            detail,
-        ));
+        return Err(CallProblem::refused(RefusalReason::UnknownAdapter, NOT_RUN_RETRY_MS, detail));
     };
     if !entry.allows(run.call.tenant.as_str()) {
         let detail = format!("{} may not use {}", run.call.tenant, choice.adapter);
-        return Err(CallProblem::refused(RefusalReason::NotAllowed, NOT_READY_RETRY_MS, detail));
+        return Err(CallProblem::refused(RefusalReason::NotAllowed, NOT_RUN_RETRY_MS, detail));
     }
     Ok((adapter, entry.model.clone()))
 }
@@ -175,8 +173,8 @@
         Ok(())
     }
 
-    fn spec(&mut self, found: (AdapterVersion, ModelName)) -> RequestSpec {
-        let (adapter, model) = found;
+    fn spec(&mut self, resolved: (AdapterVersion, ModelName)) -> RequestSpec {
+        let (adapter, model) = resolved;
         self.adapter = adapter.clone();
         RequestSpec {
             id: self.call.request_id.clone(),
@@ -199,7 +197,7 @@
         self.core.traces.step(&self.call.request_id, self.core.clock.now(), kind, detail);
     }
 
-    /// Records the final outcome for the caller's resends, the metrics and the log.
+    /// Records the final outcome for the metrics, the log and later requests with the same key.
     pub(crate) fn end(&mut self, outcome: RequestOutcome) {
         let holds = outcome != RequestOutcome::NotRun || !self.may_have_run;
         self.core.check(InvariantName::NotRunDidNotRun, holds, || {
@@ -224,7 +222,7 @@
 
 impl Drop for RequestRun {
     fn drop(&mut self) {
-        // Without a recorded outcome the caller disconnected before the end.
+        // No recorded outcome means that the caller disconnected before the end.
         let outcome = self.outcome.unwrap_or(RequestOutcome::Unknown);
         let took_ms = self.core.clock.now().since(self.started_at) / MICROS_PER_MILLI;
         self.step(StepKind::Ended, format!("outcome={}", outcome.as_str()));
@@ -255,7 +253,7 @@
     let core = Arc::clone(&run.core);
     let mut attempt = AttemptState::new(run.call.repeatable, run.deadline);
     core.limits.first_try();
-    let mut pause = INITIAL_RETRY_DELAY;
+    let mut retry_delay = INITIAL_RETRY_DELAY;
     loop {
         let mut failed = match attempt_once(&mut run, &spec).await {
             Ok(answer) => return finish(run, spec, answer).await,
@@ -282,8 +280,8 @@
                 run.step(StepKind::Retried, format!("stage={stage} {}", failed.problem.detail));
                 failed.wait_released().await;
                 spec.avoid.extend(failed.server);
-                sleep(pause).await;
-                pause *= RETRY_DELAY_FACTOR;
+                sleep(retry_delay).await;
+                retry_delay *= RETRY_DELAY_FACTOR;
             }
         }
     }
@@ -365,8 +363,8 @@
             Err(refusal) => last = Some(refusal),
         }
         // The next group is tried only if this one is full or has no engine.
-        let full = [RefusalReason::Overloaded, RefusalReason::NoServer];
-        if last.is_none_or(|refusal| !full.contains(&refusal.reason)) {
+        let try_next_group = [RefusalReason::Overloaded, RefusalReason::NoServer];
+        if last.is_none_or(|refusal| !try_next_group.contains(&refusal.reason)) {
             break;
         }
     }
@@ -398,7 +396,7 @@
 }
 
 fn not_run(reason: RefusalReason, detail: &str) -> CallProblem {
-    CallProblem::refused(reason, NOT_READY_RETRY_MS, detail)
+    CallProblem::refused(reason, NOT_RUN_RETRY_MS, detail)
 }
 
 fn model_name(run: &RequestRun) -> String {
@@ -461,8 +459,8 @@
 }
 
 /// Reads the first part of an answer: the first event of a stream, or the whole of an answer that
-/// is not streamed. The caller has received nothing yet, so a retry after a failure here is
-/// invisible.
+/// is not streamed. The caller has received nothing yet, so it does not notice a retry after a
+/// failure here.
 async fn read_first(
     run: &mut RequestRun,
     mut hold: GrantHold,
@@ -471,7 +469,7 @@
 ) -> Result<(GrantHold, RunAnswer, Bytes), FailedAttempt> {
     use futures::StreamExt;
     let core = Arc::clone(&run.core);
-    if run.call.stream != answer.content_type.starts_with(STREAM_TYPE) {
+    if run.call.stream != answer.content_type.starts_with(STREAM_CONTENT_TYPE) {
         hold.end(GrantEnd::Broken, 0);
         let problem =
             answer_lost("the answer's content type does not match the requested streaming mode");
@@ -511,8 +509,8 @@
     Ok((hold, answer, body))
 }
 
-/// Counts the invariant for an answer that is not forwarded: violated if it came from another
-/// slot.
+/// Checks `RightAdapter` for an answer that is not forwarded; the invariant is violated if the
+/// answer came from another slot.
 pub(crate) fn check_right_slot(core: &EntryCore, error: &crate::answer::AnswerError) {
     let right = !matches!(error, crate::answer::AnswerError::WrongSlot { .. });
     core.check(InvariantName::RightAdapter, right, || error.to_string());
@@ -572,6 +570,7 @@
 }
 
 /// Returns whether a status rejects the request itself, so that other engines would reject it too.
+/// 429, 409 and 503 describe the engine that answered, so another one may accept the request.
 fn rejects_request(status: StatusCode) -> bool {
     status.is_client_error()
         && status != StatusCode::TOO_MANY_REQUESTS
