--- a/gateway/src/find.rs
+++ b/gateway/src/find.rs
@@ -18,20 +18,20 @@
 use crate::state::{Gateway, SystemView};
 use crate::waits::WaitGuard;
 
-/// With less time left than this a request is not sent: the time would be used up in transit.
+/// A request with less time left than this is not sent: the time would be used up in transit.
 pub(crate) const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
-/// The longest time between two choices of a waiting request.
+/// Maximum time until a waiting request chooses a server again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(60);
-/// The fraction of a request's target for which it may be held back so that streams at the server do not pause.
-/// Held for longer, the request itself would be late.
+/// The fraction of a request's target for which it may be held back so that streams at the server
+/// do not pause. Held for longer, the request itself would be late.
 const MAX_HOLD_FRACTION: f64 = 0.5;
-/// Upper bound of the random delay, in microseconds, before a held request chooses again after another VM's prompt
-/// was read. The server then has room for one request, and all VMs that hold one are notified at about the same
-/// time. The delay lets the load report of the first VM that sends arrive at the others, which takes one or two
-/// milliseconds.
+/// Upper bound of the random delay, in microseconds, before a held request chooses again after
+/// another VM reported its counts. If that VM's prompt was read, the server has room for one
+/// request, and all VMs that hold one are notified at about the same time. The delay lets the load
+/// report of the first VM that sends arrive at the others, which takes one or two milliseconds.
 const HOLD_JITTER_US: u64 = 10_000;
-/// How long a request waits while no server of its service accepts it. Server entries are read every 600 ms, so a
-/// newly registered server is known within this time.
+/// How long a request waits while no server of its service accepts it. Readers poll the servers'
+/// entries every 600 ms, so that a newly registered server is known within this time.
 const NO_SERVER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Returns a server that can run the request, or the reason for which there is none.
@@ -92,18 +92,20 @@
     found
 }
 
-/// Returns the time until a VM may order servers, if none may yet and the request needs an adapter.
+/// Returns the time until this VM may send orders, if it holds partitions but none is active yet
+/// and the request needs an adapter.
 ///
-/// That is so after all partitions were assigned anew, as when all VMs lost power. No adapter can be loaded before,
-/// so the time goes into `Retry-After`: callers that retry earlier would be refused again.
+/// This happens after all partitions were reassigned, for example when all VMs had lost power.
+/// Until then no adapter can be loaded, so the time goes into `Retry-After`: callers that retry
+/// earlier would be refused again.
 fn time_until_orders(run: &RequestRun, now: TimePoint) -> Option<Duration> {
     run.request.head.need.as_ref()?.adapter.as_ref()?;
     let first = run.gateway.view().lease.first_active(now)?;
     Some(Duration::from_micros(first.since(now)))
 }
 
-/// Returns whether no server accepted the request for longer than [`NO_SERVER_TIMEOUT`]. The first call starts the
-/// time.
+/// Returns whether no server accepted the request for longer than [`NO_SERVER_TIMEOUT`]. The first
+/// call starts the timer.
 fn timed_out(unserved_from: &mut Option<TimePoint>, now: TimePoint) -> bool {
     let since = *unserved_from.get_or_insert(now);
     Duration::from_micros(now.since(since)) > NO_SERVER_TIMEOUT
@@ -111,8 +113,9 @@
 
 /// Holds a request back until a server may have room for its prompt.
 ///
-/// When the prompt that was read is of this VM, the request chooses at once: other VMs have not received the update
-/// yet. When it is of another VM, the request waits for a random part of [`HOLD_JITTER_US`] first.
+/// When a server has read a prompt sent by this VM, the request chooses at once: other VMs have not
+/// received the load report yet. When another VM reports its counts or the time has passed, the
+/// request first waits for a random part of [`HOLD_JITTER_US`].
 async fn hold(
     run: &mut RequestRun,
     until: TimePoint,
@@ -133,7 +136,8 @@
     run.held += Duration::from_micros(clock::now().since(from));
 }
 
-/// Chooses a server for the request and, if an adapter should be loaded, returns it with its version and server.
+/// Chooses a server for the request. If an adapter should be loaded, also returns the adapter, the
+/// version and the server at which to load it.
 fn choose(
     run: &RequestRun,
     may_hold: bool,
@@ -147,7 +151,7 @@
     let excluded = run.avoided.clone();
     let domain = &run.gateway.settings.domain;
     let gap = view.table.as_ref().and_then(|table| table.min_gap(&run.request.service));
-    let server_need = |excluded, version| ServerRequirements {
+    let requirements = |excluded, version| ServerRequirements {
         service: &run.request.service,
         model: need.map(|need| &need.model),
         adapter: key.map(|key| (key, version)),
@@ -157,7 +161,7 @@
         prompt: run.prompt_tokens(),
         gap: gap.filter(|_| may_hold),
     };
-    let choice = view.backends.choose(&server_need(&excluded, oldest), draw, now);
+    let choice = view.backends.choose(&requirements(&excluded, oldest), draw, now);
     let Some(key) = key else { return (choice, None) };
     match &choice {
         ServerChoice::Send { copy: Some(server), .. }
@@ -166,8 +170,9 @@
             (choice, Some(load_request))
         }
         ServerChoice::Send { copy: None, .. } if oldest < newest => {
-            // The request runs on the previous version while the new one is loaded at another server.
-            let newer_choice = view.backends.choose(&server_need(&excluded, newest), draw, now);
+            // The request runs on the previous version while the new one is loaded at another
+            // server.
+            let newer_choice = view.backends.choose(&requirements(&excluded, newest), draw, now);
             let load_request = match newer_choice {
                 ServerChoice::Load { server } => Some((key.clone(), newest, server)),
                 _ => None,
@@ -176,12 +181,13 @@
         }
         ServerChoice::Load { server } => {
             let mut server = server.clone();
-            // While the store is crowded, a load request queues there whichever server it names: no other is tried.
+            // While the weight store is saturated, a load waits for the store whichever server it
+            // is for, so that no other server is tried.
             if !view.forecast(now).is_saturated()
                 && let Some(slow) = view.load_requests.overdue(key, now)
             {
                 let excluded = [excluded.as_slice(), std::slice::from_ref(&slow)].concat();
-                let other = view.backends.choose(&server_need(&excluded, oldest), draw, now);
+                let other = view.backends.choose(&requirements(&excluded, oldest), draw, now);
                 server = view.backends.load_elsewhere(slow, &other, now);
             }
             (ServerChoice::Load { server: server.clone() }, Some((key.clone(), newest, server)))
@@ -190,12 +196,13 @@
     }
 }
 
-/// The fraction of the promised time for a new version (`version_ms`) during which the previous one is still used.
+/// The fraction of the promised time for a new version (`version_ms`) during which the previous one
+/// is still used.
 const OLD_VERSION_FRACTION: f64 = 0.5;
 
 impl SystemView {
-    /// Returns the oldest version of an adapter that a request may run on, and the newest that operators named.
-    /// Both are 1 if none was named.
+    /// Returns the oldest version of an adapter that a request may run on, and the newest that the
+    /// operators named. Both are 1 if none was named.
     fn usable_versions(&self, run: &RequestRun, key: &AdapterKey, now: TimePoint) -> (u64, u64) {
         let Some(named) = self.named(key) else { return (1, 1) };
         let allowed = run.gateway.settings.promises.version_ms as f64 * OLD_VERSION_FRACTION;
@@ -205,8 +212,8 @@
     }
 }
 
-/// Sends a load request for an adapter to the VM that orders the server, unless one was sent shortly before. If this
-/// VM orders the server, the request goes to its own tracker.
+/// Sends a load request for an adapter to the server's owner, unless one was sent shortly before.
+/// If this VM is the owner, the request goes to its own order tracker.
 fn request_load(
     gateway: &Arc<Gateway>,
     key: &AdapterKey,
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -21,30 +21,30 @@
 use crate::record_updates::{self, EntryChanges};
 use crate::state::{Gateway, LapsedServer, SystemView};
 
-/// Interval of a reader's polls of the servers' entries. A leaving server gets no new work after
-/// this and one answer of the store, which is about a third of the two seconds that operators
-/// allow.
+/// Interval of a reader's polls of the servers' entries. A leaving server may get new work for this
+/// long and the time of one answer of the store; operators allow two seconds.
 const ENTRY_POLL_INTERVAL: Duration = Duration::from_millis(600);
-/// VMs that read the store for all others. Two of them may be lost at once.
+/// Number of VMs that read the store for all others. Two of them may fail at once.
 pub(crate) const READERS: usize = 3;
 /// Interval of the other VMs' own polls, which only confirm what the readers reported, in
-/// microseconds. It is longer in large fleets, where these polls would be most of the calls to the
+/// microseconds.
+const NON_READER_POLL_INTERVAL_US: u64 = 8_000_000;
+/// The same in large fleets. It is longer because these polls would be most of the calls to the
 /// store.
-const OTHERS_POLL_INTERVAL_US: u64 = 8_000_000;
-const LARGE_OTHERS_POLL_INTERVAL_US: u64 = 30_000_000;
+const LARGE_NON_READER_POLL_INTERVAL_US: u64 = 30_000_000;
 /// Interval of the check whether readers still read the operators' records for this VM.
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// A VM polls the entries itself once the readers' knowledge is older than this, in microseconds.
-/// Two messages of each reader may be lost within it.
+/// A VM polls the entries itself once what the readers reported is older than this, in
+/// microseconds. Two updates of each reader may be lost within it.
 const READER_TTL_US: u64 = 1_400_000;
-/// Minimum time between the starts of a failed call and its retry. A query that was lost has taken
+/// Minimum time between the starts of a failed call and its retry. A poll that timed out has taken
 /// longer and is retried at once.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// The same in large fleets at VMs that do not read for others. During an outage the retries of all
-/// VMs would be most of a day's calls, and the readers report when the store is back.
+/// The same in large fleets, at VMs that do not read for others. During an outage their retries
+/// would be most of a day's calls to the store, and the readers report when it is back.
 const LARGE_RETRY_INTERVAL: Duration = Duration::from_millis(2_400);
-/// How long a VM that learns of a newer configuration waits for the store's own answer to arrive
-/// first.
+/// How long a VM that learns of a newer configuration from another VM waits for the answer to its
+/// pending poll before it polls again.
 const BEHIND_DELAY: Duration = Duration::from_millis(40);
 /// How long after an outage of the store a server without an entry is kept, in microseconds.
 /// Entries lapse during the outage and are written again within two seconds.
@@ -68,13 +68,13 @@
             }
         };
         loop {
-            let query = match wait_while_covered(&gateway).await {
+            let long_poll = match wait_while_readers_poll(&gateway).await {
                 ReaderWait::Over => break,
                 ReaderWait::UnknownKey => None,
                 ReaderWait::NoReaders => schedule.next(),
             };
             let sent_at = clock::now();
-            match query_operators(&gateway, next, query, sent_at).await {
+            match poll_operators(&gateway, next, long_poll, sent_at).await {
                 Ok((page, sent_at)) => {
                     link.record_answer(&gateway);
                     schedule.answered();
@@ -99,20 +99,20 @@
     Duration::from_millis(gateway.settings.promises.config_ms)
 }
 
-/// Queries the store for the operators' records from an offset on, and returns them with the time
-/// of the query that was answered. A held query can be lost for all VMs at once, and then no other
-/// VM has a newer configuration to report.
-async fn query_operators(
+/// Polls the store for the operators' records from an offset on, and returns them with the time of
+/// the poll that was answered. A lost long poll is polled again when another VM reports a newer
+/// configuration; if all VMs lose theirs at once, only the timeout detects it.
+async fn poll_operators(
     gateway: &Gateway,
     from: u64,
-    query: Option<LongPoll>,
+    long_poll: Option<LongPoll>,
     sent_at: TimePoint,
 ) -> Result<(RecordPage, TimePoint), MetadataError> {
     tokio::select! {
-        page = gateway.store.read(KeyedTopic::Operators, from, query) => {
+        page = gateway.store.read(KeyedTopic::Operators, from, long_poll) => {
             return Ok((page?, sent_at));
         }
-        // A peer with a newer configuration shows that this query missed it.
+        // Another VM has a newer configuration, so that this poll may be lost.
         () = gateway.config_behind.notified() => sleep(BEHIND_DELAY).await,
         () = gateway.unknown_key_seen.notified() => {}
     }
@@ -121,10 +121,10 @@
     Ok((page, sent_at))
 }
 
-/// Returns whether readers read the operators' records for this VM. This holds in large fleets
-/// while the store answers the readers for these records; answers for the servers' entries do not
-/// count, since with only the queries for records lost, all VMs would keep an old configuration.
-/// Otherwise the held queries of every VM would be most of the calls to the store.
+/// Returns whether readers read the operators' records for this VM. They do in large fleets, where
+/// the long polls of every VM would be most of the calls to the store, while the store answers the
+/// readers' polls for these records. Its answers to polls for the servers' entries do not count: if
+/// only the polls for records were lost, all VMs would keep an old configuration.
 pub(crate) fn has_record_readers(view: &SystemView, gateway: &Gateway, now: TimePoint) -> bool {
     view.table.is_some()
         && view.roster.is_large(now)
@@ -136,11 +136,11 @@
         && (!view.has_customers() || view.confirmation.need(now) < ConfirmationNeed::Urgent)
 }
 
-/// Outcome of [`wait_while_covered`].
+/// Outcome of [`wait_while_readers_poll`].
 enum ReaderWait {
-    /// There was no wait: no readers read them for this VM.
+    /// There was no wait: no readers read the operators' records for this VM.
     NoReaders,
-    /// Readers read them for a while, so that the records of that time have to be read.
+    /// Readers read them until now, so that this VM has to read the records of that time itself.
     Over,
     /// Readers still read them, but a request has a key that the configuration in force does not
     /// know.
@@ -148,13 +148,13 @@
 }
 
 /// Waits while readers read the operators' records for this VM.
-async fn wait_while_covered(gateway: &Gateway) -> ReaderWait {
+async fn wait_while_readers_poll(gateway: &Gateway) -> ReaderWait {
     let from = clock::now();
     let mut waited = false;
     loop {
         let now = clock::now();
-        let is_covered = has_record_readers(&gateway.view(), gateway, now);
-        if !is_covered || now.since(from) > LARGE_OTHERS_POLL_INTERVAL_US {
+        let has_readers = has_record_readers(&gateway.view(), gateway, now);
+        if !has_readers || now.since(from) > LARGE_NON_READER_POLL_INTERVAL_US {
             return if waited { ReaderWait::Over } else { ReaderWait::NoReaders };
         }
         waited = true;
@@ -164,7 +164,7 @@
     }
 }
 
-/// Applies the answer to a query that was sent at `sent_at`, and returns the next offset to read.
+/// Applies the answer to a poll that was sent at `sent_at`, and returns the next offset to read.
 fn apply_operators(gateway: &Arc<Gateway>, page: &RecordPage, sent_at: TimePoint) -> u64 {
     let before = gateway.view().table.as_ref().map(|table| table.version);
     let reads = reads_for_others(gateway);
@@ -194,8 +194,9 @@
     page.next
 }
 
-/// Puts a configuration into force unless the present one is as new. Older ones come from stale
-/// reads and from records that are read twice; applying them would revert what callers have seen.
+/// Puts a configuration into force unless the present one is as new or newer. Older ones come from
+/// stale reads and from records that are read twice; applying them would revert what callers have
+/// seen.
 pub(crate) fn put_in_force(gateway: &Arc<Gateway>, table: RouteTable) {
     let mut view = gateway.view();
     let before = view.table.as_ref().map(|table| table.version);
@@ -274,8 +275,8 @@
     }
 }
 
-/// Applies a snapshot of all entries. Servers without an entry in it are treated as if it was
-/// removed.
+/// Applies a snapshot of all entries. A known server without an entry in it is treated as if its
+/// entry was removed.
 fn apply_snapshot(gateway: &Arc<Gateway>, page: &RecordPage, after_outage: bool) {
     apply_servers(gateway, &page.records, after_outage);
     let mut view = gateway.view();
@@ -295,8 +296,9 @@
     remove_lapsed(gateway);
 }
 
-/// Applies changes of entries, and returns those to be reported. With `after_outage`, the first
-/// read after an outage, removals may be lapses that are undone.
+/// Applies changes of entries, and returns those to be reported. `after_outage` is set for the
+/// first read after an outage of the store: removed entries may then have lapsed during the outage
+/// and be written again.
 pub(crate) fn apply_servers(
     gateway: &Arc<Gateway>,
     records: &[KeyedRecord],
@@ -322,10 +324,9 @@
             }
         };
         view.skipped.clear(&record.key);
-        // Each reader reports a leaving server, even if another reader reported it first. With only
-        // the first reader's report, a VM that this reader had lost for three seconds, but that
-        // received the other readers' reports, kept sending to the server for more than four
-        // seconds.
+        // Each reader reports a leaving server, even if another reader reported it first.
+        // Otherwise a VM that cannot receive the first reader's updates would not learn of it from
+        // the others and would keep sending to the server for seconds.
         let leaves = !entry.ready;
         if view.apply_entry(&entry, now) || leaves {
             changes.entries.push(record_updates::without_adapters(entry));
@@ -348,8 +349,8 @@
     sleep(pause.saturating_sub(Duration::from_micros(now.since(sent_at)))).await;
 }
 
-/// Returns whether this VM reads the store for all: it is among the first live VMs in an order that
-/// is independent of failure domains.
+/// Returns whether this VM reads the store for all others: it is among the first [`READERS`] live
+/// VMs in an order by hash, which is independent of failure domains.
 pub(crate) fn reads_for_others(gateway: &Gateway) -> bool {
     let view = gateway.view();
     !gateway.leaving() && view.roster.hash_rank(&gateway.settings.vm, clock::now()) < READERS
@@ -360,12 +361,13 @@
 pub(crate) fn has_entry_readers(gateway: &Gateway, read_at: TimePoint) -> bool {
     let now = clock::now();
     let view = gateway.view();
-    // Readers do not report an entry that is written again after it lapsed as a change. Relying on
-    // their reports, this VM would drop a server that came back in time.
+    // An entry that lapsed and is written again unchanged is not in the readers' reports. Relying
+    // on them, this VM would remove a server whose entry returned in time.
     let complete = !view.missed_entries && view.lapsed.is_empty();
     let up_to_date = complete && now.since(view.entries_known_at) < READER_TTL_US;
     let large = view.roster.is_large(now);
-    let pause_us = if large { LARGE_OTHERS_POLL_INTERVAL_US } else { OTHERS_POLL_INTERVAL_US };
+    let pause_us =
+        if large { LARGE_NON_READER_POLL_INTERVAL_US } else { NON_READER_POLL_INTERVAL_US };
     up_to_date && now.since(read_at) < pause_us
 }
 
@@ -384,8 +386,8 @@
 }
 
 impl SystemView {
-    /// Records an own read of the entries up to an offset. `reported` are the changes to report if
-    /// this VM reads for others, `None` if they are not to be reported.
+    /// Records that this VM itself read the entries up to an offset. `reported` are the changes to
+    /// report if this VM reads for others, `None` if they are not to be reported.
     fn record_entry_read(&mut self, up_to: u64, reported: Option<EntryChanges>) {
         self.coverage.record_read(up_to);
         self.missed_entries = false;
@@ -428,8 +430,8 @@
         }
     }
 
-    /// Estimates the capacity of the weight store from the number of known engines, until loads
-    /// show it. Called on every VM, since those that order most servers do not read the entries
+    /// Estimates the rate of the weight store from the number of known engines, until loads have
+    /// shown it. Called on every VM, since the owners of most servers do not read the entries
     /// themselves.
     pub(crate) fn expect_fleet(&mut self) {
         let servers = self.backends.servers().iter();
@@ -438,8 +440,8 @@
     }
 
     /// Records the removal of a server's entry. An entry that lapsed during an outage of the store
-    /// gets two seconds to return. All other servers are removed at once, since a leaving server
-    /// would otherwise get new work.
+    /// gets [`LAPSE_GRACE_US`] to return. Otherwise the server is removed at once, since it may be
+    /// leaving and would get new work.
     pub(crate) fn lapse(
         &mut self,
         server: &str,
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to the servers whose lease this VM holds.
+//! Orders to the servers that this VM owns: those in the partitions whose lease it holds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,40 +29,42 @@
 /// do not know of each other's loads.
 const MODEL_LOAD_MARGIN: f64 = 1.3;
 
-/// The order tracker of a server, and what was last reported of it.
+/// The order tracker of a server, and what was last reported from it to other VMs.
 #[derive(Debug)]
 struct ServerTracker {
     server: ServerName,
-    /// Start time of the incarnation that the tracker is for. A later incarnation has accepted no
-    /// orders and holds nothing.
+    /// Incarnation that the tracker is for. A later incarnation has accepted no orders and holds no
+    /// adapters.
     incarnation: u64,
     fence: u64,
     tracker: OrderTracker,
+    /// Revision of the tracker at the last reported list.
     reported_revision: u64,
     reported_free: u32,
     reported_at: TimePoint,
-    /// VMs that requested loads here, and when they last did.
+    /// VMs that requested loads at this server, and when they last did.
     requesters: Vec<(VmName, TimePoint)>,
 }
 
-/// For how long after a load request the requesting VM gets changed lists directly, in
-/// microseconds. Loading from a busy store and polling for the result take less.
+/// For how long after a load request the requester gets changed lists directly, in microseconds.
+/// Loading from a busy store and polling the server for the result take less.
 const REQUESTER_TTL_US: u64 = 1_500_000;
 
 impl ServerTracker {
-    /// Returns the VMs that recently requested a load here. In large fleets their aggregator would
-    /// report only a few times a second that a load was ordered, was lost or takes longer, and
-    /// until then they would send requests to the server in vain.
+    /// Returns the VMs that recently requested a load at this server. They get changed lists
+    /// directly: in large fleets an aggregator reports only a few times a second that a load was
+    /// ordered, was lost or takes longer, and until then the requests they send would fail.
     fn requesters(&mut self, now: TimePoint) -> Vec<VmName> {
         self.requesters.retain(|(_, at)| now.since(*at) < REQUESTER_TTL_US);
         self.requesters.iter().map(|(vm, _)| vm.clone()).collect()
     }
 }
 
-/// The trackers of all servers that this VM orders, sorted by server.
+/// The trackers of all servers that this VM owns, sorted by server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerTrackers {
     trackers: Vec<ServerTracker>,
+    /// When this VM last ordered the load of a base model.
     model_load_at: Option<TimePoint>,
 }
 
@@ -71,13 +73,13 @@
         self.trackers.binary_search_by(|tracker| tracker.server.cmp(server))
     }
 
-    /// Returns the tracker of a server, if this VM orders it.
+    /// Returns the tracker of a server, if this VM owns it.
     pub(crate) fn get(&mut self, server: &ServerName) -> Option<&mut OrderTracker> {
         let at = self.find(server).ok()?;
         Some(&mut self.trackers[at].tracker)
     }
 
-    /// Records a load request for an adapter at a server; ignored if this VM does not order it.
+    /// Records a load request for an adapter at a server; ignored if this VM does not own it.
     pub(crate) fn request_load(
         &mut self,
         server: &ServerName,
@@ -136,7 +138,7 @@
         at
     }
 
-    /// Returns the servers at which adapter loads are requested.
+    /// Returns the servers with load requests that are not ordered yet.
     fn with_load_requests(&self) -> Vec<ServerName> {
         let requested = self.trackers.iter().filter(|entry| entry.tracker.has_load_requests());
         requested.map(|entry| entry.server.clone()).collect()
@@ -148,13 +150,13 @@
     }
 }
 
-/// Parameters for ordering a server.
+/// Parameters of the orders to a server.
 struct OrderTerms {
     address: SocketAddr,
     incarnation: u64,
     fence: u64,
     slots: usize,
-    /// The base model to load if it holds none.
+    /// The base model to load if the server holds none.
     model: Option<ModelName>,
 }
 
@@ -169,14 +171,14 @@
 /// A server's list that is due to be reported.
 struct DueList {
     lists: ServerLists,
-    /// VMs that get the list directly in large fleets.
+    /// Requesters, which get the list directly in large fleets.
     requesters: Vec<VmName>,
 }
 
-/// Sends the next order to every server that this VM may order.
+/// Sends its next order to every server that this VM may send orders to.
 pub(crate) fn send_next_orders(gateway: &Arc<Gateway>) {
     {
-        // Most VMs of a large fleet order no server.
+        // Most VMs of a large fleet own no server.
         let view = gateway.view();
         if view.lease.held() == 0 && view.order_trackers.trackers.is_empty() {
             return;
@@ -194,28 +196,28 @@
 }
 
 /// Upper bound of the random delay before a VM orders the next load after one has finished, in
-/// microseconds: about what a list takes to reach the other VMs.
+/// microseconds: about the time in which a list reaches the other VMs.
 const LOAD_JITTER_US: u64 = 6_000;
 /// Interval of the check whether loads wait for others to finish.
 const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(125);
 
 /// Runs for ever, ordering loads that wait for other loads to finish.
 ///
-/// Every VM receives the lists with all loads and computes the same finish times. Without a random
-/// delay all would order their next load at the same time.
+/// Every VM receives the lists with all loads in flight and computes the same finish times. Without
+/// a random delay, all would order their next load at the same time.
 pub(crate) async fn order_waiting_loads(gateway: Arc<Gateway>) {
     loop {
         let pause = next_load_delay(&gateway).unwrap_or(LOAD_CHECK_INTERVAL);
         tokio::time::sleep(pause).await;
-        let waits = gateway.view().order_trackers.with_load_requests();
-        for server in &waits {
+        let servers = gateway.view().order_trackers.with_load_requests();
+        for server in &servers {
             send_next_order(&gateway, server);
         }
     }
 }
 
-/// Returns the time until this VM may order a load that waits for others, `None` if none waits or
-/// no load is under way.
+/// Returns the time until this VM may order a load that waits for others; `None` if none waits or
+/// no load is in flight.
 fn next_load_delay(gateway: &Gateway) -> Option<Duration> {
     let now = clock::now();
     let mut view = gateway.view();
@@ -280,12 +282,12 @@
         Some((call, list))
     }
 
-    /// Returns the expected duration of a load that is ordered now.
+    /// Returns a forecast of the duration of a load that is ordered now.
     pub(crate) fn forecast(&self, now: TimePoint) -> LoadForecast {
         self.times.forecast(self.backends.loads_in_flight(now))
     }
 
-    /// Returns the parameters for ordering a server, `None` if this VM may not order it now.
+    /// Returns the parameters of the orders to a server; `None` if this VM may not send any now.
     fn order_terms(
         &self,
         gateway: &Gateway,
@@ -302,8 +304,8 @@
         Some(OrderTerms { address, incarnation, fence, slots, model })
     }
 
-    /// Returns the base model that an empty server should load, which is the one that the fewest
-    /// servers hold. `None` while the weight store's rate allows no load.
+    /// Returns the base model that an empty server should load: of those that fit, the one that the
+    /// fewest servers hold. `None` if none fits, or while the weight store's rate allows no load.
     fn model_to_load(&self, plan: &EnginePlan, now: TimePoint) -> Option<ModelName> {
         let rate = plan.loads_per_second.max(0.01);
         let pause_s = MODEL_LOAD_MARGIN * self.vm_count(now) as f64 / rate;
@@ -369,8 +371,8 @@
     }
 }
 
-/// Returns the adapter slots of a server: the configured number, or fewer if fewer fit beside its
-/// base models.
+/// Returns the number of adapter slots of a server: the configured number, or fewer if its base
+/// models leave memory for fewer.
 fn adapter_slots(plan: &EnginePlan, held: &[HeldModel]) -> usize {
     let weights = |model: &ModelName| {
         plan.models.iter().find(|planned| planned.model == *model).map_or(0.0, |m| m.weights_mb)
@@ -384,8 +386,7 @@
     plan.adapter_slots.min(room)
 }
 
-/// Sends a server's list to all VMs; in large fleets to the aggregators and the VMs that wait for
-/// it.
+/// Sends a server's list to all live VMs; in large fleets to the aggregators and the requesters.
 fn send_list(gateway: &Arc<Gateway>, list: DueList) {
     let now = clock::now();
     let peers = {
@@ -427,11 +428,11 @@
                     told_by = "report"
                 );
             }
-            // The report of another incarnation says nothing about this one.
+            // A report of another incarnation says nothing about the one that the tracker is for.
             if let Some(tracker) = view.order_trackers.of_incarnation(server, call.incarnation) {
-                let own_report =
+                let matching =
                     report.as_ref().filter(|report| report.incarnation == call.incarnation);
-                tracker.reported(own_report, &forecast, now);
+                tracker.reported(matching, &forecast, now);
             }
             let held = report.as_ref().map(|r| r.models.iter().map(|m| m.adapters.len()).sum());
             let held: Option<usize> = held;
@@ -450,7 +451,7 @@
 ) {
     let (address, incarnation, fence) = (call.address, call.incarnation, call.fence);
     if !may_send(gateway, server, incarnation, order) {
-        // Nothing was sent. With a conflict the tracker polls the server instead of waiting for a
+        // Nothing was sent. A conflict makes the tracker poll the server instead of waiting for a
         // reply.
         let now = clock::now();
         let mut view = gateway.view();
@@ -511,8 +512,8 @@
 
 /// Checks the preconditions of an order again just before it is sent.
 fn may_send(gateway: &Gateway, server: &ServerName, incarnation: u64, order: &ServerOrder) -> bool {
-    // The count of accepted orders that the order states belongs to one incarnation. Another one
-    // may have reached the same count.
+    // The server compares the count of accepted orders that the order states with its own. Another
+    // incarnation may have reached the same count.
     if !gateway.view().backends.is_current_incarnation(server.as_str(), incarnation) {
         return false;
     }
@@ -552,7 +553,7 @@
     }
 }
 
-/// Records reported adapter use at servers that this VM orders.
+/// Records reported adapter use at servers that this VM owns.
 pub(crate) fn record_uses(gateway: &Arc<Gateway>, vm: &VmName, uses: &[AdapterUse]) {
     let now = clock::now();
     for used in uses {
@@ -587,5 +588,5 @@
     }
 }
 
-/// Delay after an adapter's last use until it counts as idle, with a small margin.
+/// Time from an adapter's last use until it counts as idle, with a small margin.
 const IDLE_DELAY: Duration = Duration::from_millis(62);
--- a/gateway/src/peer.rs
+++ b/gateway/src/peer.rs
@@ -29,52 +29,55 @@
 use crate::roster::{PeerChange, SMALL_FLEET};
 use crate::state::{Gateway, SystemView};
 
-/// Interval of a VM's state messages.
+/// Interval of this VM's state messages.
 const STATE_INTERVAL: Duration = Duration::from_millis(125);
 /// How long a change of this VM's requests is delayed to be reported with others in one message.
 const LOAD_REPORT_DELAY: Duration = Duration::from_millis(3);
-/// The same in large fleets, where the aggregator that receives the report forwards it a few times
-/// a second.
+/// The same in large fleets. It is longer because the aggregator forwards the reports only a few
+/// times a second.
 const LARGE_LOAD_REPORT_DELAY: Duration = Duration::from_millis(20);
-/// Every n-th state message also goes to unresponsive VMs, which may have come back.
+/// One of this many state messages also goes to unresponsive VMs, which may have come back.
 const UNRESPONSIVE_INTERVAL: u64 = 8;
-/// VMs that one state message goes to in fleets of more than [`SMALL_FLEET`]. The recipients
-/// rotate, which bounds what a VM sends regardless of the fleet's size.
+/// Number of VMs that one state message goes to in fleets of more than [`SMALL_FLEET`]. The
+/// recipients rotate, which bounds what a VM sends regardless of the fleet's size.
 pub(crate) const ROTATION_SIZE: usize = 16;
 /// Interval of state messages in such fleets, in microseconds: twice [`STATE_INTERVAL`], which
 /// halves the bytes sent.
 pub(crate) const ROTATION_INTERVAL_US: u64 = 250_000;
-/// Addresses of other VMs that a state message carries.
+/// Number of addresses of other VMs that a state message carries.
 const SHARED_PEERS: usize = 4;
 
-/// Datagrams that may be queued until the kernel accepts more: one message to each VM of a large
-/// fleet. Further ones are dropped, and a later message repeats their content.
+/// Number of datagrams that may be queued until the kernel accepts more: one message to each VM of
+/// a large fleet. Further ones are dropped, and a later message repeats their content.
 const MAX_QUEUED: usize = 1_024;
 
 /// The socket, its send queue and the counters of messages sent.
 pub(crate) struct PeerSocket {
     socket: UdpSocket,
+    /// Sequence number of the last state message.
     sequence: AtomicU64,
+    /// Number of messages sent.
     sends: AtomicU64,
     /// Bytes sent, by kind of message.
     sent_bytes: [AtomicU64; PeerMessage::KINDS.len()],
-    waiting: mpsc::Sender<(Bytes, SocketAddr)>,
+    queue_sender: mpsc::Sender<(Bytes, SocketAddr)>,
+    /// The receiving end of the queue, until [`send_queued`] takes it.
     queue: Mutex<Option<mpsc::Receiver<(Bytes, SocketAddr)>>>,
 }
 
 impl PeerSocket {
     pub(crate) async fn bind(address: SocketAddr) -> io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
-        let (waiting, queue) = mpsc::channel(MAX_QUEUED);
+        let (queue_sender, queue) = mpsc::channel(MAX_QUEUED);
         let queue = Mutex::new(Some(queue));
         let (sequence, sends) = (AtomicU64::new(0), AtomicU64::new(0));
         let sent_bytes = std::array::from_fn(|_| AtomicU64::new(0));
-        Ok(Self { socket, sequence, sends, sent_bytes, waiting, queue })
+        Ok(Self { socket, sequence, sends, sent_bytes, queue_sender, queue })
     }
 
     /// Sends a message without blocking. Datagrams that the socket does not accept at once are
-    /// queued; those that do not fit into the queue are dropped, and a later message, which starts
-    /// at another VM, repeats their content.
+    /// queued; those that do not fit into the queue are dropped. A later message, which goes to
+    /// another VM first, repeats their content.
     pub(crate) fn send(&self, message: &PeerMessage, to: &[SocketAddr]) {
         let bytes = match encode(message) {
             Ok(bytes) => Bytes::from(bytes),
@@ -101,30 +104,31 @@
     }
 
     fn try_send(&self, bytes: &Bytes, to: SocketAddr) -> io::Result<()> {
-        if self.waiting.capacity() == MAX_QUEUED {
+        if self.queue_sender.capacity() == MAX_QUEUED {
             match self.socket.try_send_to(bytes, to) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 ended => return ended.map(drop),
             }
         }
         let full = |_| io::Error::other("send queue is full, datagram dropped");
-        self.waiting.try_send((bytes.clone(), to)).map_err(full)
+        self.queue_sender.try_send((bytes.clone(), to)).map_err(full)
     }
 }
 
-/// The fractional part of the golden ratio, scaled to 2^64. Its multiples are spread evenly over
-/// any range.
+/// The fractional part of the golden ratio, scaled to 2^64. Successive multiples of it, modulo
+/// 2^64, are spread evenly over the range.
 const GOLDEN_RATIO: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Returns which of `count` VMs a message goes to first. A VM with a narrow link cannot send a
-/// message to dozens of others at once: the link drops the last ones. With a fixed order, the same
-/// VMs would miss the message and each of its repeats, for seconds.
+/// Returns which of `count` VMs a message goes to first, when `sends` messages were sent before. A
+/// VM with a narrow link cannot send a message to dozens of others at once: the link drops the last
+/// ones. With a fixed order, the same VMs would miss the message and each of its repeats, for
+/// seconds.
 pub(crate) fn first_recipient(sends: u64, count: usize) -> usize {
     let spread = sends.wrapping_mul(GOLDEN_RATIO) >> 32;
     (spread as usize) % count.max(1)
 }
 
-/// Runs for ever, sending the datagrams that are queued for room in the socket's buffer.
+/// Runs for ever, sending the queued datagrams as the socket's buffer gets room.
 pub(crate) async fn send_queued(peers: Arc<PeerSocket>) {
     let queue = peers.queue.lock().unwrap_or_else(PoisonError::into_inner).take();
     let Some(mut queue) = queue else { return };
@@ -144,8 +148,8 @@
                 Some(message) => dispatch(&gateway, message, from),
                 None => event!(PeerRefused, address = from, bytes = length, direction = "in"),
             },
-            // A VM that is down causes an error for its refused datagram; others are still
-            // received.
+            // A datagram to a VM that is down may be refused, which is reported here. Later
+            // datagrams of other VMs are still received.
             Err(error) => {
                 event!(PeerUnsent, cause = error);
                 tokio::task::yield_now().await;
@@ -168,8 +172,8 @@
 /// happen.
 ///
 /// An engine reads a typical prompt in less than the interval of state messages. With those alone,
-/// several VMs would send to a server that just got a prompt, and its streams would stall for all
-/// of them.
+/// several VMs would send prompts to a server that has just received one, and its streams would
+/// stall for all of them.
 pub(crate) async fn report_loads(gateway: Arc<Gateway>) {
     loop {
         gateway.loads_changed.notified().await;
@@ -180,7 +184,7 @@
 }
 
 /// Reports changes of this VM's requests to the other VMs at once. In large fleets they go to the
-/// aggregator with the next batch instead, which it forwards at its own interval anyway.
+/// aggregator with the next batch instead, since it forwards them at its own interval anyway.
 pub(crate) fn report_loads_now(gateway: &Arc<Gateway>) {
     if gateway.view().roster.is_large(clock::now()) {
         gateway.loads_changed.notify_one();
@@ -246,8 +250,8 @@
     let mut view = gateway.view();
     view.roster.drop_expired(now);
     view.load_requests.drop_expired(now);
-    let (seen, known) = view.reporting_counts(gateway, now);
-    view.limiter.set_reachable(now, seen, known);
+    let (reachable, known) = view.reporting_counts(gateway, now);
+    view.limiter.set_reachable(now, reachable, known);
     let mut to = view.roster.live(now);
     let others = sample(&to, SHARED_PEERS, &mut view.rng);
     let large = to.len() > SMALL_FLEET;
@@ -287,7 +291,8 @@
     }
 }
 
-/// Reports to all live VMs that this one started or stopped aggregating for its domain.
+/// Sends this VM's state to all live VMs, after it started or stopped aggregating for its failure
+/// domain.
 pub(crate) fn report_to_all(gateway: &Arc<Gateway>) {
     let sequence = gateway.peers.sequence.fetch_add(1, Ordering::Relaxed) + 1;
     let view = gateway.view();
@@ -370,7 +375,7 @@
         view.roster.hint(*other);
     }
     if let Some(loads) = &state.loads {
-        // The VM has no requests at servers that are not named.
+        // The VM has no requests at servers that the message does not name.
         view.backends.remove_peer(&state.vm);
         for load in loads {
             view.backends.peer_load(&state.vm, load.server.as_str(), load.figure(), now);
@@ -392,20 +397,21 @@
     }
 }
 
-/// Applies lists of what servers hold, from the VM that orders a server or from an aggregator.
+/// Applies lists of what servers hold, from a server's owner or from an aggregator.
 pub(crate) fn apply_lists(gateway: &Arc<Gateway>, lists: ServerLists) {
     let now = clock::now();
     let mut view = gateway.view();
     let (mut changed, mut awaited) = (false, false);
     for change in lists.lists {
-        let open = change.adapters.iter().any(|adapter| view.load_requests.is_open(&adapter.key));
+        let requested =
+            change.adapters.iter().any(|adapter| view.load_requests.is_open(&adapter.key));
         let (server, incarnation) = (change.server.clone(), change.incarnation);
         if view.backends.start_incarnation(server.as_str(), incarnation, &[], now) {
             event!(ServerRestarted, server = server, born = incarnation, told_by = "vm");
         }
         if view.backends.change(change, now) {
             changed = true;
-            awaited |= open;
+            awaited |= requested;
         }
     }
     if changed {
@@ -417,7 +423,8 @@
         });
     }
     drop(view);
-    // Hundreds of lists arrive in a second; requests check again only for adapters they wait for.
+    // Hundreds of lists may arrive in a second: waiting requests are notified only of adapters
+    // that were requested here.
     if awaited {
         gateway.changed.notify_waiters();
     }
@@ -450,7 +457,7 @@
     }
 }
 
-/// Reports the use of an adapter at a server to the VM that orders it, without waiting for the next
+/// Reports the use of an adapter at a server to the server's owner, without waiting for the next
 /// batch.
 pub(crate) fn report_use(
     gateway: &Arc<Gateway>,
--- a/gateway/src/state.rs
+++ b/gateway/src/state.rs
@@ -36,21 +36,21 @@
 use crate::waits::WaitList;
 
 /// Topics whose partitions assign servers to VMs. With the platform's partitions per topic this
-/// gives about fifty partitions, several for each VM, so that the partitions of a removed VM spread
-/// thinly over the others.
+/// gives about fifty partitions, several for each VM, so that the partitions of a removed VM are
+/// spread over several others.
 pub(crate) const PARTITION_TOPICS: u32 = 4;
-/// Lifetime of a group membership in multiples of the platform's minimum: three renewals can fail
-/// before it expires.
+/// Lifetime of a group membership in multiples of the platform's minimum, and the number of
+/// renewals in it: the membership expires if this many in a row fail.
 pub(crate) const RENEWALS_PER_LIFETIME: u64 = 3;
 /// Addition to the operators' pause between the orders of two successive holders, in microseconds.
-/// The first holder learns of a reassignment up to one renewal late, and the last list received
-/// from it may be half a second old.
+/// The first holder learns of a reassignment up to one renewal interval late, and the last list
+/// received from it may be half a second old.
 const ORDER_PAUSE_MARGIN_US: u64 = 1_100_000;
-/// Idle connections kept to a server.
+/// Maximum number of idle connections kept to a server.
 const IDLE_CONNECTIONS: usize = 16;
 /// How long an idle connection is kept, in milliseconds, if its server states no keep-alive time.
-/// Such servers keep it either for less than a second or for long, and a new connection takes a few
-/// milliseconds.
+/// Such servers close it either within a second or only after a long time. Opening a new one takes
+/// a few milliseconds.
 const KEEP_MS: u64 = 800;
 /// Maximum time an idle connection is kept, in milliseconds, if its server states a longer one. It
 /// bounds the connections of many VMs to one server, which resets those beyond its limit.
@@ -60,7 +60,7 @@
 /// seconds.
 const NEWEST_KEEP_MS: u64 = 30_000;
 
-/// The version of an adapter that the operators named, and when this VM learnt of it.
+/// The version of an adapter that the operators named last, and when this VM learned of it.
 #[derive(Clone, Debug)]
 pub(crate) struct NamedVersion {
     pub(crate) key: AdapterKey,
@@ -83,10 +83,10 @@
 /// The VM's view of the system, on which its decisions are based.
 pub(crate) struct SystemView {
     pub(crate) table: Option<Arc<RouteTable>>,
-    /// When `table` was last confirmed to be the newest configuration.
+    /// Tracks when `table` was last confirmed to be the newest configuration.
     pub(crate) confirmation: ConfigConfirmation,
     pub(crate) wrong_keys: WrongKeys,
-    /// When an unknown key last caused a query to the store.
+    /// When an unknown key last caused a poll of the store.
     pub(crate) unknown_key_queried_at: Option<TimePoint>,
     pub(crate) limiter: CustomerLimiter,
     /// Whether customers' use changed since this VM last reported it.
@@ -110,11 +110,11 @@
     pub(crate) entries_known_at: TimePoint,
     /// Offsets of the entries' topic that this VM knows, from its own reads and from reports.
     pub(crate) coverage: TopicCoverage,
-    /// Whether reported entries left a gap since this VM's last own read.
+    /// Whether updates left a gap in the known entries since this VM last read them itself.
     pub(crate) missed_entries: bool,
     /// Changes that this VM's last reads found, to be reported to others.
     pub(crate) entry_history: ReportHistory<EntryChanges>,
-    /// Servers without an entry, sorted by name.
+    /// Servers whose entry was removed, sorted by name.
     pub(crate) lapsed: Vec<LapsedServer>,
     /// Servers' entries that could not be parsed.
     pub(crate) skipped: SkippedKeys,
@@ -127,7 +127,7 @@
     pub(crate) pending_versions: Vec<(SharedVersion, usize)>,
     /// Use of adapters that is not yet reported to the owners of their servers.
     pub(crate) uses: UseList,
-    /// The aggregators of this VM's failure domain.
+    /// What this VM knows of the aggregators, and its own state as one.
     pub(crate) domain: DomainView,
     /// Since when the fleet has been too large for each VM to report to all others.
     pub(crate) large_since: TimePoint,
@@ -144,9 +144,9 @@
     view: Mutex<SystemView>,
     /// Notified when servers or what they hold change, so that waiting requests check again.
     pub(crate) changed: Notify,
-    /// Notified when another VM reported its requests, so that requests held back here check again.
+    /// Notified when another VM reported its counts, so that requests held back here check again.
     /// It is separate from `changed` because each check goes through all servers and hundreds of
-    /// such reports arrive in a second.
+    /// such reports may arrive in a second.
     pub(crate) peer_loads_changed: Notify,
     /// Notified when a server has read a prompt sent by this VM.
     pub(crate) own_prompt_read: Notify,
@@ -168,7 +168,7 @@
     leaving: AtomicBool,
     /// Set when keep-alive connections should end.
     pub(crate) closing: watch::Sender<bool>,
-    /// Requests that were accepted and have not ended.
+    /// Number of requests that were accepted and have not ended.
     pub(crate) open: AtomicU64,
 }
 
@@ -299,7 +299,7 @@
         self.rng.next_u64()
     }
 
-    /// Returns the version of an adapter that requests must run on, `None` if none was named.
+    /// Returns the version of an adapter that the operators named last; `None` if none was named.
     pub(crate) fn named(&self, key: &AdapterKey) -> Option<&NamedVersion> {
         let at = self.versions.binary_search_by(|named| named.key.cmp(key)).ok()?;
         Some(&self.versions[at])
@@ -326,7 +326,7 @@
         true
     }
 
-    /// Returns the fencing number for orders to a server, `None` if this VM may not order it now.
+    /// Returns the fencing number for orders to a server; `None` if this VM may not send any now.
     pub(crate) fn fence(
         &self,
         settings: &GatewaySettings,
@@ -336,15 +336,16 @@
         if !self.lease.holds(server) {
             return None;
         }
-        // Where servers do not check fences, received lists are not sufficient: a holder that is
-        // partitioned from this VM may still reach the server.
+        // Where servers do not check fencing numbers, the lack of lists from the previous owner
+        // does not show that it stopped: it may be cut off from this VM and still reach the server.
         let by_lists = settings.promises.servers_check_fences;
         let other = self.backends.other_owner_at(server.as_str(), &settings.vm);
         let outage = assess_outage(&self.roster.witnesses(now), now);
         self.lease.fence(server, other.filter(|_| by_lists), outage, now)
     }
 
-    /// Returns the number of VMs that share budgets, this one included.
+    /// Returns the number of live VMs, this one included, over which limits of the fleet are
+    /// shared.
     pub(crate) fn vm_count(&self, now: TimePoint) -> usize {
         self.roster.live_count(now) + 1
     }
