--- a/keys/src/config.rs
+++ b/keys/src/config.rs
@@ -109,7 +109,7 @@
     }
 
     /// Reads the files again and returns whether they changed. If so, new handshakes use the new
-    /// keys; established connections are not affected.
+    /// keys and CAs; established connections are not affected.
     ///
     /// # Errors
     ///
@@ -152,7 +152,7 @@
 }
 
 /// Returns a client configuration without a client certificate that trusts the CAs in the given PEM
-/// file. For clients of the HTTP listeners, such as the operators' program.
+/// file. For clients of the HTTP listeners, such as `coltsfoothook-ctl`.
 ///
 /// # Errors
 ///
--- a/keys/src/error.rs
+++ b/keys/src/error.rs
@@ -35,7 +35,7 @@
     /// The TLS library rejects the certificate chain or the private key, or the two do not match.
     #[snafu(display("certificate chain {} and its key cannot be used: {source}", path.display()))]
     Unusable {
-        /// The certificate chain's file, also if the fault is in the key.
+        /// The certificate chain's file, even if the fault is in the key.
         path: PathBuf,
         /// The TLS library's error.
         source: rustls::Error,
--- a/keys/src/files.rs
+++ b/keys/src/files.rs
@@ -39,7 +39,7 @@
     /// The trusted CAs; `None` if [`KeyFiles::authority`] is.
     pub(crate) roots: Option<Arc<RootCertStore>>,
     /// SHA-256 of the files' bytes, to detect changes. Modification times are not reliable: a
-    /// symbolic link may be moved to files with older times.
+    /// symbolic link may be changed to point to older files.
     pub(crate) digest: [u8; 32],
 }
 
--- a/keys/src/testing.rs
+++ b/keys/src/testing.rs
@@ -1,4 +1,4 @@
-//! Certificates for tests, the demonstration and the load tool. Not for use in deployments.
+//! Certificates and directories for tests and examples. Not for use in deployments.
 
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr};
--- a/keys/src/verify.rs
+++ b/keys/src/verify.rs
@@ -18,7 +18,7 @@
 }
 
 /// Delegates every check to the current verifiers. A TLS configuration holds one verifier for its
-/// whole lifetime; this indirection lets the CAs change within it.
+/// whole lifetime; delegating lets the CAs be replaced meanwhile.
 #[derive(Debug)]
 pub(crate) struct PeerVerifier {
     current: RwLock<CurrentVerifiers>,
@@ -39,8 +39,8 @@
 }
 
 impl ClientCertVerifier for PeerVerifier {
-    /// Returns no hints: a borrowed list could not be replaced, and each VM has a single
-    /// certificate to present.
+    /// Returns no hints: a list borrowed from `self` could not be replaced with the CAs, and
+    /// clients do not need one, because each VM has a single certificate to present.
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
--- a/peer/src/pool.rs
+++ b/peer/src/pool.rs
@@ -40,7 +40,8 @@
     pub struct PeerTarget {
         /// The address of its [`crate::PeerServer`].
         pub address: SocketAddr,
-        /// The name that its certificate, and its replies where they contain one, must match.
+        /// The VM's name. Its certificate must be issued for this name, and its replies must state
+        /// this name if they state any.
         pub vm: VmName,
     }
 }
@@ -75,7 +76,8 @@
 }
 
 impl PeerError {
-    /// Returns whether the call may have been carried out, so that repeating it may run it twice.
+    /// Returns whether the call may have been carried out, so that repeating it may carry it out
+    /// twice.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Unknown { .. })
@@ -209,10 +211,11 @@
         Ok(reply)
     }
 
-    /// Returns whether the process that listened at `target` has certainly ended.
+    /// Returns whether the process that listened at `target` has ended or stopped listening.
     ///
-    /// This is so if the host refuses the connection. The socket of a paused process still accepts
-    /// connections, and a timeout or other error does not show whether the process runs.
+    /// This is certain only if the host refuses the connection; otherwise the result is `false`.
+    /// The socket of a paused process still accepts connections, and a timeout or other error does
+    /// not show whether the process runs.
     pub async fn process_ended(&self, target: &PeerTarget) -> bool {
         let limit = self.settings.connect_timeout();
         match tokio::time::timeout(limit, TcpStream::connect(target.address)).await {
@@ -270,15 +273,15 @@
         Ok(reply)
     }
 
-    /// Rejects a reply from another VM than the target, such as one that took over its address.
+    /// Rejects a reply from a VM other than the target, such as one that took over its address.
     /// Otherwise, for example, the wrong VM's grants would be recorded as the target's.
-    fn check_responder(&self, target: &PeerTarget, name: &VmName) -> Result<(), PeerError> {
-        if *name == target.vm {
+    fn check_responder(&self, target: &PeerTarget, responder: &VmName) -> Result<(), PeerError> {
+        if *responder == target.vm {
             return Ok(());
         }
         self.counters.count_forged_name();
-        event!(PeerRefused, reason = "forged_name", vm = name, expected = target.vm);
-        let reason = format!("{name} replied from its address");
+        event!(PeerRefused, reason = "forged_name", vm = responder, expected = target.vm);
+        let reason = format!("{responder} replied from its address");
         Err(PeerError::Unknown { vm: target.vm.clone(), reason })
     }
 
@@ -388,7 +391,7 @@
         let _ = stream.set_nodelay(true);
         let Some(connector) = &self.tls else { return Ok(self.start(stream)) };
         let name = ServerName::try_from(target.vm.as_str().to_owned())
-            .map_err(|_| "its name is not a valid certificate name".to_owned())?;
+            .map_err(|_| "its name is not a valid DNS name".to_owned())?;
         let handshake = tokio::time::timeout(limit, connector.connect(name, stream));
         match flatten(handshake.await) {
             Ok(stream) => Ok(self.start(stream)),
@@ -414,7 +417,7 @@
         let closed = Arc::new(AtomicBool::new(false));
         let flag = closed.clone();
         tokio::spawn(async move {
-            // The calls in flight report why the connection ended.
+            // The result is ignored because each call in flight fails with the same error.
             let _ = new_client.dispatch.await;
             flag.store(true, Ordering::Release);
         });
@@ -433,7 +436,7 @@
         }
     }
 
-    /// Records a use now.
+    /// Sets the time of the last use to now.
     fn touch(&self) {
         *self.last_used.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
--- a/peer/src/server.rs
+++ b/peer/src/server.rs
@@ -21,7 +21,7 @@
 use crate::settings::{ListenSnafu, PeerCounters, PeerSettings, SetupError};
 use crate::wire::{FrameTransport, ServerCodec};
 
-/// Connections that may wait to be accepted. The kernel may apply a lower limit.
+/// Maximum number of connections that wait to be accepted. The kernel may apply a lower limit.
 const LISTEN_BACKLOG: u32 = 1_024;
 /// Delay after a failed accept, which would otherwise be retried in a busy loop while the process
 /// is out of file descriptors.
@@ -29,7 +29,7 @@
 /// How long a closing connection may take to write replies that are ready.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A listener for connections of other VMs.
+/// Listens for connections from other VMs and serves their calls.
 pub struct PeerServer {
     address: SocketAddr,
     counters: Arc<PeerCounters>,
--- a/peer/src/service.rs
+++ b/peer/src/service.rs
@@ -33,9 +33,9 @@
     /// A refusal of a call, of which no part was carried out.
     #[derive(Eq)]
     pub struct PeerFault {
-        /// The kind of refusal.
+        /// Why the call was refused.
         pub reason: FaultReason,
-        /// Details for people; may be empty.
+        /// A human-readable explanation; may be empty.
         #[serde(default)]
         pub detail: String,
     }
@@ -68,8 +68,8 @@
 impl PeerService {
     /// Checks that the sender is the VM named in its message.
     ///
-    /// Otherwise an attacker with one VM's key could release other VMs' grants, and their slots
-    /// would be evicted under running requests.
+    /// Otherwise an attacker with one VM's key could release other VMs' grants, and slots would be
+    /// evicted that running requests still use.
     fn check_name(&self, claimed: &VmName) -> Result<(), PeerFault> {
         if self.identity.is(claimed) {
             return Ok(());
--- a/peer/src/settings.rs
+++ b/peer/src/settings.rs
@@ -69,9 +69,9 @@
         Duration::from_millis(self.connect_timeout_ms)
     }
 
-    /// Fails if TLS is not configured (`given` is false) and plaintext is not permitted.
-    pub(crate) fn check_tls(&self, given: bool) -> Result<(), SetupError> {
-        snafu::ensure!(given || self.plaintext, NoKeysSnafu);
+    /// Fails if TLS is not configured (`tls_configured` is false) and plaintext is not permitted.
+    pub(crate) fn check_tls(&self, tls_configured: bool) -> Result<(), SetupError> {
+        snafu::ensure!(tls_configured || self.plaintext, NoKeysSnafu);
         Ok(())
     }
 }
@@ -93,16 +93,16 @@
     },
 }
 
-/// Counters of refused connections and messages and of traffic, for metrics.
+/// Counters for metrics: refused connections and messages, and traffic.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
-    bad_handshakes: AtomicU64,
-    bad_frames: AtomicU64,
-    forged: AtomicU64,
-    unsupported: AtomicU64,
-    over_limit: AtomicU64,
-    sent: AtomicU64,
-    received: AtomicU64,
+    failed_handshakes: AtomicU64,
+    broken_frames: AtomicU64,
+    forged_names: AtomicU64,
+    unsupported_messages: AtomicU64,
+    refused_connections: AtomicU64,
+    sent_bytes: AtomicU64,
+    received_bytes: AtomicU64,
     probes: TrafficCounter,
     grants: TrafficCounter,
     calls: TrafficCounter,
@@ -129,44 +129,45 @@
     /// certificate for another name, no TLS, or a timeout.
     #[must_use]
     pub fn failed_handshakes(&self) -> u64 {
-        self.bad_handshakes.load(Ordering::Relaxed)
+        self.failed_handshakes.load(Ordering::Relaxed)
     }
 
     /// Returns the number of frames that were invalid, too large or truncated, each of which closes
     /// its connection.
     #[must_use]
     pub fn broken_frames(&self) -> u64 {
-        self.bad_frames.load(Ordering::Relaxed)
+        self.broken_frames.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of messages with the name of another VM than the sender or call target.
+    /// Returns the number of calls that name a VM other than their sender, and of replies that name
+    /// one other than the call's target.
     #[must_use]
     pub fn forged_names(&self) -> u64 {
-        self.forged.load(Ordering::Relaxed)
+        self.forged_names.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of received messages that this release cannot decode.
+    /// Returns the number of received calls that this release cannot decode.
     #[must_use]
     pub fn unsupported_messages(&self) -> u64 {
-        self.unsupported.load(Ordering::Relaxed)
+        self.unsupported_messages.load(Ordering::Relaxed)
     }
 
     /// Returns the number of connections refused because [`PeerSettings::connections`] were open.
     #[must_use]
     pub fn refused_connections(&self) -> u64 {
-        self.over_limit.load(Ordering::Relaxed)
+        self.refused_connections.load(Ordering::Relaxed)
     }
 
     /// Returns the bytes of frames sent, without TLS and TCP overhead.
     #[must_use]
     pub fn sent_bytes(&self) -> u64 {
-        self.sent.load(Ordering::Relaxed)
+        self.sent_bytes.load(Ordering::Relaxed)
     }
 
     /// Returns the bytes of frames received, without TLS and TCP overhead.
     #[must_use]
     pub fn received_bytes(&self) -> u64 {
-        self.received.load(Ordering::Relaxed)
+        self.received_bytes.load(Ordering::Relaxed)
     }
 
     /// Returns the traffic of a kind since the last call with that kind, and resets its count.
@@ -187,17 +188,17 @@
         }
     }
 
-    pub(crate) fn count_sent(&self, kind: TrafficKind, frame: usize) {
-        self.sent.fetch_add(self.count_traffic(kind, frame), Ordering::Relaxed);
+    pub(crate) fn count_sent(&self, kind: TrafficKind, frame_bytes: usize) {
+        self.sent_bytes.fetch_add(self.count_traffic(kind, frame_bytes), Ordering::Relaxed);
     }
 
-    pub(crate) fn count_received(&self, kind: TrafficKind, frame: usize) {
-        self.received.fetch_add(self.count_traffic(kind, frame), Ordering::Relaxed);
+    pub(crate) fn count_received(&self, kind: TrafficKind, frame_bytes: usize) {
+        self.received_bytes.fetch_add(self.count_traffic(kind, frame_bytes), Ordering::Relaxed);
     }
 
-    /// Counts a frame of `frame` bytes without its length field, and returns its size with it.
-    fn count_traffic(&self, kind: TrafficKind, frame: usize) -> u64 {
-        let bytes = u64::try_from(frame + LENGTH_BYTES).unwrap_or(u64::MAX);
+    /// Counts a frame of `frame_bytes` plus its length field, and returns the sum of both in bytes.
+    fn count_traffic(&self, kind: TrafficKind, frame_bytes: usize) -> u64 {
+        let bytes = u64::try_from(frame_bytes + LENGTH_BYTES).unwrap_or(u64::MAX);
         let counter = self.traffic(kind);
         counter.messages.fetch_add(1, Ordering::Relaxed);
         counter.bytes.fetch_add(bytes, Ordering::Relaxed);
@@ -205,22 +206,22 @@
     }
 
     pub(crate) fn count_failed_handshake(&self) {
-        self.bad_handshakes.fetch_add(1, Ordering::Relaxed);
+        self.failed_handshakes.fetch_add(1, Ordering::Relaxed);
     }
 
     pub(crate) fn count_broken_frame(&self) {
-        self.bad_frames.fetch_add(1, Ordering::Relaxed);
+        self.broken_frames.fetch_add(1, Ordering::Relaxed);
     }
 
     pub(crate) fn count_forged_name(&self) {
-        self.forged.fetch_add(1, Ordering::Relaxed);
+        self.forged_names.fetch_add(1, Ordering::Relaxed);
     }
 
     pub(crate) fn count_unsupported(&self) {
-        self.unsupported.fetch_add(1, Ordering::Relaxed);
+        self.unsupported_messages.fetch_add(1, Ordering::Relaxed);
     }
 
     pub(crate) fn count_refused_connection(&self) {
-        self.over_limit.fetch_add(1, Ordering::Relaxed);
+        self.refused_connections.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/peer/src/wire.rs
+++ b/peer/src/wire.rs
@@ -1,9 +1,9 @@
 //! Frame format of calls between VMs.
 //!
-//! A frame consists of its length as a 32-bit big-endian number, a [`FrameHeader`], and a message
-//! for some kinds; the last two are MessagePack with named fields. The header is defined here
-//! rather than by tarpc, so that the wire format does not change with that library, and so that a
-//! message which this release cannot decode still has an id to respond to.
+//! A frame consists of its length as a 32-bit big-endian number, a [`FrameHeader`] and, in calls
+//! and successful responses, a message. Header and message are MessagePack with named fields. The
+//! header is defined here rather than by tarpc, so that the wire format does not change with that
+//! library, and so that a message which this release cannot decode still has an id to respond to.
 
 use std::io;
 use std::marker::PhantomData;
@@ -65,8 +65,8 @@
     type Sent;
     type Received;
 
-    /// Returns the traffic kind for which a message is counted; [`TrafficKind::Call`] for those
-    /// without a body.
+    /// Returns the traffic kind under which a message is counted; [`TrafficKind::Call`] for
+    /// cancellations and errors.
     fn sent_kind(message: &Self::Sent) -> TrafficKind;
     fn received_kind(message: &Self::Received) -> TrafficKind;
     fn encode(message: Self::Sent) -> io::Result<Vec<u8>>;
@@ -89,7 +89,7 @@
     }
 
     fn received_kind(message: &Self::Received) -> TrafficKind {
-        answer_kind(message)
+        response_kind(message)
     }
 
     fn encode(message: Self::Sent) -> io::Result<Vec<u8>> {
@@ -129,7 +129,7 @@
     type Received = ClientMessage<VmPeerRequest>;
 
     fn sent_kind(message: &Self::Sent) -> TrafficKind {
-        answer_kind(message)
+        response_kind(message)
     }
 
     fn received_kind(message: &Self::Received) -> TrafficKind {
@@ -189,7 +189,7 @@
     }
 }
 
-fn answer_kind(response: &Response<VmPeerResponse>) -> TrafficKind {
+fn response_kind(response: &Response<VmPeerResponse>) -> TrafficKind {
     use VmPeerResponse as Answer;
     match response.message {
         Ok(Answer::Probe(_)) => TrafficKind::Probe,
@@ -262,9 +262,9 @@
 impl<S: AsyncRead + AsyncWrite + Unpin, C: FrameCodec> Stream for FrameTransport<S, C> {
     type Item = io::Result<C::Received>;
 
-    /// Returns the next message, and an error when the peer has disconnected. If the stream ended
-    /// instead, tarpc would let that peer's calls run, and their grants would be held until the
-    /// calls' deadlines.
+    /// Returns the next message, or an error when the peer has disconnected. If the stream ended
+    /// without an error, tarpc would let that peer's calls run on, and their grants would be held
+    /// until the calls' deadlines.
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let frame = match ready!(Pin::new(&mut self.framed).poll_next(context)) {
             Some(frame) => frame,
@@ -349,7 +349,8 @@
         );
     }
 
-    /// A frame that consists of nested array headers must not exhaust the parser's stack.
+    /// Deeply nested arrays in a message or in place of the header must not exhaust the parser's
+    /// stack.
     #[test]
     fn deeply_nested_frame() {
         let frame = [
@@ -373,7 +374,7 @@
             let _ = ClientCodec::decode(&frame, MAX_CALL);
         }
 
-        /// Decoding a valid frame with one changed byte and truncated at any point does not panic.
+        /// Decoding a valid frame with one changed byte, truncated at any point, does not panic.
         #[test]
         fn corrupted_frame(at in 0usize..400, byte in any::<u8>(), cut in 0usize..400) {
             let mut frame = call_frame();
