--- a/exchange/src/answer.rs
+++ b/exchange/src/answer.rs
@@ -30,9 +30,9 @@
 
 /// A response body as a stream of data chunks.
 ///
-/// Each chunk must arrive within the timeout of the request. Reading to the end returns the
-/// connection to the pool; dropping the body earlier closes the connection, so that the server sees
-/// the cancellation.
+/// Each chunk must arrive within [`crate::ExchangeRequest::piece_within`]. Reading to the end
+/// returns the connection to the pool; dropping the body earlier closes the connection, so that the
+/// server sees the cancellation.
 pub struct AnswerBody {
     body: BodyStream<Incoming>,
     chunk_timeout: Duration,
--- a/exchange/src/client.rs
+++ b/exchange/src/client.rs
@@ -208,8 +208,8 @@
         Ok(OpenConnection { sender, written, reused: false, idle_timeout: None })
     }
 
-    /// Enables TCP keep-alive and the user timeout, so that the kernel detects a peer that vanished
-    /// without closing before the timeout of the exchange.
+    /// Enables TCP keep-alive and the user timeout, so that the kernel fails a connection whose
+    /// peer vanished without a reset after four periods of [`ExchangeSettings::probe_ms`].
     fn enable_keepalive(&self, stream: &TcpStream) -> std::io::Result<()> {
         let interval = Duration::from_millis(self.settings.probe_ms);
         let keepalive =
@@ -264,16 +264,16 @@
 
 /// Checks that `text` is valid as one path segment without escaping, and returns it.
 ///
-/// Guards against identifiers from outside: one with a slash or a question mark would address
-/// another endpoint.
+/// Guards against identifiers received from other programs: one with a slash or a question mark
+/// would address another endpoint.
 ///
 /// # Errors
 ///
 /// [`ExchangeError::NotSent`] if it is empty, `.` or `..`, or has characters other than ASCII
 /// letters, digits and `.`, `_`, `-`, `~`, `:`, `@`.
 pub fn path_segment(text: &str) -> Result<&str, ExchangeError> {
-    let unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"._-~:@".contains(&byte);
-    if !text.is_empty() && text != "." && text != ".." && text.bytes().all(unreserved) {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-~:@".contains(&byte);
+    if !text.is_empty() && text != "." && text != ".." && text.bytes().all(allowed) {
         return Ok(text);
     }
     Err(ExchangeError::NotSent { cause: format!("{text:?} is not a valid path segment") })
@@ -294,7 +294,7 @@
 enum AttemptFailure {
     /// No byte of the message was written; it can be sent on another connection.
     Unwritten { message: Box<Request<Full<Bytes>>>, cause: String },
-    /// The exchange failed and must not be repeated here.
+    /// The exchange failed, and the message is not available for another attempt.
     Final(ExchangeError),
 }
 
--- a/exchange/src/counted.rs
+++ b/exchange/src/counted.rs
@@ -12,7 +12,7 @@
 ///
 /// An error from hyper after a request was handed to it does not show whether any byte was written,
 /// nor whether more will be. [`WrittenCount::seal`] determines both: nothing is written after it,
-/// and if the count is the one from before the request, the request did not run. The lock is held
+/// and if the count equals the one before the request, the request did not run. The lock is held
 /// during each write, so no write is in progress when `seal` returns.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WrittenCount(Arc<Mutex<WriteState>>);
--- a/exchange/src/error.rs
+++ b/exchange/src/error.rs
@@ -23,7 +23,8 @@
         /// The underlying error with its sources, for logs.
         cause: String,
     },
-    /// At least one byte was written and no valid response head arrived; whether it ran is unknown.
+    /// At least one byte was written and no valid response head arrived; whether the request ran is
+    /// unknown.
     #[snafu(display("sent, no answer: {cause}"))]
     Sent {
         /// The underlying error with its sources, for logs.
--- a/exchange/src/pool.rs
+++ b/exchange/src/pool.rs
@@ -10,7 +10,8 @@
 
 use crate::counted::WrittenCount;
 
-/// The number of shards, each with its own lock, to reduce contention between servers.
+/// The number of shards, each with its own lock, to reduce contention between exchanges with
+/// different servers.
 const SHARD_COUNT: usize = 16;
 
 /// An open HTTP/1.1 connection; it carries one exchange at a time.
@@ -127,9 +128,9 @@
         self.servers.binary_search_by_key(&address, |server| server.address)
     }
 
-    /// Drops expired connections of all servers, at most once in an unadvertised idle timeout.
-    /// Without it, connections to a server that is no longer used would stay open and delay its
-    /// graceful shutdown.
+    /// Drops expired connections of all servers of the shard, at most once in each period of
+    /// [`IdleTimeouts::unadvertised`]. Without sweeps, connections to a server that is no longer
+    /// used would stay open and delay its graceful shutdown.
     fn sweep(&mut self, now: Instant, timeouts: IdleTimeouts) {
         if self.sweep_at.is_some_and(|at| now < at) {
             return;
