--- a/caller/src/body.rs
+++ b/caller/src/body.rs
@@ -19,10 +19,12 @@
 /// Up to this multiple of `body_bytes` is read from an oversized body and discarded, so that the
 /// caller finishes writing and reads the refusal.
 const DISCARD_FACTOR: usize = 16;
-/// The nesting depth that the JSON parser supports; a larger `json_depth` is reduced to it.
-const MAX_PARSER_DEPTH: usize = 120;
-/// Fields that identify the requester or select how the answer is delivered. Fingerprints leave
-/// them out, so that a poison request is recognised when it is sent again with other values.
+/// The maximum nesting depth, below the limit of 128 of the JSON parser; a larger `json_depth` is
+/// reduced to it.
+const MAX_JSON_DEPTH: usize = 120;
+/// Fields that identify the sender or the request, or select how the answer is delivered.
+/// Fingerprints leave them out, so that a poison request is recognised when it is sent again with
+/// other values of these fields.
 const TRANSPORT_FIELDS: [&str; 5] = ["metadata", "request_id", "stream", "stream_options", "user"];
 
 /// A completion's body with its fields checked.
@@ -32,8 +34,8 @@
     pub model: ModelChoice,
     /// Whether the caller requests a streamed answer; false if the field is absent.
     pub stream: bool,
-    /// The maximum number of tokens to generate; [`CallerSettings::default_max_tokens`] if not
-    /// given.
+    /// The maximum number of tokens to generate; [`CallerSettings::default_max_tokens`], assumed
+    /// for planning only, if the caller gives none.
     pub max_tokens: u32,
     /// The estimated length of the prompt in tokens, at least 1.
     pub prompt_tokens: u32,
@@ -52,8 +54,8 @@
     body: B,
     settings: &CallerSettings,
 ) -> Result<Bytes, CallProblem> {
-    let limit = Duration::from_millis(settings.body_timeout_ms);
-    match tokio::time::timeout(limit, collect_body(headers, body, settings)).await {
+    let timeout = Duration::from_millis(settings.body_timeout_ms);
+    match tokio::time::timeout(timeout, collect_body(headers, body, settings)).await {
         Ok(read) => read,
         Err(_) => {
             let detail = format!("the body did not arrive within {} ms", settings.body_timeout_ms);
@@ -139,8 +141,8 @@
     })
 }
 
-/// Infers from its fields which API a job's body is written for; a body with `prompt` is a
-/// completion, any other a chat.
+/// Infers the API that a job's body is written for: completions if the body has the field `prompt`,
+/// otherwise chat.
 pub(crate) fn infer_kind(body: &[u8], settings: &CallerSettings) -> CompletionKind {
     match parse_object(body, settings) {
         Ok(fields) if fields.contains_key("prompt") => CompletionKind::Completions,
@@ -190,7 +192,7 @@
 }
 
 fn parse_object(body: &[u8], settings: &CallerSettings) -> Result<Map<String, Value>, CallProblem> {
-    let depth = settings.json_depth.min(MAX_PARSER_DEPTH);
+    let depth = settings.json_depth.min(MAX_JSON_DEPTH);
     if json_depth(body) > depth {
         return Err(malformed(format!("the body may be nested at most {depth} deep")));
     }
--- a/caller/src/handler.rs
+++ b/caller/src/handler.rs
@@ -19,7 +19,7 @@
 /// Serves callers' requests.
 ///
 /// When a caller disconnects, the future of its call is dropped, or the answer's stream if the call
-/// has returned. Guards held by them must cancel the work that runs for the caller.
+/// has returned. Guards held by either must cancel the work that runs for the caller.
 #[async_trait]
 pub trait CallHandler: Send + Sync + 'static {
     /// Returns the customer that a bearer credential belongs to, `None` if it is unknown. Must
@@ -37,14 +37,15 @@
     /// Lists the entry VMs that the customer may use, without those that are leaving or dead.
     async fn entries(&self, tenant: &CustomerName) -> Result<EntriesAnswer, CallProblem>;
 
-    /// Returns a page of the adapters that the customer may use.
+    /// Returns a page of the adapter versions that the customer may use.
     async fn models(
         &self,
         tenant: &CustomerName,
         query: ModelQuery,
     ) -> Result<ModelPage, CallProblem>;
 
-    /// Runs a completion; returns once the status is known, while the body may still be streaming.
+    /// Runs a completion; returns once the HTTP status is known, while the body may still be
+    /// streaming.
     async fn complete(&self, call: CompletionCall) -> Result<CompletionAnswer, CallProblem>;
 
     /// Forwards a call to a plain service.
@@ -87,7 +88,8 @@
 
     /// The entry VMs that a customer may use, the body of the answer to `GET /v1/entries`.
     pub struct EntriesAnswer {
-        /// The VMs, sorted by distance from the caller where the handler knows it.
+        /// The VMs. The entry process lists those of its own failure domain first, and sorts by name
+        /// within both parts.
         pub entries: Vec<EntryAddress>,
         /// How long the answer may be cached, in milliseconds.
         pub ttl_ms: u64,
@@ -177,7 +179,8 @@
     pub key: Option<IdempotencyKey>,
     /// Whether the caller requests a streamed answer.
     pub stream: bool,
-    /// The maximum number of tokens to generate; the default for planning if the caller gave none.
+    /// The maximum number of tokens to generate; if the caller gave none,
+    /// `CallerSettings::default_max_tokens`, assumed for planning only.
     pub max_tokens: u32,
     /// The estimated length of the prompt in tokens.
     pub prompt_tokens: u32,
@@ -273,7 +276,7 @@
     pub enum JobState {
         /// Accepted and waiting to run.
         Queued,
-        /// Running at a VM.
+        /// Running on a VM.
         Running,
         /// Ended; see [`JobStatus::outcome`].
         Finished,
@@ -281,7 +284,8 @@
         Cancelled,
     }
 
-    /// A job's state, the body of the answers to all job calls but that for the result.
+    /// A job's state, the body of the answer to every job call except the one that fetches the
+    /// result.
     pub struct JobStatus {
         /// The id that the caller chose or was given.
         pub id: JobId,
--- a/caller/src/problem.rs
+++ b/caller/src/problem.rs
@@ -16,7 +16,7 @@
 const MS_PER_SECOND: u64 = 1_000;
 
 value! {
-    /// Reasons that arise in serving the HTTP interface, in addition to [`RefusalReason`].
+    /// Reasons for failures other than a [`RefusalReason`].
     #[derive(Copy, Eq)]
     pub enum FaceReason {
         /// The path, a header or the body is invalid.
@@ -53,9 +53,9 @@
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProblemReason {
-    /// The request was refused before it ran.
+    /// This attempt was refused before it ran.
     Refused(RefusalReason),
-    /// Any other failure, before or after the request ran.
+    /// Any other failure, before or after the request began to run.
     Face(FaceReason),
 }
 
@@ -68,7 +68,7 @@
     pub status: StatusCode,
     /// A short description of the reason for people.
     pub title: &'static str,
-    /// Whether resending the unchanged request may succeed. If not, no time to retry is sent.
+    /// Whether resending the unchanged request may succeed. If not, no retry delay is sent.
     pub retryable: bool,
 }
 
@@ -81,7 +81,7 @@
     pub outcome: RequestOutcome,
     /// The particulars of this failure, for people.
     pub detail: String,
-    /// How long to wait before a retry, in milliseconds; `None` sends no such time.
+    /// How long to wait before a retry, in milliseconds; `None` if no delay is sent.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -89,8 +89,8 @@
     /// Creates a refusal of an attempt that did not run.
     ///
     /// Where an earlier attempt with the same key may have run, the outcome is "unknown"; a handler
-    /// that knows the outcome sets the field. A caller that receives "not run" resends the request
-    /// with a new key, so a wrong "not run" would make it run twice.
+    /// that knows the outcome overwrites the field. A caller that receives "not run" resends the
+    /// request with a new key, so a wrong "not run" would make it run twice.
     #[must_use]
     pub fn refused(reason: RefusalReason, retry_after_ms: u64, detail: impl Into<String>) -> Self {
         let outcome = match reason {
--- a/caller/src/server.rs
+++ b/caller/src/server.rs
@@ -1,9 +1,9 @@
 //! The HTTP server for callers.
 //!
 //! It uses hyper directly, unlike the operators' interface, because dropshot opens its listener
-//! itself and leaves Nagle's algorithm enabled, which delayed the first event of a stream on a
-//! reused connection by some 30 ms (docs/HOUSE-STYLE.md, "Libraries"). Serving with hyper also
-//! allows to limit connections, to free the port at the start of closing, and to answer unknown
+//! itself and leaves Nagle's algorithm enabled, which delays the first event of a stream on a
+//! reused connection by about 30 ms (docs/HOUSE-STYLE.md, "Libraries"). hyper also makes it
+//! possible to limit connections, to free the port at the start of closing, and to answer unknown
 //! paths with problem documents.
 
 use std::convert::Infallible;
@@ -36,7 +36,7 @@
 /// The minimum buffer size that hyper accepts; a smaller `head_bytes` is raised to it.
 const MIN_HEAD_BYTES: usize = 8_192;
 /// How long a closing connection that has received no request waits for one that is in flight.
-const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The server could not be started.
 #[derive(Debug, Snafu)]
@@ -116,9 +116,9 @@
 
     /// Stops accepting connections and returns when the last running response has ended.
     ///
-    /// The port is freed at the start, and connections without a request are closed. So that
-    /// callers have moved to other VMs before, the handler must refuse new work as "leaving", and
-    /// the VM must be absent from the list of entries for longer than callers cache it.
+    /// The port is freed at the start, and connections without a request are closed. Callers must
+    /// have moved to other VMs before this call: the handler must refuse new work as "leaving", and
+    /// the VM must have been absent from the list of entries for longer than callers cache it.
     pub async fn close(mut self) {
         self.shared.closing.cancel();
         let _ = (&mut self.task).await;
@@ -181,8 +181,8 @@
     let Some(acceptor) = shared.tls.clone() else {
         return serve_requests(stream, shared).await;
     };
-    let limit = Duration::from_millis(shared.interface.settings.handshake_timeout_ms);
-    match tokio::time::timeout(limit, acceptor.accept(stream)).await {
+    let timeout = Duration::from_millis(shared.interface.settings.handshake_timeout_ms);
+    match tokio::time::timeout(timeout, acceptor.accept(stream)).await {
         Ok(Ok(stream)) => serve_requests(stream, shared).await,
         Ok(Err(error)) => shared.refuse(from, &error.to_string()),
         Err(_) => shared.refuse(from, "TLS handshake timed out"),
@@ -214,7 +214,7 @@
     }
     // On a graceful shutdown hyper closes idle connections and completes running responses, but it
     // keeps waiting on a connection that has not received its first request.
-    let ended = tokio::time::timeout(LAST_REQUEST_TIMEOUT, connection.as_mut()).await;
+    let ended = tokio::time::timeout(FIRST_REQUEST_TIMEOUT, connection.as_mut()).await;
     if ended.is_err() && has_request.load(Ordering::Relaxed) {
         let _ = connection.await;
     }
@@ -232,7 +232,8 @@
     use super::*;
 
     /// Guards against a backlog so short that a burst of 300 connections, while the process accepts
-    /// none, makes callers retry. With tokio's default backlog the 130th would.
+    /// none, makes callers retry. With tokio's default backlog the 130th connection
+    /// would.
     #[tokio::test]
     async fn burst_of_callers() {
         let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
--- a/operator/src/handler.rs
+++ b/operator/src/handler.rs
@@ -14,7 +14,8 @@
 /// timeout and returns the variant for an unknown outcome.
 #[async_trait]
 pub trait OperatorHandler: Send + Sync + 'static {
-    /// Returns the configuration in force at this VM; `None` if it has none or it may be stale.
+    /// Returns the configuration in force at this VM; `None` if the VM has none or
+    /// its copy may be stale.
     async fn manifest(&self) -> Option<ManifestAnswer>;
 
     /// Appends a publication to the log and returns its verdict once it has been read back.
--- a/operator/src/interface.rs
+++ b/operator/src/interface.rs
@@ -22,8 +22,8 @@
 use crate::problem::{OperatorProblem, ProblemReason};
 use crate::server::OperatorSettings;
 
-/// The delay before a retry that is sent with problems that pass by themselves: an unavailable log,
-/// an unknown outcome, or a VM that is not ready.
+/// The retry delay sent with temporary problems: an unavailable log, an unknown outcome, or a VM
+/// that is not ready.
 const RETRY_AFTER_MS: u64 = 2_000;
 const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 /// The maximum length of a request id in bytes.
@@ -239,11 +239,11 @@
         if content_length.is_some_and(|bytes| bytes > max_bytes) {
             return Err(too_large());
         }
-        let limit = Duration::from_millis(self.settings.body_timeout_ms);
+        let timeout = Duration::from_millis(self.settings.body_timeout_ms);
         let body = Limited::new(request.into_body(), max_bytes).collect();
-        match tokio::time::timeout(limit, body).await {
+        match tokio::time::timeout(timeout, body).await {
             Err(_) => {
-                let detail = format!("the body did not arrive within {} ms", limit.as_millis());
+                let detail = format!("the body did not arrive within {} ms", timeout.as_millis());
                 Err(OperatorProblem::new(ProblemReason::SlowSender, detail))
             }
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
@@ -276,8 +276,8 @@
     }
 }
 
-/// Builds the response to a call that appends a record. `detail` is for the problem of an unknown
-/// name.
+/// Builds the response to a call that appends a record. `detail` is the detail of the problem
+/// [`ProblemReason::UnknownName`].
 fn written_response(answer: WriteAnswer, detail: &str) -> Result<Response<Body>, OperatorProblem> {
     match answer {
         WriteAnswer::Written => json_response(StatusCode::OK, &WrittenAnswer { written: true }),
--- a/operator/src/message.rs
+++ b/operator/src/message.rs
@@ -82,7 +82,7 @@
         pub draining: bool,
     }
 
-    /// The kind of thing to drain.
+    /// Whether a drain concerns an entry VM or a backend server.
     #[derive(Copy, Eq)]
     pub enum DrainKind {
         /// An entry VM.
@@ -91,11 +91,10 @@
         Server,
     }
 
-    /// The body of `POST /v1/lift`, which lifts a condemnation.
+    /// The body of `POST /v1/lift`, which lifts the suspicion or condemnation of a request.
     #[derive(Eq)]
     pub struct LiftCall {
-        /// The fingerprint as up to 16 hexadecimal digits, as in the log and in the caller's
-        /// problem document.
+        /// The fingerprint as up to 16 hexadecimal digits, as in the event `request_condemned`.
         pub fingerprint: String,
     }
 
@@ -109,7 +108,8 @@
         Unknown,
         /// The log did not accept the record; nothing changed.
         LogUnavailable,
-        /// No VM, backend server or condemnation has the given name.
+        /// No VM or backend server has the given name, or no suspect or condemned request has the
+        /// given fingerprint.
         UnknownName,
     }
 
--- a/operator/src/problem.rs
+++ b/operator/src/problem.rs
@@ -13,7 +13,7 @@
 const TYPE_PREFIX: &str = "urn:coltsfoothook:problem:";
 const MS_PER_SECOND: u64 = 1_000;
 /// The maximum number of faults in a document; the offline check of the command-line client lists
-/// all.
+/// them all.
 const MAX_DOCUMENT_FAULTS: usize = 200;
 
 value! {
@@ -22,7 +22,7 @@
     pub enum ProblemReason {
         /// The token is missing or is not an operator's token.
         Unauthenticated,
-        /// The path, a header or the body is invalid.
+        /// A parameter in the path, or the body, is invalid.
         MalformedRequest,
         /// The body exceeds `OperatorSettings::body_bytes`.
         BodyTooLarge,
@@ -40,7 +40,8 @@
         LogUnavailable,
         /// The log did not confirm the append, and the record was not read back in time.
         AppendUnknown,
-        /// No VM or backend server has this name, or no request with this fingerprint is condemned.
+        /// No VM or backend server has this name, or no request with this fingerprint is suspect or
+        /// condemned.
         UnknownName,
         /// No VM that answered has steps of the request recorded.
         UnknownRequest,
@@ -120,7 +121,7 @@
     pub reason: ProblemReason,
     /// The particulars of this failure, for people.
     pub detail: String,
-    /// How long to wait before a retry, in milliseconds; `None` sends no such time.
+    /// How long to wait before a retry, in milliseconds; `None` if no delay is sent.
     pub retry_after_ms: Option<u64>,
     /// The version in force; set for [`ProblemReason::StaleBase`] only.
     pub in_force: Option<ConfigVersion>,
@@ -129,7 +130,7 @@
 }
 
 impl OperatorProblem {
-    /// Creates a problem without a time to retry, version or faults.
+    /// Creates a problem without a retry delay, version or faults.
     #[must_use]
     pub fn new(reason: ProblemReason, detail: impl Into<String>) -> Self {
         Self {
--- a/operator/src/server.rs
+++ b/operator/src/server.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// The methods registered for the catch-all route, which makes calls to unknown paths get a problem
-/// document too.
+/// The methods registered for the catch-all route, so that calls to unknown paths are also answered
+/// with problem documents.
 const METHODS: [Method; 7] = [
     Method::GET,
     Method::POST,
@@ -54,7 +54,7 @@
         /// The error message of dropshot.
         reason: String,
     },
-    /// dropshot rejected the registration of the route.
+    /// dropshot rejected the registration of the catch-all route.
     #[snafu(display("invalid route of the operators' interface: {reason}"))]
     Route {
         /// The error message of dropshot.
