--- a/settings/src/document.rs
+++ b/settings/src/document.rs
@@ -69,8 +69,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the position of a syntax error, which includes too deep nesting, or the position of each
-    /// duplicate key in an object.
+    /// Fails on a syntax error, on nesting that is too deep, on an empty file and on duplicate keys in an
+    /// object, and returns the position of each fault.
     pub fn parse(text: &'a str) -> Result<Self, Vec<LocatedFault>> {
         let options = ParseOptions {
             allow_comments: true,
@@ -105,8 +105,8 @@
     }
 
     /// Returns the position of the value at `path`, such as `servers[2].address` or
-    /// `adapters["x"].versions["7"]`, its key included. For a missing value, returns the position of its
-    /// innermost existing parent.
+    /// `adapters["x"].versions["7"]`. The position is that of the value's key if it has one, and that of
+    /// the innermost existing parent if the value is missing.
     #[must_use]
     pub fn locate(&self, path: &str) -> FilePosition {
         self.locate_steps(&parse_path(path))
@@ -184,7 +184,7 @@
     }
 }
 
-/// Follows one step. Returns the value reached and its start offset, which is that of its key if it
+/// Descends by one step of a path. Returns the value reached and its start offset, which is that of its key if it
 /// has one.
 fn descend<'v, 'a>(value: &'v Value<'a>, step: &PathStep) -> Option<(&'v Value<'a>, usize)> {
     match (value, step) {
@@ -207,8 +207,8 @@
 
 fn is_named(element: &Value<'_>, name: &str) -> bool {
     if let Value::Object(object) = element {
-        let naming = NAME_KEYS.iter().find_map(|key| object.get(key));
-        return naming.is_some_and(|property| string_value(&property.value) == Some(name));
+        let name_property = NAME_KEYS.iter().find_map(|key| object.get(key));
+        return name_property.is_some_and(|property| string_value(&property.value) == Some(name));
     }
     string_value(element) == Some(name)
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,8 @@
 //! Declaration, parsing and validation of settings files in JSON with comments.
 //!
 //! A faulty file is rejected with a list of all its faults, each with file, line, column, key and
-//! allowed values, so that an operator can fix them in one pass. The reference in docs/SETTINGS.md is
+//! allowed values, so that an operator can fix them in one pass. A syntax error or duplicate keys are
+//! listed alone, because the values are then not decoded. The reference in docs/SETTINGS.md is
 //! generated from the same declarations.
 //!
 //! # Declaring settings
--- a/settings/src/load.rs
+++ b/settings/src/load.rs
@@ -19,12 +19,12 @@
 const SOCKET_ADDRESS: &str = "an IP number and a port, such as 127.0.0.1:8080";
 
 /// Maximum number of decoding passes over a document. Each pass finds at most one fault and removes the
-/// part of the document that caused it.
+/// part of the document that caused it. After the last pass, the faults found so far are reported.
 const MAX_PASSES: usize = 128;
 
 /// Settings whose values can be validated. Implemented by `settings_struct!`.
 pub trait CheckedSettings {
-    /// Returns all invalid values: out of range, missing though required, or refused by a rule.
+    /// Returns all invalid values: out of range, required but missing, or rejected by a rule.
     fn check(&self) -> Vec<SettingsFault>;
 }
 
@@ -36,7 +36,7 @@
     Unreadable {
         /// Path of the file.
         file: PathBuf,
-        /// Error of the read.
+        /// I/O error.
         source: std::io::Error,
     },
     /// The content is faulty. The message has one line per fault.
@@ -58,8 +58,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be read, is larger than [`MAX_FILE_BYTES`] or has faults, and lists all
-/// of them.
+/// Fails if the file cannot be read or is larger than [`MAX_FILE_BYTES`], and on the faults that
+/// [`parse_settings`] reports.
 pub fn load_settings<T>(path: &Path) -> Result<T, SettingsError>
 where
     T: DeserializeOwned + CheckedSettings,
@@ -72,7 +72,8 @@
 ///
 /// # Errors
 ///
-/// Returns all faults in the text.
+/// Returns all faults in the text. A syntax error or duplicate keys are reported alone, because the values
+/// are then not decoded.
 pub fn parse_settings<T>(file: impl AsRef<Path>, text: &str) -> Result<T, SettingsError>
 where
     T: DeserializeOwned + CheckedSettings,
@@ -81,11 +82,11 @@
     outcome.map_err(|faults| SettingsError::Faulty { file: file.as_ref().to_owned(), faults })
 }
 
-/// Decodes a document of any type without validating its values.
+/// Decodes a document into any type without validating the values.
 ///
 /// # Errors
 ///
-/// Returns all unknown keys, missing fields and wrong types.
+/// Returns all unknown keys, missing fields and values that cannot be decoded.
 pub fn parse_document<T: DeserializeOwned>(
     document: &SettingsDocument<'_>,
 ) -> Result<T, Vec<LocatedFault>> {
@@ -180,7 +181,8 @@
     Decoded { value: None, faults, removed_entries }
 }
 
-/// Entries that were removed from lists; they map an index in the remaining document to the file's.
+/// Entries removed from lists, from which an index in the remaining document is converted to the index
+/// in the file.
 #[derive(Default)]
 struct RemovedEntries {
     /// Paths in the file, sorted.
--- a/settings/src/structure.rs
+++ b/settings/src/structure.rs
@@ -2,8 +2,8 @@
 
 /// Declares a struct of settings; see the crate documentation for the grammar and an example.
 ///
-/// Nothing may follow the word `required`. The lifetime in its pattern never matches; it only gives the
-/// expansion a metavariable to repeat on.
+/// Nothing may follow the word `required`. The optional lifetime in its pattern is never given; it exists
+/// because a repetition in the expansion needs a metavariable of the pattern.
 #[macro_export]
 macro_rules! settings_struct {
     (
@@ -77,7 +77,7 @@
     };
 }
 
-/// Declares an enum for a setting with a fixed set of values; each variant has its text in the file.
+/// Declares an enum for a setting with a fixed set of values; each variant is given with its text in the file.
 #[macro_export]
 macro_rules! settings_choice {
     (
--- a/settings/src/value.rs
+++ b/settings/src/value.rs
@@ -65,7 +65,7 @@
         false
     }
 
-    /// Records faults by the rules of the type. Ranges and `required` are checked separately.
+    /// Records violations of the rules of the type. Ranges and `required` are checked separately.
     fn check_value(&self, _key: &str, _faults: &mut FaultList) {}
 
     /// Adds the value's rows to the reference: `row`, or the rows of its fields for a struct.
@@ -73,7 +73,7 @@
         rows.push(row);
     }
 
-    /// Adds the field rows of a struct type that is an element of a list or optional.
+    /// Adds the rows of the type's fields, for a struct in a list or an option; other types add none.
     fn add_inner_rows(_row: &ReferenceRow, _rows: &mut Vec<ReferenceRow>) {}
 }
 
--- a/telemetry/src/event.rs
+++ b/telemetry/src/event.rs
@@ -108,7 +108,7 @@
     RecordGivenUp, "record_given_up", Warn, "A record could not be appended in time and is not retried.";
     LogGap, "log_gap", Warn, "Retention removed records that had not been read; the state is taken from a snapshot or a peer.";
     RecordSkipped, "record_skipped", Error, "A record of the log has an unknown format or cannot be decoded, and is skipped.";
-    SnapshotWritten, "snapshot_written", Info, "A snapshot was written before retention removes records.";
+    SnapshotWritten, "snapshot_written", Info, "A snapshot of a stream was written, which replaces records that retention will remove.";
     AppendUnknown, "append_unknown", Warn, "The response to an append was lost; the log is read to determine whether the record was stored.";
     OwnerTaken, "owner_taken", Info, "This VM became the owner of a group.";
     OwnerLost, "owner_lost", Warn, "This VM is no longer the owner of a group.";
@@ -135,11 +135,11 @@
     SettingsRefused, "settings_refused", Error, "The settings file cannot be used; the previous settings stay in force.";
     ConfigConfirmed, "config_confirmed", Warn, "The configuration in force became, or ceased to be, confirmed as the newest.";
     RequestRefused, "request_refused", Warn, "A request was refused before routing.";
-    RequestSent, "request_sent", Info, "A request is sent to a backend server; the line has the adapter's version at that server and the remaining time.";
-    RequestNotRun, "request_not_run", Warn, "A backend server states that it did not run a request; `usable_ms` states for how many milliseconds its adapter had been assumed usable.";
-    AdapterAsked, "adapter_asked", Info, "A request waits for an adapter; the VM to which the server is assigned is requested to load it there.";
+    RequestSent, "request_sent", Info, "A request is sent to a backend server; the line has the adapter's version at that server and the time left for the request.";
+    RequestNotRun, "request_not_run", Warn, "A backend server states that it did not run a request; `usable_ms` states for how many milliseconds this VM had assumed that the adapter was usable there.";
+    AdapterAsked, "adapter_asked", Info, "A request waits for an adapter; a load request for it goes to the VM that orders the server, which may be this one.";
     AdapterVersionNamed, "adapter_version_named", Info, "The operators set a new version of an adapter.";
-    SharesDealt, "shares_dealt", Info, "The platform changed the assignment of partitions of the fleet.";
+    SharesDealt, "shares_dealt", Info, "The generation of this VM's lease or the number of partitions that it holds changed.";
     CaughtUp, "caught_up", Info, "Records that the platform's store did not return were read from another VM.";
     TenureRead, "tenure_read", Info, "A starting process found the lease that its VM held before.";
     OrderGiven, "order_given", Info, "An order was sent to a backend server; `answer` is its response.";
--- a/telemetry/src/family.rs
+++ b/telemetry/src/family.rs
@@ -8,12 +8,13 @@
 /// Prefix of all metric names.
 const NAMESPACE: &str = "coltsfoothook";
 
-/// Bucket bounds in seconds: from a millisecond, the overhead of the system itself, to a minute, since
-/// audit requests may wait for minutes.
+/// Bucket bounds in seconds. They range from the overhead of the system itself, about a millisecond, to a
+/// minute; longer times, such as waits of audit requests, are counted only in the `+Inf` bucket.
 const SECONDS_BUCKETS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 15.0, 60.0];
-/// Bucket bounds in seconds of histograms per tenant. There are fewer of them to limit the number of series:
-/// collecting all metrics twice a minute must fit the traffic budget of control; see docs/CAPACITY.md.
+/// Bucket bounds in seconds of histograms per tenant. There are fewer of them to limit the number of series,
+/// because collecting all metrics twice a minute counts towards the budget of control traffic; see
+/// docs/CAPACITY.md.
 const TENANT_SECONDS_BUCKETS: [f64; 8] = [0.01, 0.05, 0.1, 0.2, 0.5, 2.0, 10.0, 60.0];
 /// Bucket bounds of batch sizes, in requests.
 const SIZE_BUCKETS: [f64; 9] = [1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0, 256.0];
--- a/telemetry/src/label.rs
+++ b/telemetry/src/label.rs
@@ -1,4 +1,5 @@
-//! Label values. All labels but the tenant are enumerations, which bounds the number of series.
+//! Label values. All labels have a fixed set of values except the tenant, for which [`TenantLabels`] limits
+//! the number of values. This bounds the number of series.
 
 use std::sync::RwLock;
 
@@ -150,7 +151,7 @@
     pub enum TrafficKind {
         /// Probes between VMs and the responses to them.
         Probe = "probe",
-        /// Grants, releases and held grants.
+        /// Calls that reserve, withdraw or release grants, and that report held ones.
         Grant = "grant",
         /// Other calls between VMs.
         Call = "call",
--- a/telemetry/src/logging.rs
+++ b/telemetry/src/logging.rs
@@ -71,10 +71,10 @@
 /// Name of the VM or process, set by [`name_process`].
 static PROCESS_NAME: OnceLock<String> = OnceLock::new();
 
-/// Adds `at=NAME` to each further line of this process, which identifies the writer of lines collected
+/// Adds `at=NAME` to each later line of this process, which identifies the writer of lines collected
 /// from many VMs; fields such as `vm` may refer to another VM. Only the first call has an effect.
 pub fn name_process(name: &str) {
-    // Ignores a second name, which would make the process look like two.
+    // A second name is ignored, because lines with two names would seem to come from two processes.
     let _ = PROCESS_NAME.set(name.to_owned());
 }
 
--- a/telemetry/src/metric.rs
+++ b/telemetry/src/metric.rs
@@ -40,7 +40,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the table of families is inconsistent, such as by a duplicate name. This does not depend on
+    /// Panics if the table of families is inconsistent, for example if a name occurs twice. This does not depend on
     /// `settings`, so any test that creates a set detects it.
     #[must_use]
     pub fn new(settings: &MetricSettings) -> Self {
@@ -109,7 +109,7 @@
         self.families.claims.with_label_values(&[result.as_str()]).inc();
     }
 
-    /// Counts a check of an invariant outside the state machines, such as in a listener.
+    /// Counts a check of an invariant that was made outside the state machines, such as in a listener.
     pub fn count_invariant(&self, name: InvariantName, holds: bool) {
         self.families.invariant_checks.with_label_values(&[name.as_str()]).inc();
         if !holds {
@@ -187,7 +187,7 @@
         self.families.owned_groups.set(gauge_value(groups));
     }
 
-    /// Sets the numbers of requests under suspicion and condemned.
+    /// Sets the numbers of suspect requests and of condemned requests, which do not count as suspect.
     pub fn set_suspects(&self, suspect: u64, condemned: u64) {
         self.families.suspects.with_label_values(&["suspect"]).set(gauge_value(suspect));
         self.families.suspects.with_label_values(&["condemned"]).set(gauge_value(condemned));
@@ -211,12 +211,12 @@
 
     /// Sets how many records of a stream have not been read yet, and the milliseconds since the log last
     /// answered a read of it.
-    pub fn set_log_lag(&self, stream: StreamName, records: u64, unresponsive_ms: u64) {
+    pub fn set_log_lag(&self, stream: StreamName, records: u64, since_answer_ms: u64) {
         self.families.log_lag.with_label_values(&[stream.as_str()]).set(gauge_value(records));
         self.families
             .log_silence
             .with_label_values(&[stream.as_str()])
-            .set(gauge_value(unresponsive_ms));
+            .set(gauge_value(since_answer_ms));
     }
 
     /// Counts an append to a stream by its result.
@@ -232,7 +232,7 @@
         jobs.with_label_values(&["finished"]).set(gauge_value(finished));
     }
 
-    /// Adds a number of control messages and their size in bytes.
+    /// Adds to the counts of control messages and of their bytes.
     pub fn add_control(&self, kind: TrafficKind, messages: u64, bytes: u64) {
         self.families.control_messages.with_label_values(&[kind.as_str()]).inc_by(messages);
         self.families.control_bytes.with_label_values(&[kind.as_str()]).inc_by(bytes);
@@ -253,8 +253,8 @@
     }
 }
 
-/// Histograms of one measure by class and by tenant. A single family with both labels would have three
-/// times as many series.
+/// Histograms of one quantity by class and by tenant. A single family with both labels would have a series
+/// for each of the three classes of each tenant.
 #[derive(Debug)]
 struct HistogramPair {
     class: Histogram,
