--- a/ctl/src/arguments.rs
+++ b/ctl/src/arguments.rs
@@ -5,7 +5,8 @@
 
 use bpaf::Bpaf;
 
-const DESCRIPTION: &str = "Checks, publishes and watches what coltsfoothook serves";
+const DESCRIPTION: &str =
+    "Publishes manifests to coltsfoothook, shows its state and drains its VMs and servers";
 
 const FOOTER: &str = "\
 Examples:
@@ -20,8 +21,8 @@
   coltsfoothook-ctl hash-credential --generate
 Exit codes:
   0 done; 1 refused, nothing changed; 2 usage; 3 no entry VM reached; 4 outcome unknown
-  5 stale base; 6 not now, the log is down or the VM is not ready; 7 token refused
-  After 3, 4 and 6 the same command again is safe.";
+  5 stale base; 6 try later, the log is down or the VM is not ready; 7 token refused
+  After 3, 4 and 6 it is safe to repeat the same command.";
 
 /// A subcommand with its options and positional arguments.
 #[derive(Clone, Debug, Bpaf)]
@@ -30,7 +31,7 @@
     /// Checks a manifest, or a delta against a manifest, offline
     #[bpaf(command)]
     Check {
-        /// The manifest that FILE is a delta on
+        /// The manifest that the delta in FILE applies to
         #[bpaf(argument("MANIFEST"))]
         onto: Option<PathBuf>,
         #[bpaf(external)]
@@ -178,7 +179,8 @@
     /// Settings file in JSON with comments; see docs/SETTINGS.md
     #[bpaf(argument("FILE"))]
     pub(crate) settings: Option<PathBuf>,
-    /// Operators' address of an entry VM; give several to try the next when one is unreachable
+    /// Address of an entry VM's operators' interface; give several to try the next when one is
+    /// unreachable
     #[bpaf(long("entry"), argument("ADDRESS"))]
     pub(crate) entries: Vec<SocketAddr>,
     /// File with the operator's token
@@ -187,7 +189,7 @@
     /// File with the certificates (PEM) of the authorities to trust
     #[bpaf(argument("FILE"))]
     pub(crate) ca_file: Option<PathBuf>,
-    /// The name in the entry VMs' certificates; without it, their IP numbers
+    /// The name in the entry VMs' certificates; without it, their IP addresses
     #[bpaf(argument("NAME"))]
     pub(crate) server_name: Option<String>,
     /// Connects without TLS to non-loopback addresses; sends the token unencrypted
@@ -195,5 +197,5 @@
 }
 
 fn json() -> impl bpaf::Parser<bool> {
-    bpaf::long("json").help("Prints one JSON object instead of text for a human").switch()
+    bpaf::long("json").help("Prints one JSON object instead of plain text").switch()
 }
--- a/ctl/src/client.rs
+++ b/ctl/src/client.rs
@@ -21,8 +21,8 @@
 use crate::settings::CtlSettings;
 use crate::tls::TlsClient;
 
-/// Timeout of the TCP connection and of the TLS handshake. It is short so that an unreachable VM
-/// does not use up the time for the call.
+/// Timeout of the TCP connection, and again of the TLS handshake. It is short so that an
+/// unreachable VM does not delay the call to the next VM for long.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Retry delay if the answer has no `retry_after_ms`.
 const DEFAULT_RETRY_DELAY_MS: u64 = 500;
@@ -36,7 +36,7 @@
     tls: Option<TlsClient>,
 }
 
-/// Why a VM gave no answer; says whether the call can have taken effect.
+/// Why a VM gave no answer; says whether the call may have taken effect.
 enum CallFailure {
     /// The call was not sent.
     NotSent(String),
@@ -92,13 +92,13 @@
         Ok(Self { settings, token, tls })
     }
 
-    /// Sends a GET call to the first VM that answers.
+    /// Sends a GET call to the VMs in order until one gives an answer other than "not ready".
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
     /// Sends a call that changes state. Retries it while no VM is reachable or ready, its outcome
-    /// is unknown or the log is down, up to the configured attempts, so the call must be
+    /// is unknown or the log is down, up to the configured number of attempts, so the call must be
     /// idempotent.
     pub(crate) async fn change<T: DeserializeOwned>(
         &self,
@@ -145,7 +145,7 @@
         body: Bytes,
     ) -> Result<T, CtlError> {
         let mut attempts = Vec::new();
-        let mut sent = false;
+        let mut change_sent = false;
         let mut not_ready = None;
         for &address in &self.settings.entries {
             match self.call_one(address, &method, path, body.clone()).await {
@@ -159,12 +159,12 @@
                 },
                 Err(CallFailure::NotSent(reason)) => attempts.push(format!("{address}: {reason}")),
                 Err(CallFailure::NoAnswer(reason)) => {
-                    sent |= method != Method::GET;
+                    change_sent |= method != Method::GET;
                     attempts.push(format!("{address}: {reason}"));
                 }
             }
         }
-        if sent {
+        if change_sent {
             return Err(CtlError::Unknown { attempts });
         }
         Err(not_ready.unwrap_or(CtlError::NotReached { attempts }))
@@ -213,7 +213,7 @@
         let (mut sender, connection) =
             handshake.map_err(|error| CallFailure::NotSent(error.to_string()))?;
         let driver = tokio::spawn(connection);
-        let limit = Duration::from_millis(self.settings.timeout_ms);
+        let timeout = Duration::from_millis(self.settings.timeout_ms);
         let max_bytes = self.settings.answer_bytes;
         let answer = async {
             let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
@@ -222,7 +222,7 @@
             let body = body.map_err(|error| error.to_string())?.to_bytes();
             Ok::<_, String>(CallAnswer { status, body })
         };
-        let answered = tokio::time::timeout(limit, answer).await;
+        let answered = tokio::time::timeout(timeout, answer).await;
         driver.abort();
         match answered {
             Ok(answer) => answer.map_err(CallFailure::NoAnswer),
--- a/ctl/src/command.rs
+++ b/ctl/src/command.rs
@@ -156,10 +156,10 @@
 }
 
 fn check(file: &Path, onto: Option<&Path>) -> Result<CtlReport, CtlError> {
-    let checked = ManifestFile::read(file)?;
+    let manifest_file = ManifestFile::read(file)?;
     let manifest = match onto {
-        None => checked.manifest()?,
-        Some(onto) => checked.applied_to(&ManifestFile::read(onto)?.manifest()?)?,
+        None => manifest_file.manifest()?,
+        Some(onto) => manifest_file.applied_to(&ManifestFile::read(onto)?.manifest()?)?,
     };
     let versions: usize = manifest.adapters.iter().map(|adapter| adapter.versions.len()).sum();
     let text = format!(
@@ -260,7 +260,7 @@
             b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'~' => {
                 segment.push(char::from(byte));
             }
-            // Dots are encoded too, so that no name can act as `..`.
+            // Dots are encoded too, so that a name `..` does not refer to the parent path.
             other => segment.push_str(&format!("%{other:02X}")),
         }
     }
--- a/ctl/src/losses.rs
+++ b/ctl/src/losses.rs
@@ -9,12 +9,12 @@
 use crate::report::CtlReport;
 use crate::table::TextTable;
 
-/// Groups of adapters by rank in number of requests: the first rank after the group, and its label.
-/// The first few adapters receive most of the requests, the last ones one or two each.
+/// Groups of adapters ranked by number of requests, most requests first. Each entry has the
+/// exclusive end of the group's ranks, counted from 0, and the group's label.
 const RANKS: [(usize, &str); 4] =
     [(10, "first 10"), (50, "next 40"), (200, "next 150"), (usize::MAX, "all others")];
-/// Maximum number of reasons, and of causes, that are shown.
-const MAX_REASONS: usize = 12;
+/// Maximum number of rows in the table of reasons and in the table of causes.
+const MAX_ROWS: usize = 12;
 
 /// Counts of outcomes in a group of requests.
 #[derive(Clone, Debug, Default)]
@@ -25,11 +25,13 @@
     /// Requests whose caller closed the connection.
     cancelled: u64,
     late: u64,
-    /// Streams that started in time and then paused for too long.
+    /// Answers whose first piece met the route's target, but with a pause between two events longer
+    /// than the route allows.
     paused: u64,
-    /// Sum over the requests.
+    /// Time that requests waited for their adapters or for a server, summed over the requests.
     stall_ms: u64,
-    /// Sum over the requests.
+    /// Time that requests were held back so that streams at a server do not pause, summed over the
+    /// requests.
     held_ms: u64,
     /// Time to the first piece of each request that was done, unsorted.
     first_piece_ms: Vec<u64>,
@@ -38,7 +40,8 @@
 }
 
 impl LossCount {
-    /// Counts a finished request. It is late if its first piece came after more than `late_ms`.
+    /// Counts a finished request. If it was done, it is late if its first piece came after more
+    /// than `late_ms`.
     fn add(&mut self, line: &LogLine, late_ms: u64) {
         self.requests += 1;
         self.stall_ms += line.number("stall_ms");
@@ -62,7 +65,7 @@
     }
 
     /// Returns a percentile of the time to the first piece, or zero if no request was done.
-    fn first_ms(&self, percent: usize) -> u64 {
+    fn first_piece_percentile_ms(&self, percent: usize) -> u64 {
         let mut sorted_ms = self.first_piece_ms.clone();
         sorted_ms.sort_unstable();
         sorted_ms.get(sorted_ms.len() * percent / 100).or(sorted_ms.last()).copied().unwrap_or(0)
@@ -77,8 +80,8 @@
             self.refused,
             self.failed(),
             self.cancelled,
-            self.first_ms(50),
-            self.first_ms(95),
+            self.first_piece_percentile_ms(50),
+            self.first_piece_percentile_ms(95),
             self.stall_ms / self.requests.max(1),
             self.held_ms / self.requests.max(1),
             self.loads,
@@ -91,14 +94,15 @@
         json!({
             "name": name, "asked": self.requests, "done": self.done, "late": self.late, "paused": self.paused,
             "refused": self.refused, "failed": self.failed(), "left": self.cancelled,
-            "first_ms_p50": self.first_ms(50), "first_ms_p95": self.first_ms(95),
+            "first_ms_p50": self.first_piece_percentile_ms(50),
+            "first_ms_p95": self.first_piece_percentile_ms(95),
             "stall_ms_mean": self.stall_ms / self.requests.max(1),
             "held_ms_mean": self.held_ms / self.requests.max(1), "loads": self.loads,
         })
     }
 }
 
-/// Counts per key, sorted by key unless built otherwise.
+/// Counts per key, sorted by key except in the result of [`by_rank`].
 #[derive(Debug, Default)]
 struct LossGroups {
     groups: Vec<(String, LossCount)>,
@@ -139,17 +143,17 @@
     let (mut routes, mut times) = (LossGroups::default(), LossGroups::default());
     let mut servers = LossGroups::default();
     let every_ms = every_s.max(1) * 1_000;
-    let time = |line: &LogLine| clock(line.at_ms / every_ms * every_ms);
+    let interval_start = |line: &LogLine| time_of_day(line.at_ms / every_ms * every_ms);
     for line in &ended {
         routes.get(line.field("route").unwrap_or("none")).add(line, late_ms);
-        times.get(&time(line)).add(line, late_ms);
+        times.get(&interval_start(line)).add(line, late_ms);
         if let Some(server) = line.field("server") {
             servers.get(server).add(line, late_ms);
         }
     }
     for line in lines.iter().filter(|line| is_load(line)) {
         servers.get(line.field("server").unwrap_or_default()).loads += 1;
-        times.get(&time(line)).loads += 1;
+        times.get(&interval_start(line)).loads += 1;
     }
     let ranks = by_rank(&lines, &ended, late_ms);
     let reasons = reasons(&ended);
@@ -220,7 +224,7 @@
     }
 }
 
-/// Counts the causes of late answers that the gateways logged.
+/// Counts the causes that the gateways logged for late answers.
 fn late_causes(ended: &[&LogLine]) -> Vec<(String, usize)> {
     count_texts(ended.iter().filter_map(|line| line.field("late")).map(str::to_owned).collect())
 }
@@ -235,18 +239,18 @@
     count_texts(named.collect())
 }
 
-/// Counts equal texts and returns the most frequent ones, the most frequent first.
+/// Counts equal texts and returns the [`MAX_ROWS`] most frequent ones, most frequent first.
 fn count_texts(mut texts: Vec<String>) -> Vec<(String, usize)> {
     texts.sort_unstable();
     let mut counts: Vec<(String, usize)> =
         texts.chunk_by(|a, b| a == b).map(|same| (same[0].clone(), same.len())).collect();
     counts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    counts.truncate(MAX_REASONS);
+    counts.truncate(MAX_ROWS);
     counts
 }
 
 /// Formats milliseconds since midnight as `HH:MM:SS`.
-fn clock(ms: u64) -> String {
+fn time_of_day(ms: u64) -> String {
     let seconds = ms / 1_000;
     format!("{:02}:{:02}:{:02}", seconds / 3_600, seconds / 60 % 60, seconds % 60)
 }
--- a/standin/src/batch.rs
+++ b/standin/src/batch.rs
@@ -1,6 +1,6 @@
 //! State of the model engine stand-in: adapter slots, queue and batch.
 //!
-//! It does not guard against wrong orders: an order to unload a slot in use is carried out, the
+//! It does not guard against wrong orders: an order to unload a slot in use is carried out. The
 //! requests on the slot are cut and counted, so that tests can detect the order by the counters.
 
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::prefix::PrefixCache;
 use crate::tally::BoundedTally;
 
-/// Maximum number of ids, of keys and of bodies that are counted.
+/// Maximum number of different ids, of keys and of bodies that are counted.
 const TALLY_LIMIT: usize = 100_000;
 
 /// Progress of a run, which its readers follow to write the tokens out.
@@ -61,7 +61,7 @@
     pub(crate) stream: Arc<RunStream>,
     /// Tokens of the prompt that are still to be read.
     pub(crate) prefill_left: u32,
-    /// The number after the last token.
+    /// One more than the number of the last token.
     pub(crate) end_token: u32,
     /// Runs with lower numbers go first.
     pub(crate) priority: i32,
@@ -100,6 +100,7 @@
 pub(crate) struct EngineState {
     pub(crate) settings: EngineServerSettings,
     pub(crate) incarnation: ServerIncarnation,
+    /// Sequence number of the latest load report.
     pub(crate) sequence: u64,
     pub(crate) highest_fencing: u64,
     /// Sorted by name.
@@ -141,8 +142,9 @@
         }
     }
 
-    /// Drops all runs, slots and cached prefixes and increments the incarnation. The counters and
-    /// tallies are kept, since they belong to the tests and not to the engine.
+    /// Drops all runs, slots and cached prefixes, increments the incarnation and resets the
+    /// sequence and fencing numbers. The counters and tallies are kept, since tests read them
+    /// across restarts.
     pub(crate) fn restart(&mut self) {
         self.incarnation.0 += 1;
         self.sequence = 0;
@@ -212,7 +214,7 @@
 
     /// Cancels unread runs, admits runs from the queue into the batch and plans the next step.
     pub(crate) fn plan(&mut self, now: Instant) -> StepPlan {
-        self.drop_unread(now);
+        self.cancel_unread(now);
         self.admit(now);
         if self.running.is_empty() {
             return StepPlan::Idle;
@@ -288,7 +290,8 @@
         self.counters.repeated_bodies += repeated(self.bodies.add(&run.body_hash));
     }
 
-    /// Returns the duration of a step with the present batch and counts the batch.
+    /// Returns the duration of a step with the present batch. Adds the batch's numbers of runs and
+    /// adapters to the counters.
     fn step_time(&mut self) -> Duration {
         let mut slots: Vec<&str> =
             self.running.iter().map(|run| run.stream.slot.as_str()).collect();
@@ -305,7 +308,7 @@
     }
 
     /// Cancels runs that have had no reader for `unread_ms`; a reader may resume before that.
-    fn drop_unread(&mut self, now: Instant) {
+    fn cancel_unread(&mut self, now: Instant) {
         let timeout = Duration::from_millis(self.settings.unread_ms);
         for run in self.waiting.iter_mut().chain(&mut self.running) {
             run.unread_since = unread_since(run, now);
@@ -316,9 +319,9 @@
     }
 
     /// Ends the selected runs, waiting or running, and counts them as cancelled.
-    fn end_where(&mut self, run_end: RunEnd, mut which: impl FnMut(&BatchRun) -> bool) {
-        let waiting = self.waiting.extract_if(.., |run| which(run)).collect::<Vec<_>>();
-        let running = self.running.extract_if(.., |run| which(run)).collect::<Vec<_>>();
+    fn end_where(&mut self, run_end: RunEnd, mut selected: impl FnMut(&BatchRun) -> bool) {
+        let waiting = self.waiting.extract_if(.., |run| selected(run)).collect::<Vec<_>>();
+        let running = self.running.extract_if(.., |run| selected(run)).collect::<Vec<_>>();
         for run in waiting.into_iter().chain(running) {
             end(&run.stream, run_end);
             self.counters.cancelled += 1;
@@ -389,7 +392,7 @@
         ]
     }
 
-    /// An engine with the readers of its runs and the number of the token after the last of each.
+    /// An engine with the readers of its runs, each with the run's number of tokens.
     struct TestEngine {
         state: EngineState,
         readers: Vec<(u32, watch::Receiver<RunProgress>)>,
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -29,7 +29,7 @@
 pub(crate) const MAX_SMALL_BODY: usize = 64 * 1024;
 /// Maximum number of reports kept to simulate a lag.
 const REPORT_LIMIT: usize = 64;
-/// Divisor of the lag that gives the interval between kept reports, within the two bounds.
+/// The interval between kept reports is the lag divided by this, within the bounds below.
 const REPORT_LAG_DIVISOR: u32 = 8;
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(200);
@@ -107,7 +107,7 @@
         pub delay_ms: u64,
         /// The stage at which the connection of a run is cut.
         pub cut: RunCut,
-        /// The number of next runs that are cut at this stage.
+        /// How many of the next runs are cut at this stage.
         pub cut_next: u32,
         /// The age of load reports in milliseconds, if above the setting.
         pub report_lag_ms: u64,
@@ -234,7 +234,7 @@
     }
 
     /// Returns how many runs with each idempotency key were admitted to the batch, sorted by key.
-    /// To find duplicates across engines, add up their lists.
+    /// To find duplicates across engines, add up the counts of each key.
     #[must_use]
     pub fn runs_by_key(&self) -> Vec<TallyEntry> {
         self.shared.lock().keys.entries().to_vec()
@@ -264,7 +264,7 @@
         self.server.control().freeze(time);
     }
 
-    /// Stops the server after the answers in flight.
+    /// Stops the server, giving the answers in flight a limited time to end.
     pub async fn shutdown(self) {
         self.server.stop().await;
     }
@@ -401,7 +401,7 @@
             StepPlan::Crash => engine.crash(),
             StepPlan::Step(time) => {
                 // Each step is due relative to the previous one, so that late timers do not slow
-                // the engine down; after an idle time or a freeze it is relative to now.
+                // the engine down; after an idle time or a freeze the first step is due at once.
                 let now = tokio::time::Instant::now();
                 due = due.max(now.checked_sub(time).unwrap_or(now)) + time;
                 tokio::time::sleep_until(due).await;
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -179,7 +179,7 @@
         self.server.address()
     }
 
-    /// Replaces the faults; requests that hang are cut.
+    /// Replaces the faults; connections of requests that hang are cut.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.shared.set_faults(faults);
     }
@@ -221,7 +221,7 @@
         self.server.control().go_down(time);
     }
 
-    /// Clears the faults and stops the server after the answers in flight.
+    /// Clears the faults and stops the server, giving the answers in flight a limited time to end.
     pub async fn shutdown(self) {
         self.server.begin_stop();
         self.set_faults(PlatformFaults::default());
@@ -280,7 +280,7 @@
         range
     }
 
-    /// Applies an outage. `None` means that the request is to be handled.
+    /// Applies an outage. `None` means that there is none and the request is handled.
     async fn outage(
         &self,
         kind: OutageKind,
@@ -344,7 +344,8 @@
         Ok(reply::ok(&range))
     }
 
-    /// Takes an append out of the rate limit, or returns the milliseconds to wait.
+    /// Counts an append against the rate limit, or returns the milliseconds to wait if the limit is
+    /// reached.
     fn admit(&self) -> Result<(), u64> {
         let mut state = self.lock();
         let admitted = state.streams.admit(Instant::now());
@@ -389,10 +390,10 @@
                 ReadResult::Page(page) if page.records.is_empty() => {
                     let waited = tokio::time::timeout_at(deadline, appended.changed()).await;
                     if waited.is_err() || self.control.stopping() {
-                        return Ok(self.page(&page));
+                        return Ok(self.page_reply(&page));
                     }
                 }
-                ReadResult::Page(page) => return Ok(self.page(&page)),
+                ReadResult::Page(page) => return Ok(self.page_reply(&page)),
             }
             // An outage also applies to waiting reads.
             if self.lock().faults.log != OutageKind::None {
@@ -407,7 +408,7 @@
         self.lock().streams.read(stream, from, limit, Instant::now())
     }
 
-    fn page(&self, page: &LogPage) -> Reply {
+    fn page_reply(&self, page: &LogPage) -> Reply {
         self.lock().counters.reads += 1;
         reply::ok(page)
     }
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -86,7 +86,7 @@
     total_tokens: u32,
 }
 
-/// Fault of a run's answer.
+/// Faults of a run: where its connection is cut, and the delay of its answer.
 #[derive(Clone, Copy)]
 struct RunFault {
     cut: RunCut,
@@ -112,7 +112,7 @@
 struct QueuedRun {
     stream: Arc<RunStream>,
     reader: watch::Receiver<RunProgress>,
-    /// The number after the last token.
+    /// One more than the number of the last token.
     end_token: u32,
 }
 
@@ -186,7 +186,7 @@
         RunFault { cut: endpoint_state.faults.cut, delay }
     }
 
-    /// Checks a request before any state changes.
+    /// Checks a request's number of tokens and extracts what a run needs; changes no state.
     fn check_request(
         &self,
         body: RunBody,
@@ -206,7 +206,7 @@
         let (prompt, sent) = body.texts();
         let (model, priority) = (body.model, body.priority);
         Ok(RunRequest {
-            crashes: self.is_marked(bytes),
+            crashes: self.has_crash_mark(bytes),
             id,
             key,
             model,
@@ -260,7 +260,7 @@
     }
 
     /// Returns whether a body contains the crash mark.
-    fn is_marked(&self, bytes: &[u8]) -> bool {
+    fn has_crash_mark(&self, bytes: &[u8]) -> bool {
         let endpoint_state = self.endpoint_state();
         let Some(mark) =
             endpoint_state.faults.crash_mark.as_deref().filter(|mark| !mark.is_empty())
@@ -329,7 +329,7 @@
     }
 }
 
-/// Hashes a request without its slot, to count bodies that ran more than once.
+/// Hashes a request without its slot and id, to count bodies that ran more than once.
 fn body_hash(label: &str, request: &RunRequest) -> String {
     let hash = stable_hash(&[label, &request.prompt, &request.sent, &request.count.to_string()]);
     format!("{hash:016x}")
@@ -377,7 +377,7 @@
     reader: watch::Receiver<RunProgress>,
     /// The number of the next token to write.
     next: u32,
-    /// The token before which the stream is cut.
+    /// The number of the token before which the stream is cut.
     cut_at: Option<u32>,
     ended: bool,
 }
@@ -401,7 +401,7 @@
 }
 
 impl StreamWriter {
-    /// Waits for new tokens or the end of the run, and writes all that are new.
+    /// Waits for new tokens or the end of the run, and returns the events of all new tokens.
     async fn next_piece(&mut self) -> Result<Bytes, ConnectionCut> {
         let next = self.next;
         let has_update = |progress: &RunProgress| progress.next > next || progress.end.is_some();
@@ -419,7 +419,7 @@
         };
         match finish_reason(Some(end)) {
             Some(finish) => self.stream.write_end(&mut text, finish, progress.next),
-            // The written text is sent first; the next piece is the cut.
+            // The written text is sent first; the next call cuts the stream.
             None if !text.is_empty() => return Ok(Bytes::from(text)),
             None => return Err(ConnectionCut),
         }
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -144,7 +144,7 @@
         self.server.control().go_down(time);
     }
 
-    /// Stops the server after the answers in flight.
+    /// Stops the server, giving the answers in flight a limited time to end.
     pub async fn shutdown(self) {
         self.server.stop().await;
     }
@@ -206,7 +206,7 @@
             .map_err(|_| reply::refusal(StatusCode::SERVICE_UNAVAILABLE, "outage", "load lost"))
     }
 
-    /// Refuses a load that a fault concerns.
+    /// Refuses a load if the store is down or the weights are missing by a fault.
     fn refuse_by_fault(&self, path: &str) -> Result<(), Refusal> {
         let faults = self.lock().faults.clone();
         if faults.down {
@@ -219,8 +219,8 @@
         Ok(())
     }
 
-    /// Reserves the start time of a load according to the rate limit; refuses if it is too far
-    /// ahead.
+    /// Reserves the start time of a load according to the rate limit; refuses the
+    /// load if it would wait longer than `max_wait_ms`.
     fn reserve_start(&self) -> Result<Instant, Refusal> {
         let now = Instant::now();
         let mut state = self.lock();
@@ -250,7 +250,7 @@
         wait
     }
 
-    /// Advances the active loads, all at the same share of the store's speed, until none is left.
+    /// Advances the active loads, all at the same fraction of the full speed, until none is left.
     async fn run_loads(&self) {
         let mut last_tick = Instant::now();
         loop {
@@ -282,7 +282,8 @@
     (f64::from(full_speed) / active.max(1) as f64).min(1.0)
 }
 
-/// The HTTP interface. It holds the `Arc` of the store, which the task of loads clones.
+/// The HTTP interface. It holds the `Arc` of the store, which the task that advances loads
+/// clones.
 struct StoreInterface(Arc<StoreServer>);
 
 #[async_trait]
