--- a/caller/examples/face_delay.rs
+++ b/caller/examples/face_delay.rs
@@ -17,7 +17,7 @@
 use bytes::Bytes;
 use coltsfoothook_caller::{
     AnswerBody, CallHandler, CallProblem, CallerServer, CallerSettings, CompletionAnswer,
-    CompletionCall, EntriesAnswer, FaceReason, HealthAnswer, JobCall, JobResult, JobStatus,
+    CompletionCall, EntriesAnswer, HealthAnswer, InterfaceReason, JobCall, JobResult, JobStatus,
     ModelPage, ModelQuery, ServiceAnswer, ServiceCall,
 };
 use coltsfoothook_decision::id::{CustomerName, JobId, RequestId};
@@ -37,7 +37,7 @@
 }
 
 fn unsupported<T>() -> Result<T, CallProblem> {
-    Err(CallProblem::not_run(FaceReason::UnknownPath, "the benchmark serves completions only"))
+    Err(CallProblem::not_run(InterfaceReason::UnknownPath, "the benchmark serves completions only"))
 }
 
 #[async_trait]
--- a/caller/src/answer.rs
+++ b/caller/src/answer.rs
@@ -13,7 +13,7 @@
 use crate::handler::{AnswerBody, AnswerStream, CompletionAnswer, ServiceAnswer};
 use crate::header::response_headers;
 use crate::payload::{ResponseBody, TruncatedError, whole_body};
-use crate::problem::{CallProblem, FaceReason, ProblemIds, problem_json, problem_response};
+use crate::problem::{CallProblem, InterfaceReason, ProblemIds, problem_json, problem_response};
 
 const EVENT_STREAM: &str = "text/event-stream";
 
@@ -99,7 +99,7 @@
     };
     let Ok(content_type) = HeaderValue::from_str(&answer.content_type) else {
         let detail = "the backend server sent a malformed content type";
-        return problem_response(&CallProblem::not_run(FaceReason::Internal, detail), &ids);
+        return problem_response(&CallProblem::not_run(InterfaceReason::Internal, detail), &ids);
     };
     let mut headers = response_headers(&answer.headers);
     headers.insert(CONTENT_TYPE, content_type);
--- a/caller/src/body.rs
+++ b/caller/src/body.rs
@@ -11,7 +11,7 @@
 use serde_json::{Map, Value};
 
 use crate::handler::{CompletionKind, ModelChoice};
-use crate::problem::{CallProblem, FaceReason};
+use crate::problem::{CallProblem, InterfaceReason};
 use crate::settings::CallerSettings;
 
 /// Estimated bytes of English text per token; used for planning only.
@@ -57,7 +57,7 @@
         Ok(read) => read,
         Err(_) => {
             let detail = format!("the body did not arrive within {} ms", settings.body_timeout_ms);
-            Err(CallProblem::not_run(FaceReason::SlowSender, detail))
+            Err(CallProblem::not_run(InterfaceReason::SlowSender, detail))
         }
     }
 }
@@ -114,7 +114,7 @@
 
 fn too_large(settings: &CallerSettings) -> CallProblem {
     let detail = format!("a body may have at most {} bytes", settings.body_bytes);
-    CallProblem::not_run(FaceReason::BodyTooLarge, detail)
+    CallProblem::not_run(InterfaceReason::BodyTooLarge, detail)
 }
 
 /// Parses the body of a completion. Unrecognised fields are kept and passed on to the engine.
@@ -328,5 +328,5 @@
 }
 
 fn malformed(detail: impl Into<String>) -> CallProblem {
-    CallProblem::not_run(FaceReason::MalformedRequest, detail)
+    CallProblem::not_run(InterfaceReason::MalformedRequest, detail)
 }
--- a/caller/src/header.rs
+++ b/caller/src/header.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 use http::header::{AUTHORIZATION, HeaderName};
 
-use crate::problem::{CallProblem, FaceReason};
+use crate::problem::{CallProblem, InterfaceReason};
 use crate::route::check_id;
 use crate::settings::CallerSettings;
 
@@ -83,7 +83,7 @@
 ) -> Result<&'a str, CallProblem> {
     let missing = || {
         let detail = "the header Authorization: Bearer with the tenant's credential is required";
-        CallProblem::not_run(FaceReason::Unauthenticated, detail)
+        CallProblem::not_run(InterfaceReason::Unauthenticated, detail)
     };
     let max_bytes = settings.credential_bytes + BEARER.len();
     let text = header_text(headers, AUTHORIZATION.as_str(), max_bytes)?.ok_or_else(missing)?;
@@ -140,7 +140,7 @@
     }
     if value.len() > max_bytes {
         let detail = format!("the header {name} may have at most {max_bytes} bytes");
-        return Err(CallProblem::not_run(FaceReason::HeaderTooLarge, detail));
+        return Err(CallProblem::not_run(InterfaceReason::HeaderTooLarge, detail));
     }
     match value.to_str() {
         Ok(text) => Ok(Some(text.trim())),
@@ -169,5 +169,5 @@
 }
 
 fn malformed(detail: impl Into<String>) -> CallProblem {
-    CallProblem::not_run(FaceReason::MalformedRequest, detail)
+    CallProblem::not_run(InterfaceReason::MalformedRequest, detail)
 }
--- a/caller/src/interface.rs
+++ b/caller/src/interface.rs
@@ -18,7 +18,7 @@
 };
 use crate::header::{CallHeaders, forward_headers, read_bearer, read_caller_id, read_headers};
 use crate::payload::ResponseBody;
-use crate::problem::{CallProblem, FaceReason, ProblemIds, problem_response};
+use crate::problem::{CallProblem, InterfaceReason, ProblemIds, problem_response};
 use crate::route::{CallerRoute, find_route};
 use crate::settings::CallerSettings;
 
@@ -64,7 +64,7 @@
         ids.caller_id = read_caller_id(request.headers(), &self.settings)?;
         let bearer = read_bearer(request.headers(), &self.settings)?;
         let tenant = self.handler.authenticate(bearer).ok_or_else(|| {
-            CallProblem::not_run(FaceReason::Unauthenticated, "unknown credential")
+            CallProblem::not_run(InterfaceReason::Unauthenticated, "unknown credential")
         })?;
         let headers = read_headers(request.headers(), &self.settings)?;
         let call = AuthenticatedCall { tenant, ids: ids.clone(), headers };
@@ -97,7 +97,7 @@
         let length = uri.path_and_query().map_or(0, |path| path.as_str().len());
         if length > max_bytes {
             let detail = format!("path and query may have at most {max_bytes} bytes");
-            return Err(CallProblem::not_run(FaceReason::HeaderTooLarge, detail));
+            return Err(CallProblem::not_run(InterfaceReason::HeaderTooLarge, detail));
         }
         Ok(())
     }
@@ -215,7 +215,7 @@
         if call.stream {
             let detail =
                 "the answer of a job cannot be streamed; the field stream must not be true";
-            return Err(CallProblem::not_run(FaceReason::MalformedRequest, detail));
+            return Err(CallProblem::not_run(InterfaceReason::MalformedRequest, detail));
         }
         let status = self.handler.submit_job(JobCall { job, call }).await?;
         Ok(json_response(StatusCode::ACCEPTED, &status))
@@ -264,7 +264,8 @@
 }
 
 fn model_query(query: &str, settings: &CallerSettings) -> Result<ModelQuery, CallProblem> {
-    let malformed = |detail: String| CallProblem::not_run(FaceReason::MalformedRequest, detail);
+    let malformed =
+        |detail: String| CallProblem::not_run(InterfaceReason::MalformedRequest, detail);
     let mut parsed = ModelQuery { after: None, limit: settings.page_entries };
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
         match pair.split_once('=') {
--- a/caller/src/lib.rs
+++ b/caller/src/lib.rs
@@ -34,6 +34,6 @@
     EntriesAnswer, EntryAddress, HealthAnswer, JobCall, JobResult, JobState, JobStatus,
     ModelChoice, ModelInfo, ModelPage, ModelQuery, ServiceAnswer, ServiceCall,
 };
-pub use problem::{CallProblem, FaceReason, ProblemReason, ProblemRow, problem_row};
+pub use problem::{CallProblem, InterfaceReason, ProblemReason, ProblemRow, problem_row};
 pub use server::{CallerServer, StartError};
 pub use settings::CallerSettings;
--- a/caller/src/problem.rs
+++ b/caller/src/problem.rs
@@ -18,7 +18,7 @@
 value! {
     /// Reasons that arise in serving the HTTP interface, in addition to [`RefusalReason`].
     #[derive(Copy, Eq)]
-    pub enum FaceReason {
+    pub enum InterfaceReason {
         /// The path, a header or the body is invalid.
         MalformedRequest,
         /// The body exceeds `CallerSettings::body_bytes`.
@@ -56,7 +56,7 @@
     /// The request was refused before it ran.
     Refused(RefusalReason),
     /// Any other failure, before or after the request ran.
-    Face(FaceReason),
+    Interface(InterfaceReason),
 }
 
 /// The table's entry for a reason.
@@ -107,14 +107,18 @@
 
     /// Creates a problem found before the request ran, with the outcome "not run".
     #[must_use]
-    pub fn not_run(reason: FaceReason, detail: impl Into<String>) -> Self {
+    pub fn not_run(reason: InterfaceReason, detail: impl Into<String>) -> Self {
         Self::ended(reason, RequestOutcome::NotRun, detail)
     }
 
     /// Creates a problem with the given outcome, for a request that may have run.
     #[must_use]
-    pub fn ended(reason: FaceReason, outcome: RequestOutcome, detail: impl Into<String>) -> Self {
-        let reason = ProblemReason::Face(reason);
+    pub fn ended(
+        reason: InterfaceReason,
+        outcome: RequestOutcome,
+        detail: impl Into<String>,
+    ) -> Self {
+        let reason = ProblemReason::Interface(reason);
         Self { reason, outcome, detail: detail.into(), retry_after_ms: None }
     }
 
@@ -137,7 +141,7 @@
 pub fn problem_row(reason: ProblemReason) -> ProblemRow {
     match reason {
         ProblemReason::Refused(reason) => refusal_row(reason),
-        ProblemReason::Face(reason) => interface_row(reason),
+        ProblemReason::Interface(reason) => interface_row(reason),
     }
 }
 
@@ -167,8 +171,8 @@
     }
 }
 
-fn interface_row(reason: FaceReason) -> ProblemRow {
-    use FaceReason as R;
+fn interface_row(reason: InterfaceReason) -> ProblemRow {
+    use InterfaceReason as R;
     use StatusCode as S;
     match reason {
         R::MalformedRequest => row("malformed_request", S::BAD_REQUEST, "Malformed request", false),
--- a/caller/src/route.rs
+++ b/caller/src/route.rs
@@ -4,7 +4,7 @@
 use http::Method;
 
 use crate::handler::CompletionKind;
-use crate::problem::{CallProblem, FaceReason};
+use crate::problem::{CallProblem, InterfaceReason};
 use crate::settings::CallerSettings;
 
 /// An operation of the callers' API with the parameters from its path.
@@ -49,7 +49,7 @@
         ["v1", "jobs", id, "result"] => {
             check_method(method, &Method::GET, CallerRoute::JobResult(job_id(id, settings)?))
         }
-        _ => Err(CallProblem::not_run(FaceReason::UnknownPath, "no operation has this path")),
+        _ => Err(CallProblem::not_run(InterfaceReason::UnknownPath, "no operation has this path")),
     }
 }
 
@@ -62,7 +62,7 @@
         return Ok(route);
     }
     let detail = format!("this path supports only {supported}");
-    Err(CallProblem::not_run(FaceReason::MethodNotAllowed, detail))
+    Err(CallProblem::not_run(InterfaceReason::MethodNotAllowed, detail))
 }
 
 fn service_route(
@@ -85,7 +85,7 @@
         Method::DELETE => Ok(CallerRoute::CancelJob(job)),
         _ => {
             let detail = "this path supports only GET and DELETE";
-            Err(CallProblem::not_run(FaceReason::MethodNotAllowed, detail))
+            Err(CallProblem::not_run(InterfaceReason::MethodNotAllowed, detail))
         }
     }
 }
@@ -102,7 +102,7 @@
     if id.is_empty() || id.len() > max_bytes || !id.bytes().all(allowed) {
         let detail =
             format!("{what} must have 1 to {max_bytes} characters of letters, digits and . _ : -");
-        return Err(CallProblem::not_run(FaceReason::MalformedRequest, detail));
+        return Err(CallProblem::not_run(InterfaceReason::MalformedRequest, detail));
     }
     Ok(())
 }
--- a/caller/tests/suite/encoded_names.rs
+++ b/caller/tests/suite/encoded_names.rs
@@ -3,8 +3,8 @@
 use std::fmt::Debug;
 
 use coltsfoothook_caller::{
-    CompletionKind, EntriesAnswer, EntryAddress, FaceReason, HealthAnswer, JobState, JobStatus,
-    ModelChoice, ModelInfo, ModelPage,
+    CompletionKind, EntriesAnswer, EntryAddress, HealthAnswer, InterfaceReason, JobState,
+    JobStatus, ModelChoice, ModelInfo, ModelPage,
 };
 use coltsfoothook_decision::id::AdapterVersion;
 use coltsfoothook_decision::outcome::RequestOutcome;
@@ -88,20 +88,20 @@
 fn face_reasons() {
     same(
         &[
-            FaceReason::MalformedRequest,
-            FaceReason::BodyTooLarge,
-            FaceReason::HeaderTooLarge,
-            FaceReason::SlowSender,
-            FaceReason::Unauthenticated,
-            FaceReason::UnknownPath,
-            FaceReason::MethodNotAllowed,
-            FaceReason::UnknownService,
-            FaceReason::UnknownJob,
-            FaceReason::JobUnfinished,
-            FaceReason::BackendFailed,
-            FaceReason::AnswerLost,
-            FaceReason::DeadlineExceeded,
-            FaceReason::Internal,
+            InterfaceReason::MalformedRequest,
+            InterfaceReason::BodyTooLarge,
+            InterfaceReason::HeaderTooLarge,
+            InterfaceReason::SlowSender,
+            InterfaceReason::Unauthenticated,
+            InterfaceReason::UnknownPath,
+            InterfaceReason::MethodNotAllowed,
+            InterfaceReason::UnknownService,
+            InterfaceReason::UnknownJob,
+            InterfaceReason::JobUnfinished,
+            InterfaceReason::BackendFailed,
+            InterfaceReason::AnswerLost,
+            InterfaceReason::DeadlineExceeded,
+            InterfaceReason::Internal,
         ],
         expect![[r#"
             "malformed_request"
--- a/caller/tests/suite/fake.rs
+++ b/caller/tests/suite/fake.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use coltsfoothook_caller::{
     AnswerBody, AnswerStream, CallHandler, CallProblem, CallerServer, CallerSettings,
-    CompletionAnswer, CompletionCall, EntriesAnswer, EntryAddress, FaceReason, HealthAnswer,
+    CompletionAnswer, CompletionCall, EntriesAnswer, EntryAddress, HealthAnswer, InterfaceReason,
     JobCall, JobResult, JobState, JobStatus, ModelInfo, ModelPage, ModelQuery, ServiceAnswer,
     ServiceCall,
 };
@@ -144,14 +144,14 @@
 
     async fn job_status(&self, _: &CustomerName, job: &JobId) -> Result<JobStatus, CallProblem> {
         if job.as_str() == "gone" {
-            return Err(CallProblem::not_run(FaceReason::UnknownJob, "no job gone"));
+            return Err(CallProblem::not_run(InterfaceReason::UnknownJob, "no job gone"));
         }
         Ok(Self::status(job))
     }
 
     async fn job_result(&self, _: &CustomerName, job: &JobId) -> Result<JobResult, CallProblem> {
         if job.as_str() == "early" {
-            let problem = CallProblem::not_run(FaceReason::JobUnfinished, "the job is queued");
+            let problem = CallProblem::not_run(InterfaceReason::JobUnfinished, "the job is queued");
             return Err(problem.with_retry(1_500));
         }
         let body = Bytes::from_static(b"{\"audit\":1}");
--- a/caller/tests/suite/problem_table.rs
+++ b/caller/tests/suite/problem_table.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use coltsfoothook_caller::{CallProblem, FaceReason, ProblemReason, problem_row};
+use coltsfoothook_caller::{CallProblem, InterfaceReason, ProblemReason, problem_row};
 use coltsfoothook_decision::outcome::{RefusalReason, RequestOutcome};
 use expect_test::expect;
 
@@ -30,26 +30,26 @@
     RefusalReason::RetryBudget,
 ];
 
-const INTERFACE_REASONS: [FaceReason; 14] = [
-    FaceReason::MalformedRequest,
-    FaceReason::BodyTooLarge,
-    FaceReason::HeaderTooLarge,
-    FaceReason::SlowSender,
-    FaceReason::Unauthenticated,
-    FaceReason::UnknownPath,
-    FaceReason::MethodNotAllowed,
-    FaceReason::UnknownService,
-    FaceReason::UnknownJob,
-    FaceReason::JobUnfinished,
-    FaceReason::BackendFailed,
-    FaceReason::AnswerLost,
-    FaceReason::DeadlineExceeded,
-    FaceReason::Internal,
+const INTERFACE_REASONS: [InterfaceReason; 14] = [
+    InterfaceReason::MalformedRequest,
+    InterfaceReason::BodyTooLarge,
+    InterfaceReason::HeaderTooLarge,
+    InterfaceReason::SlowSender,
+    InterfaceReason::Unauthenticated,
+    InterfaceReason::UnknownPath,
+    InterfaceReason::MethodNotAllowed,
+    InterfaceReason::UnknownService,
+    InterfaceReason::UnknownJob,
+    InterfaceReason::JobUnfinished,
+    InterfaceReason::BackendFailed,
+    InterfaceReason::AnswerLost,
+    InterfaceReason::DeadlineExceeded,
+    InterfaceReason::Internal,
 ];
 
 fn reasons() -> impl Iterator<Item = ProblemReason> {
     let refusals = REFUSALS.into_iter().map(ProblemReason::Refused);
-    refusals.chain(INTERFACE_REASONS.into_iter().map(ProblemReason::Face))
+    refusals.chain(INTERFACE_REASONS.into_iter().map(ProblemReason::Interface))
 }
 
 #[test]
--- a/caller/tests/suite/tls_listener.rs
+++ b/caller/tests/suite/tls_listener.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use coltsfoothook_caller::{CallerServer, CallerSettings};
-use coltsfoothook_keys::testing::{TestAuthority, TestDirectory};
-use coltsfoothook_keys::{TlsKeys, trusting_client};
+use coltsfoothook_keys::testing::{TestCa, TestDirectory};
+use coltsfoothook_keys::{TlsKeys, client_config};
 use rustls_pki_types::ServerName;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn replaced_while_serving() {
     let directory = TestDirectory::new("tls_listener");
-    let (old, new) = (TestAuthority::new(), TestAuthority::new());
+    let (old, new) = (TestCa::new(), TestCa::new());
     let files = old.write(directory.path(), "nbo-1");
     let authority = files.authority.clone().expect("a file");
     let keys = TlsKeys::load(files).expect("keys");
@@ -28,7 +28,7 @@
     let handler = FakeHandler::answering(Script::Hang);
     let server = CallerServer::start(settings, handler, Some(tls)).expect("the server starts");
     let request_status = async || {
-        let config = Arc::new(trusting_client(&authority).expect("a configuration"));
+        let config = Arc::new(client_config(&authority).expect("a configuration"));
         let name = ServerName::try_from("127.0.0.1").expect("an address");
         let stream = TcpStream::connect(server.address()).await.expect("connect");
         let mut stream =
--- a/caller/tests/suite/truncated_stream.rs
+++ b/caller/tests/suite/truncated_stream.rs
@@ -1,7 +1,7 @@
 //! Callers can distinguish truncated responses from complete ones.
 
 use bytes::Bytes;
-use coltsfoothook_caller::{CallProblem, FaceReason};
+use coltsfoothook_caller::{CallProblem, InterfaceReason};
 use coltsfoothook_decision::outcome::RequestOutcome;
 use expect_test::expect;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,7 +15,7 @@
 
 fn lost_answer() -> CallProblem {
     let detail = "the engine's connection broke";
-    CallProblem::ended(FaceReason::AnswerLost, RequestOutcome::Unknown, detail)
+    CallProblem::ended(InterfaceReason::AnswerLost, RequestOutcome::Unknown, detail)
 }
 
 /// Guards against a caller that takes a truncated stream for a complete one. When the engine fails
--- a/ctl/src/tls.rs
+++ b/ctl/src/tls.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-use coltsfoothook_keys::trusting_client;
+use coltsfoothook_keys::client_config;
 use rustls_pki_types::ServerName;
 use tokio_rustls::TlsConnector;
 
@@ -18,7 +18,7 @@
 
 impl TlsClient {
     pub(crate) fn load(ca_file: &Path, server_name: Option<&str>) -> Result<Self, CtlError> {
-        let config = trusting_client(ca_file)?;
+        let config = client_config(ca_file)?;
         let server_name = match server_name {
             None => None,
             Some(name) => Some(ServerName::try_from(name.to_owned()).map_err(|_| {
--- a/demo/src/client.rs
+++ b/demo/src/client.rs
@@ -89,7 +89,7 @@
 
 /// A completion request.
 #[derive(Clone, Debug)]
-pub struct CompletionAsk {
+pub struct CompletionRequest {
     /// `adapter@version`, or `adapter` for its default version.
     pub model: String,
     /// The prompt text.
@@ -108,7 +108,7 @@
     pub key: Option<String>,
 }
 
-impl Default for CompletionAsk {
+impl Default for CompletionRequest {
     fn default() -> Self {
         Self {
             model: String::new(),
@@ -125,7 +125,7 @@
 
 /// A complete response to a completion request.
 #[derive(Clone, Debug)]
-pub struct CompletionRead {
+pub struct CompletionResponse {
     /// The generated text.
     pub text: String,
     /// Time from sending to the first token, or to the complete response if it was not streamed.
@@ -241,7 +241,10 @@
     /// # Errors
     ///
     /// See [`SiteFailure`].
-    pub async fn complete(&self, call: &CompletionAsk) -> Result<CompletionRead, SiteFailure> {
+    pub async fn complete(
+        &self,
+        call: &CompletionRequest,
+    ) -> Result<CompletionResponse, SiteFailure> {
         let sent = Instant::now();
         let body = json!({
             "model": call.model,
@@ -261,7 +264,7 @@
             .map_err(|error| SiteFailure::Unreadable { detail: error.to_string() })?;
         let text = value.pointer("/choices/0/text").and_then(Value::as_str).unwrap_or_default();
         let took = sent.elapsed();
-        Ok(CompletionRead { text: text.to_owned(), first: took, took, gap: Duration::ZERO })
+        Ok(CompletionResponse { text: text.to_owned(), first: took, took, gap: Duration::ZERO })
     }
 
     /// Sends a request with an optional JSON body and idempotency key, and returns the JSON
@@ -324,7 +327,7 @@
     async fn send(
         &self,
         request: ExchangeRequest,
-    ) -> Result<coltsfoothook_exchange::ExchangeAnswer, SiteFailure> {
+    ) -> Result<coltsfoothook_exchange::ExchangeResponse, SiteFailure> {
         let sent = self.exchange.send(self.address, request).await;
         let response = sent.map_err(|source| SiteFailure::Exchange { source })?;
         if response.status.is_success() {
@@ -338,7 +341,7 @@
     }
 }
 
-fn add_headers(headers: &mut HeaderMap, call: &CompletionAsk) {
+fn add_headers(headers: &mut HeaderMap, call: &CompletionRequest) {
     insert(headers, CLASS_HEADER, call.class);
     insert(headers, REPEATABLE_HEADER, if call.repeatable { "true" } else { "false" });
     if let Some(deadline) = call.deadline_ms {
@@ -356,10 +359,10 @@
 }
 
 async fn read_stream(
-    mut body: coltsfoothook_exchange::AnswerBody,
+    mut body: coltsfoothook_exchange::ResponseBody,
     sent: Instant,
-) -> Result<CompletionRead, SiteFailure> {
-    let mut read = CompletionRead {
+) -> Result<CompletionResponse, SiteFailure> {
+    let mut read = CompletionResponse {
         text: String::new(),
         first: Duration::ZERO,
         took: Duration::ZERO,
--- a/demo/src/lib.rs
+++ b/demo/src/lib.rs
@@ -6,11 +6,11 @@
 //!
 //! ```no_run
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
-//! use coltsfoothook_demo::{CompletionAsk, LocalSite, SiteClient, SiteSettings, credential};
+//! use coltsfoothook_demo::{CompletionRequest, LocalSite, SiteClient, SiteSettings, credential};
 //!
 //! let site = LocalSite::start(SiteSettings::default()).await?;
 //! let client = SiteClient::new(site.callers()[0], &credential(0));
-//! let request = CompletionAsk { model: "adapter-00000@1".into(), ..Default::default() };
+//! let request = CompletionRequest { model: "adapter-00000@1".into(), ..Default::default() };
 //! println!("{}", client.complete(&request).await?.text);
 //! site.stop().await;
 //! # Ok(()) }
@@ -21,7 +21,7 @@
 mod site;
 mod traffic;
 
-pub use client::{CompletionAsk, CompletionRead, SiteClient, SiteFailure};
+pub use client::{CompletionRequest, CompletionResponse, SiteClient, SiteFailure};
 pub use show::{DemoFailure, DemoOptions, DemoReport, run_demo};
 pub use site::{
     FIRST_VERSION, LocalSite, MODEL, OPERATOR_TOKEN, REGION, SERVICE, SiteError, SiteSettings,
--- a/demo/src/site.rs
+++ b/demo/src/site.rs
@@ -16,7 +16,7 @@
 };
 use coltsfoothook_decision::member::{ListedState, ListedVm, MemberPlace};
 use coltsfoothook_entry::{
-    CallerFaceSettings, EntryProcess, EntrySettings, KeySettings, PeerFaceSettings,
+    CallerInterfaceSettings, EntryProcess, EntrySettings, KeySettings, PeerInterfaceSettings,
 };
 use coltsfoothook_settings::SecretFile;
 use coltsfoothook_standin::{
@@ -198,9 +198,12 @@
             region: REGION.into(),
             log: self.platform.address(),
             directory: self.platform.address(),
-            caller: CallerFaceSettings { listen: ANY_PORT, ..self.settings.entry.caller.clone() },
+            caller: CallerInterfaceSettings {
+                listen: ANY_PORT,
+                ..self.settings.entry.caller.clone()
+            },
             operator: coltsfoothook_entry::operator_settings(ANY_PORT),
-            peer: PeerFaceSettings { listen: ANY_PORT, ..self.settings.entry.peer.clone() },
+            peer: PeerInterfaceSettings { listen: ANY_PORT, ..self.settings.entry.peer.clone() },
             keys: KeySettings {
                 loopback_without_tls: true,
                 operator_tokens: vec![SecretFile::new(&self.token)],
--- a/demo/src/traffic.rs
+++ b/demo/src/traffic.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use tokio_util::sync::CancellationToken;
 
-use crate::client::{CompletionAsk, SiteClient, SiteFailure};
+use crate::client::{CompletionRequest, SiteClient, SiteFailure};
 use crate::site::{FIRST_VERSION, SERVICE, adapter_name, credential};
 
 /// Rates and contents of the generated traffic.
@@ -237,7 +237,7 @@
 
     async fn completion(self: Arc<Self>, call: DrawnCall) {
         lock(&self.counts).requests += 1;
-        let request = Arc::new(CompletionAsk {
+        let request = Arc::new(CompletionRequest {
             model: call.model.clone(),
             prompt: call.prompt.clone(),
             max_tokens: call.tokens,
--- a/engine/src/client.rs
+++ b/engine/src/client.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use coltsfoothook_decision::id::{IdempotencyKey, RequestId};
 use coltsfoothook_decision::report::EngineReport;
-use coltsfoothook_exchange::AnswerBody;
+use coltsfoothook_exchange::ResponseBody;
 use http::StatusCode;
 
 use crate::error::{OrderError, RunError};
@@ -118,5 +118,5 @@
     /// Value of `Content-Type`: `text/event-stream` for a stream, `application/json` if absent.
     pub content_type: String,
     /// Response body. Convert an error while reading it with [`RunError::from`].
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
--- a/engine/src/error.rs
+++ b/engine/src/error.rs
@@ -77,7 +77,7 @@
         match error {
             ExchangeError::NotSent { cause } => Self::NotSent { cause },
             ExchangeError::Sent { cause } => Self::Sent { cause },
-            ExchangeError::Broken { cause } => Self::Broken { cause },
+            ExchangeError::BodyFailed { cause } => Self::Broken { cause },
             ExchangeError::TimedOut { stage } => Self::Timeout { stage },
             ExchangeError::TooLarge { limit } => Self::TooLarge { limit },
         }
--- a/engine/src/http_engine.rs
+++ b/engine/src/http_engine.rs
@@ -8,7 +8,8 @@
 use coltsfoothook_decision::id::{OwnerEpoch, RequestId};
 use coltsfoothook_decision::report::EngineReport;
 use coltsfoothook_exchange::{
-    ExchangeAnswer, ExchangeClient, ExchangeError, ExchangeRequest, ExchangeSettings, path_segment,
+    ExchangeClient, ExchangeError, ExchangeRequest, ExchangeResponse, ExchangeSettings,
+    path_segment,
 };
 use coltsfoothook_settings::settings_struct;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, header};
@@ -123,7 +124,7 @@
         mut request: ExchangeRequest,
         timeout_ms: u64,
     ) -> Result<Bytes, OrderError> {
-        request.head_within = Some(Duration::from_millis(timeout_ms));
+        request.head_timeout = Some(Duration::from_millis(timeout_ms));
         let answer = self.client.send(address, request).await?;
         if !answer.status.is_success() {
             return Err(order_error(answer).await);
@@ -166,7 +167,7 @@
             request.headers.insert(IDEMPOTENCY_HEADER, header_value(key.as_str())?);
         }
         request.fresh = !call.repeatable;
-        request.head_within = call.within;
+        request.head_timeout = call.within;
         let result = run_response(self.client.send(address, request).await?).await;
         match result {
             // A run refers to no resource but its slot, so 404 means that the slot is missing.
@@ -240,7 +241,7 @@
     }
 }
 
-async fn run_response(answer: ExchangeAnswer) -> Result<RunAnswer, RunError> {
+async fn run_response(answer: ExchangeResponse) -> Result<RunAnswer, RunError> {
     if !answer.status.is_success() {
         return Err(run_error(answer).await);
     }
@@ -250,7 +251,7 @@
 
 /// Maps an error response of a run. Engines return client errors and 503 only before they begin a run;
 /// any other status may follow a partial run.
-async fn run_error(answer: ExchangeAnswer) -> RunError {
+async fn run_error(answer: ExchangeResponse) -> RunError {
     let status = answer.status;
     let detail = match error_detail(answer).await {
         Ok(detail) => detail,
@@ -264,7 +265,7 @@
     }
 }
 
-async fn order_error(answer: ExchangeAnswer) -> OrderError {
+async fn order_error(answer: ExchangeResponse) -> OrderError {
     let status = answer.status;
     let detail = match error_detail(answer).await {
         Ok(detail) => detail,
@@ -283,7 +284,7 @@
     }
 }
 
-async fn error_detail(answer: ExchangeAnswer) -> Result<ErrorDetail, ExchangeError> {
+async fn error_detail(answer: ExchangeResponse) -> Result<ErrorDetail, ExchangeError> {
     let body = match answer.body.collect(ERROR_BODY_BYTES).await {
         Ok(body) => body,
         // The status is enough to classify the error; only the message is lost.
--- a/entry/src/jobs.rs
+++ b/entry/src/jobs.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use coltsfoothook_caller::{
-    AnswerBody, CallProblem, CompletionCall, CompletionKind, FaceReason, JobCall, JobResult,
+    AnswerBody, CallProblem, CompletionCall, CompletionKind, InterfaceReason, JobCall, JobResult,
     JobState, JobStatus, parse_completion,
 };
 use coltsfoothook_decision::id::{CustomerName, JobId, RequestFingerprint};
@@ -220,7 +220,7 @@
 
 fn outcome_unknown(detail: &str) -> CallProblem {
     let detail = format!("{detail}; submit it again under the same id");
-    CallProblem::ended(FaceReason::AnswerLost, RequestOutcome::Unknown, detail)
+    CallProblem::ended(InterfaceReason::AnswerLost, RequestOutcome::Unknown, detail)
         .with_retry(LOG_RETRY_MS)
 }
 
@@ -272,7 +272,7 @@
         let detail = "the log cannot be read, so the job may exist";
         return CallProblem::refused(RefusalReason::LogUnavailable, LOG_RETRY_MS, detail);
     }
-    CallProblem::not_run(FaceReason::UnknownJob, format!("there is no job {job}"))
+    CallProblem::not_run(InterfaceReason::UnknownJob, format!("there is no job {job}"))
 }
 
 /// Returns a job's result, or an error while there is none or if the job failed.
@@ -286,7 +286,7 @@
     let row = fold.row(tenant.as_str(), job.as_str()).ok_or_else(|| unknown_job(core, job))?;
     match row.end() {
         None => Err(CallProblem::ended(
-            FaceReason::JobUnfinished,
+            InterfaceReason::JobUnfinished,
             RequestOutcome::Unknown,
             format!("job {job} has no result yet"),
         )
@@ -296,7 +296,7 @@
             Ok(JobResult { content_type: RESULT_CONTENT_TYPE.to_owned(), body })
         }
         Some(end) => {
-            Err(CallProblem::ended(FaceReason::BackendFailed, end.outcome, end.result.clone()))
+            Err(CallProblem::ended(InterfaceReason::BackendFailed, end.outcome, end.result.clone()))
         }
     }
 }
--- a/entry/src/lib.rs
+++ b/entry/src/lib.rs
@@ -48,5 +48,5 @@
 
 pub use process::{EntryAddresses, EntryError, EntryProcess};
 pub use settings::{
-    CallerFaceSettings, EntrySettings, KeySettings, PeerFaceSettings, operator_settings,
+    CallerInterfaceSettings, EntrySettings, KeySettings, PeerInterfaceSettings, operator_settings,
 };
--- a/entry/src/peers.rs
+++ b/entry/src/peers.rs
@@ -17,12 +17,12 @@
 use crate::held::lock;
 use crate::own::{answer_held, not_owner};
 use crate::release::apply_release;
-use crate::roster::{RosterDriver, answer_catch_up};
+use crate::roster::{MembershipDriver, answer_catch_up};
 
 /// Serves requests of other VMs from the shared state.
 pub(crate) struct PeerInterface {
     pub(crate) core: Arc<EntryCore>,
-    pub(crate) roster: Arc<RosterDriver>,
+    pub(crate) roster: Arc<MembershipDriver>,
 }
 
 #[async_trait]
--- a/entry/src/process.rs
+++ b/entry/src/process.rs
@@ -33,7 +33,7 @@
 use crate::operate::{OperatorInterface, OperatorTokens};
 use crate::peers::PeerInterface;
 use crate::release::{ReleaseQueue, run_releases};
-use crate::roster::{RosterDriver, run_catch_up, run_listing, run_roster, run_takeovers};
+use crate::roster::{MembershipDriver, poll_vm_list, run_catch_up, run_membership, run_takeovers};
 use crate::settings::EntrySettings;
 use crate::snapshots::run_snapshots;
 use crate::write::{StreamWriter, WriterParts, health_callback};
@@ -87,7 +87,7 @@
 /// A running entry process.
 pub struct EntryProcess {
     core: Arc<EntryCore>,
-    roster: Arc<RosterDriver>,
+    roster: Arc<MembershipDriver>,
     caller: CallerServer,
     operator: OperatorServer,
     peer: PeerServer,
@@ -117,7 +117,7 @@
         let tokens = Arc::new(tokens);
         let keys = crate::tls::EntryKeys::load(&settings)?;
         let (core, receiver) = build_core(settings, keys.peer_client.clone())?;
-        let roster = Arc::new(RosterDriver::new(Arc::clone(&core)));
+        let roster = Arc::new(MembershipDriver::new(Arc::clone(&core)));
         let handler = PeerInterface { core: Arc::clone(&core), roster: Arc::clone(&roster) };
         let peer = PeerServer::start(
             core.settings.peer_settings(),
@@ -326,14 +326,14 @@
 
 fn spawn_tasks(
     core: &Arc<EntryCore>,
-    roster: &Arc<RosterDriver>,
+    roster: &Arc<MembershipDriver>,
     receiver: tokio::sync::mpsc::UnboundedReceiver<crate::release::PendingRelease>,
 ) {
     for stream in FollowedStream::ALL {
         tokio::spawn(follow_stream(Arc::clone(core), stream));
     }
-    tokio::spawn(run_roster(Arc::clone(roster)));
-    tokio::spawn(run_listing(Arc::clone(roster)));
+    tokio::spawn(run_membership(Arc::clone(roster)));
+    tokio::spawn(poll_vm_list(Arc::clone(roster)));
     tokio::spawn(run_takeovers(Arc::clone(core)));
     tokio::spawn(run_catch_up(Arc::clone(core)));
     tokio::spawn(run_releases(Arc::clone(core), receiver));
--- a/entry/src/roster.rs
+++ b/entry/src/roster.rs
@@ -45,16 +45,16 @@
 const INDIRECT_TIMEOUT_FACTOR: u32 = 2;
 
 /// Connects the membership table to the network: sends its probes and answers those of other VMs.
-pub(crate) struct RosterDriver {
+pub(crate) struct MembershipDriver {
     core: Arc<EntryCore>,
     rng: std::sync::Mutex<Pcg64>,
     pending_replies: std::sync::Mutex<Vec<(u64, oneshot::Sender<ProbeReply>)>>,
     next_call: std::sync::atomic::AtomicU64,
-    /// Cancelled when [`RosterDriver::begin`] has set this VM's addresses.
+    /// Cancelled when [`MembershipDriver::begin`] has set this VM's addresses.
     started: CancellationToken,
 }
 
-impl RosterDriver {
+impl MembershipDriver {
     pub(crate) fn new(core: Arc<EntryCore>) -> Self {
         let rng = Pcg64::seed_from_u64(core.me.incarnation.0);
         Self {
@@ -166,7 +166,7 @@
 }
 
 /// Sends ticks and changes of this VM's own facts to the membership table until the process ends.
-pub(crate) async fn run_roster(driver: Arc<RosterDriver>) {
+pub(crate) async fn run_membership(driver: Arc<MembershipDriver>) {
     let mut reported = None;
     let stop = driver.core.closing.clone();
     loop {
@@ -205,7 +205,7 @@
 }
 
 /// Polls the platform's list of VMs until the process ends.
-pub(crate) async fn run_listing(driver: Arc<RosterDriver>) {
+pub(crate) async fn poll_vm_list(driver: Arc<MembershipDriver>) {
     let core = Arc::clone(&driver.core);
     let mut down = false;
     let mut listings = 0_u32;
@@ -253,7 +253,7 @@
 /// Requests from other VMs the state that this one cannot read from the log, until the process
 /// ends.
 pub(crate) async fn run_catch_up(core: Arc<EntryCore>) {
-    // The rotation makes the sequence differ from that of `RosterDriver`.
+    // The rotation makes the sequence differ from that of `MembershipDriver`.
     let mut rng = Pcg64::seed_from_u64(core.me.incarnation.0.rotate_left(17));
     while !core.closing.is_cancelled() {
         sleep(CATCH_UP_INTERVAL).await;
--- a/entry/src/serve.rs
+++ b/entry/src/serve.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use coltsfoothook_caller::{
-    AnswerBody, CallProblem, CompletionAnswer, CompletionCall, CompletionKind, FaceReason,
+    AnswerBody, CallProblem, CompletionAnswer, CompletionCall, CompletionKind, InterfaceReason,
     ProblemReason,
 };
 use coltsfoothook_decision::attempt::{AttemptNext, AttemptState, CallStage};
@@ -40,7 +40,7 @@
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 const RETRY_DELAY_FACTOR: u32 = 4;
 /// Maximum wait, before a retry, until the owner knows how the previous attempt ended.
-pub(crate) const RELEASE_WAIT: Duration = Duration::from_millis(1_000);
+pub(crate) const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Retry delay returned when a request was refused before it was sent to an engine.
 const NOT_RUN_RETRY_MS: u64 = 1_000;
 const STREAM_CONTENT_TYPE: &str = "text/event-stream";
@@ -73,10 +73,10 @@
 }
 
 impl FailedAttempt {
-    /// Waits until the owner knows how the attempt ended, at most [`RELEASE_WAIT`].
+    /// Waits until the owner knows how the attempt ended, at most [`RELEASE_TIMEOUT`].
     pub(crate) async fn wait_released(&mut self) {
         if let Some(released) = self.released.take() {
-            let _ = timeout(RELEASE_WAIT, released).await;
+            let _ = timeout(RELEASE_TIMEOUT, released).await;
         }
     }
 
@@ -527,7 +527,7 @@
 }
 
 fn answer_lost(detail: &str) -> CallProblem {
-    CallProblem::ended(FaceReason::AnswerLost, RequestOutcome::Unknown, detail)
+    CallProblem::ended(InterfaceReason::AnswerLost, RequestOutcome::Unknown, detail)
 }
 
 /// Maps an engine error to the stage of the failure, records the grant's end and releases the
@@ -536,32 +536,34 @@
     let (stage, end, reason) = match error {
         RunError::NotSent { .. }
         | RunError::Timeout { stage: coltsfoothook_exchange::ExchangeStage::Connect } => {
-            (CallStage::Connecting, GrantEnd::Unreachable, FaceReason::BackendFailed)
+            (CallStage::Connecting, GrantEnd::Unreachable, InterfaceReason::BackendFailed)
         }
         RunError::SlotMissing => {
-            (CallStage::SlotMissing, GrantEnd::SlotMissing, FaceReason::BackendFailed)
+            (CallStage::SlotMissing, GrantEnd::SlotMissing, InterfaceReason::BackendFailed)
         }
         RunError::Refused { status, .. } if rejects_request(*status) => {
-            (CallStage::RequestRejected, GrantEnd::Failed, FaceReason::BackendFailed)
+            (CallStage::RequestRejected, GrantEnd::Failed, InterfaceReason::BackendFailed)
         }
         RunError::Refused { .. } => {
-            (CallStage::ServerRefused, GrantEnd::NotRun, FaceReason::BackendFailed)
+            (CallStage::ServerRefused, GrantEnd::NotRun, InterfaceReason::BackendFailed)
         }
         RunError::Failed { .. } => {
-            (CallStage::ServerFailed, GrantEnd::Failed, FaceReason::BackendFailed)
+            (CallStage::ServerFailed, GrantEnd::Failed, InterfaceReason::BackendFailed)
         }
         RunError::Sent { .. } => {
-            (CallStage::SentNoAnswer, GrantEnd::Broken, FaceReason::AnswerLost)
+            (CallStage::SentNoAnswer, GrantEnd::Broken, InterfaceReason::AnswerLost)
         }
         RunError::Timeout { stage: coltsfoothook_exchange::ExchangeStage::Head } => {
-            (CallStage::SentTimeout, GrantEnd::Cancelled, FaceReason::DeadlineExceeded)
+            (CallStage::SentTimeout, GrantEnd::Cancelled, InterfaceReason::DeadlineExceeded)
         }
         RunError::Timeout { .. } => {
-            (CallStage::AnswerStalled, GrantEnd::Cancelled, FaceReason::DeadlineExceeded)
+            (CallStage::AnswerStalled, GrantEnd::Cancelled, InterfaceReason::DeadlineExceeded)
+        }
+        RunError::Broken { .. } => {
+            (CallStage::InAnswer, GrantEnd::Broken, InterfaceReason::AnswerLost)
         }
-        RunError::Broken { .. } => (CallStage::InAnswer, GrantEnd::Broken, FaceReason::AnswerLost),
         RunError::TooLarge { .. } => {
-            (CallStage::AnswerCut, GrantEnd::Broken, FaceReason::AnswerLost)
+            (CallStage::AnswerCut, GrantEnd::Broken, InterfaceReason::AnswerLost)
         }
     };
     hold.end(end, 0);
--- a/entry/src/services.rs
+++ b/entry/src/services.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use coltsfoothook_caller::{AnswerBody, CallProblem, FaceReason, ServiceAnswer, ServiceCall};
+use coltsfoothook_caller::{AnswerBody, CallProblem, InterfaceReason, ServiceAnswer, ServiceCall};
 use coltsfoothook_decision::attempt::{AttemptNext, AttemptState, CallStage};
 use coltsfoothook_decision::id::{MICROS_PER_MILLI, ServerName};
 use coltsfoothook_decision::message::StepKind;
@@ -106,7 +106,7 @@
     let view = core.view();
     let Some(service) = view.manifest.service(call.service.as_str()) else {
         let detail = format!("there is no service {}", call.service);
-        return Err(CallProblem::not_run(FaceReason::UnknownService, detail));
+        return Err(CallProblem::not_run(InterfaceReason::UnknownService, detail));
     };
     if service.tenants.binary_search(&call.tenant).is_err() {
         let detail = format!("{} may not call {}", call.tenant, call.service);
@@ -223,7 +223,7 @@
             Some(Ok(chunk)) => Some((Ok(chunk), Some((run, body)))),
             Some(Err(error)) => {
                 let outcome = RequestOutcome::Unknown;
-                let reason = FaceReason::AnswerLost;
+                let reason = InterfaceReason::AnswerLost;
                 Some((Err(CallProblem::ended(reason, outcome, error.to_string())), None))
             }
             None => {
@@ -240,13 +240,13 @@
     if status.is_server_error() { RequestOutcome::Failed } else { RequestOutcome::Done }
 }
 
-fn stage_of(error: &ServiceError) -> (CallStage, FaceReason) {
+fn stage_of(error: &ServiceError) -> (CallStage, InterfaceReason) {
     match error {
         ServiceError::NotSent { .. } | ServiceError::Timeout { stage: ExchangeStage::Connect } => {
-            (CallStage::Connecting, FaceReason::BackendFailed)
+            (CallStage::Connecting, InterfaceReason::BackendFailed)
         }
-        ServiceError::Sent { .. } => (CallStage::SentNoAnswer, FaceReason::AnswerLost),
-        ServiceError::Timeout { .. } => (CallStage::SentTimeout, FaceReason::DeadlineExceeded),
-        _ => (CallStage::InAnswer, FaceReason::AnswerLost),
+        ServiceError::Sent { .. } => (CallStage::SentNoAnswer, InterfaceReason::AnswerLost),
+        ServiceError::Timeout { .. } => (CallStage::SentTimeout, InterfaceReason::DeadlineExceeded),
+        _ => (CallStage::InAnswer, InterfaceReason::AnswerLost),
     }
 }
--- a/entry/src/settings.rs
+++ b/entry/src/settings.rs
@@ -13,7 +13,7 @@
 
 settings_struct! {
     /// Settings of the caller interface.
-    pub struct CallerFaceSettings {
+    pub struct CallerInterfaceSettings {
         /// Address to listen at for callers.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 8080));
         /// Maximum size of a request body in bytes.
@@ -31,7 +31,7 @@
 
 settings_struct! {
     /// Settings of the interface to other entry VMs.
-    pub struct PeerFaceSettings {
+    pub struct PeerInterfaceSettings {
         /// Address to listen at for other VMs.
         pub listen: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 8082));
         /// Maximum size of a message in bytes; a snapshot of the configuration must fit.
@@ -78,11 +78,11 @@
         /// Address of the platform's list of VMs.
         pub directory: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 7100));
         /// Caller interface.
-        pub caller: CallerFaceSettings = CallerFaceSettings::default();
+        pub caller: CallerInterfaceSettings = CallerInterfaceSettings::default();
         /// Operator interface.
         pub operator: OperatorSettings = OperatorSettings::default();
         /// Interface to other VMs.
-        pub peer: PeerFaceSettings = PeerFaceSettings::default();
+        pub peer: PeerInterfaceSettings = PeerInterfaceSettings::default();
         /// Keys and certificates.
         pub keys: KeySettings = KeySettings::default();
         /// Milliseconds between two reports that a group owner requests from an engine.
--- a/entry/src/stream.rs
+++ b/entry/src/stream.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coltsfoothook_caller::{AnswerStream, CallProblem, CompletionKind, FaceReason};
+use coltsfoothook_caller::{AnswerStream, CallProblem, CompletionKind, InterfaceReason};
 use coltsfoothook_decision::grant::{GrantEnd, RequestSpec};
 use coltsfoothook_decision::id::TimePoint;
 use coltsfoothook_decision::invariant::InvariantName;
 use coltsfoothook_decision::message::StepKind;
 use coltsfoothook_decision::outcome::RequestOutcome;
 use coltsfoothook_engine::RunError;
-use coltsfoothook_exchange::AnswerBody;
+use coltsfoothook_exchange::ResponseBody;
 use coltsfoothook_telemetry::event;
 use futures::{StreamExt, stream};
 use serde_json::Value;
@@ -21,7 +21,7 @@
 use crate::answer::AnswerFilter;
 use crate::hold::GrantHold;
 use crate::measure::micro_seconds;
-use crate::serve::{RELEASE_WAIT, RequestRun, attempt_once, check_right_slot};
+use crate::serve::{RELEASE_TIMEOUT, RequestRun, attempt_once, check_right_slot};
 
 /// Maximum resumptions of one stream at one engine.
 const MAX_RESUMES: u32 = 3;
@@ -39,7 +39,7 @@
     spec: RequestSpec,
     hold: GrantHold,
     filter: AnswerFilter,
-    body: AnswerBody,
+    body: ResponseBody,
     last_event_at: TimePoint,
     resumes: u32,
     continuations: u32,
@@ -57,7 +57,7 @@
         spec: RequestSpec,
         hold: GrantHold,
         filter: AnswerFilter,
-        body: AnswerBody,
+        body: ResponseBody,
     ) -> Self {
         let last_event_at = run.core.clock.now();
         Self { run, spec, hold, filter, body, last_event_at, resumes: 0, continuations: 0 }
@@ -84,7 +84,7 @@
             let now = self.run.core.clock.now();
             if self.run.deadline.passed(now) {
                 return self
-                    .fail(FaceReason::DeadlineExceeded, "the deadline passed in the answer");
+                    .fail(InterfaceReason::DeadlineExceeded, "the deadline passed in the answer");
             }
             let error = match self.body.next().await {
                 Some(Ok(chunk)) => match self.take(&chunk) {
@@ -103,7 +103,7 @@
                 return StreamStep::Forward(first);
             }
             let detail = format!("the answer's stream broke: {error}");
-            return self.fail(FaceReason::AnswerLost, &detail);
+            return self.fail(InterfaceReason::AnswerLost, &detail);
         }
     }
 
@@ -119,7 +119,7 @@
             }
             Err(error) => {
                 check_right_slot(&core, &error);
-                Some(self.fail(FaceReason::AnswerLost, &error.to_string()))
+                Some(self.fail(InterfaceReason::AnswerLost, &error.to_string()))
             }
         }
     }
@@ -156,7 +156,7 @@
             return None;
         }
         self.extend_prompt()?;
-        let _ = timeout(RELEASE_WAIT, self.hold.give_back()).await;
+        let _ = timeout(RELEASE_TIMEOUT, self.hold.give_back()).await;
         let core = Arc::clone(&self.run.core);
         while self.continuations < MAX_CONTINUATIONS {
             self.continuations += 1;
@@ -212,7 +212,7 @@
         StreamStep::End
     }
 
-    fn fail(&mut self, reason: FaceReason, detail: &str) -> StreamStep {
+    fn fail(&mut self, reason: InterfaceReason, detail: &str) -> StreamStep {
         self.run.tokens += self.filter.tokens();
         self.run.end(RequestOutcome::Unknown);
         StreamStep::Fail(CallProblem::ended(reason, RequestOutcome::Unknown, detail))
--- a/entry/tests/suite/bench.rs
+++ b/entry/tests/suite/bench.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use coltsfoothook_demo::{
-    CompletionAsk, CompletionRead, FIRST_VERSION, LocalSite, SiteClient, SiteFailure, SiteSettings,
-    adapter_name, credential,
+    CompletionRequest, CompletionResponse, FIRST_VERSION, LocalSite, SiteClient, SiteFailure,
+    SiteSettings, adapter_name, credential,
 };
 use coltsfoothook_standin::{prompt_hash, read_answer};
 use tokio::time::{Instant, sleep};
@@ -30,8 +30,8 @@
 
 /// Returns a completion of the adapter with the number `adapter`; the first customer may use the
 /// even ones.
-pub fn completion(adapter: usize, prompt: &str) -> CompletionAsk {
-    CompletionAsk {
+pub fn completion(adapter: usize, prompt: &str) -> CompletionRequest {
+    CompletionRequest {
         model: format!("{}@{FIRST_VERSION}", adapter_name(adapter)),
         prompt: prompt.to_owned(),
         ..Default::default()
@@ -39,7 +39,7 @@
 }
 
 /// Asserts that an answer is complete and comes from the requested adapter and prompt.
-pub fn assert_right(completion: &CompletionAsk, read: &CompletionRead) {
+pub fn assert_right(completion: &CompletionRequest, read: &CompletionResponse) {
     let proof = read_answer(&read.text).expect("the answer comes from one generation");
     assert_eq!(proof.adapter, completion.model);
     assert_eq!(proof.prompt, prompt_hash(&completion.prompt));
@@ -47,7 +47,7 @@
 }
 
 /// Repeats a completion until it succeeds; an outcome other than "not run" fails the test.
-pub async fn until_done(client: &SiteClient, completion: &CompletionAsk) -> CompletionRead {
+pub async fn until_done(client: &SiteClient, completion: &CompletionRequest) -> CompletionResponse {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
         match client.complete(completion).await {
--- a/entry/tests/suite/caller_gone.rs
+++ b/entry/tests/suite/caller_gone.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use coltsfoothook_demo::CompletionAsk;
+use coltsfoothook_demo::CompletionRequest;
 use tokio::time::timeout;
 
 use crate::bench::{client, close, completion, owner, small_site, until_done, wait_until};
@@ -14,7 +14,7 @@
     for vm in [own, (own + 1) % 3] {
         let caller = client(&site, vm);
         until_done(&caller, &completion(0, "before")).await;
-        let long = CompletionAsk { max_tokens: 4_000, ..completion(0, "long") };
+        let long = CompletionRequest { max_tokens: 4_000, ..completion(0, "long") };
         let disconnected = timeout(Duration::from_millis(300), caller.complete(&long)).await;
         assert!(disconnected.is_err(), "the stream ended before its caller disconnected");
     }
--- a/entry/tests/suite/engine_restart.rs
+++ b/entry/tests/suite/engine_restart.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use coltsfoothook_demo::CompletionAsk;
+use coltsfoothook_demo::CompletionRequest;
 use coltsfoothook_standin::{EngineFaults, RunCut};
 
 use crate::bench::{client, close, completion, small_site, until_done};
@@ -32,7 +32,8 @@
         engine.set_faults(EngineFaults { cut: RunCut::Amid, cut_next: 1, ..Default::default() });
     }
     for number in 0..3 {
-        let request = CompletionAsk { max_tokens: 40, ..completion(0, &format!("cut {number}")) };
+        let request =
+            CompletionRequest { max_tokens: 40, ..completion(0, &format!("cut {number}")) };
         let read = caller.complete(&request).await.unwrap();
         crate::bench::assert_right(&request, &read);
     }
@@ -49,7 +50,7 @@
     for engine in &site.engines {
         engine.set_faults(EngineFaults { cut: RunCut::After, cut_next: 1, ..Default::default() });
     }
-    let once = CompletionAsk {
+    let once = CompletionRequest {
         repeatable: false,
         key: Some("incident-1".into()),
         stream: false,
--- a/entry/tests/suite/graceful_stop.rs
+++ b/entry/tests/suite/graceful_stop.rs
@@ -1,4 +1,4 @@
-use coltsfoothook_demo::CompletionAsk;
+use coltsfoothook_demo::CompletionRequest;
 use tokio::time::sleep;
 
 use crate::bench::{
@@ -13,7 +13,7 @@
     let stopping = owner(&site);
     let caller = client(&site, stopping);
     until_done(&caller, &completion(0, "before")).await;
-    let long = CompletionAsk { max_tokens: 600, ..completion(0, "long") };
+    let long = CompletionRequest { max_tokens: 600, ..completion(0, "long") };
     let streamed = tokio::spawn({
         let (caller, long) = (caller.clone(), long.clone());
         async move { caller.complete(&long).await }
--- a/entry/tests/suite/log_outage.rs
+++ b/entry/tests/suite/log_outage.rs
@@ -1,4 +1,4 @@
-use coltsfoothook_demo::{CompletionAsk, OPERATOR_TOKEN, SERVICE, SiteClient};
+use coltsfoothook_demo::{CompletionRequest, OPERATOR_TOKEN, SERVICE, SiteClient};
 use coltsfoothook_standin::{OutageKind, PlatformFaults};
 use http::Method;
 use serde_json::json;
@@ -60,7 +60,7 @@
     site.platform.set_faults(log_down());
     site.kill_vm(failing).await;
     until_done(&caller, &completion(0, "without an owner")).await;
-    let cold = CompletionAsk { deadline_ms: Some(1_500), ..completion(6, "cold") };
+    let cold = CompletionRequest { deadline_ms: Some(1_500), ..completion(6, "cold") };
     let failure = caller.complete(&cold).await.unwrap_err();
     assert_eq!(failure.outcome(), "not_run", "{failure}");
     site.platform.set_faults(PlatformFaults::default());
--- a/entry/tests/suite/owner_dies.rs
+++ b/entry/tests/suite/owner_dies.rs
@@ -1,4 +1,4 @@
-use coltsfoothook_demo::{CompletionAsk, LocalSite, SiteSettings};
+use coltsfoothook_demo::{CompletionRequest, LocalSite, SiteSettings};
 
 use crate::bench::{client, close, completion, owner, small_site, until_done, wait_until};
 
@@ -47,7 +47,7 @@
         until_done(&caller, &completion(adapter, "fills a slot")).await;
     }
     site.kill_vm(failing).await;
-    until_done(&caller, &CompletionAsk { deadline_ms: Some(20_000), ..completion(4, "cold") })
+    until_done(&caller, &CompletionRequest { deadline_ms: Some(20_000), ..completion(4, "cold") })
         .await;
     close(site).await;
 }
--- a/entry/tests/suite/poison_request.rs
+++ b/entry/tests/suite/poison_request.rs
@@ -1,4 +1,4 @@
-use coltsfoothook_demo::{CompletionAsk, LocalSite, SiteSettings};
+use coltsfoothook_demo::{CompletionRequest, LocalSite, SiteSettings};
 use coltsfoothook_standin::EngineFaults;
 
 use crate::bench::{assert_right, client, close, completion, until_done};
@@ -29,7 +29,7 @@
         })
     });
     let good: Vec<_> = good.collect();
-    let poison = CompletionAsk { deadline_ms: Some(20_000), ..completion(0, MARK) };
+    let poison = CompletionRequest { deadline_ms: Some(20_000), ..completion(0, MARK) };
     let mut last = None;
     for number in 0..12 {
         let failure = client(&site, number % 3).complete(&poison).await.unwrap_err();
--- a/entry/tests/suite/whole_path.rs
+++ b/entry/tests/suite/whole_path.rs
@@ -1,6 +1,6 @@
 use std::time::{Duration, Instant};
 
-use coltsfoothook_demo::{CompletionAsk, SERVICE};
+use coltsfoothook_demo::{CompletionRequest, SERVICE};
 use http::Method;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -14,7 +14,7 @@
     let site = small_site(false).await;
     for adapter in [0, 2, 4, 6, 0, 4] {
         for vm in 0..3 {
-            let request = CompletionAsk { stream: vm != 1, ..completion(adapter, "chiller 7") };
+            let request = CompletionRequest { stream: vm != 1, ..completion(adapter, "chiller 7") };
             until_done(&client(&site, vm), &request).await;
         }
     }
@@ -51,7 +51,7 @@
 async fn wrong_names() {
     let site = small_site(true).await;
     let caller = client(&site, 2);
-    let unknown = CompletionAsk { model: "adapter-00000@9".into(), ..completion(0, "x") };
+    let unknown = CompletionRequest { model: "adapter-00000@9".into(), ..completion(0, "x") };
     let failure = caller.complete(&unknown).await.unwrap_err();
     assert_eq!(verdict(&failure), ("not_run", "unknown_adapter"));
     let failure = caller.complete(&completion(1, "x")).await.unwrap_err();
--- a/exchange/src/answer.rs
+++ b/exchange/src/answer.rs
@@ -19,21 +19,21 @@
 
 /// A response head with its body, which is still to be read.
 #[derive(Debug)]
-pub struct ExchangeAnswer {
+pub struct ExchangeResponse {
     /// The status code, of any class; the client does not turn error statuses into errors.
     pub status: StatusCode,
     /// The headers as received.
     pub headers: HeaderMap,
     /// The body, to be read to its end for the connection to be reused.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
 /// A response body as a stream of data chunks.
 ///
-/// Each chunk must arrive within [`crate::ExchangeRequest::piece_within`]. Reading to the end
+/// Each chunk must arrive within [`crate::ExchangeRequest::chunk_timeout`]. Reading to the end
 /// returns the connection to the pool; dropping the body earlier closes the connection, so that the
 /// server sees the cancellation.
-pub struct AnswerBody {
+pub struct ResponseBody {
     body: BodyStream<Incoming>,
     chunk_timeout: Duration,
     timer: Pin<Box<Sleep>>,
@@ -43,7 +43,7 @@
     finished: bool,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(crate) fn new(
         body: Incoming,
         chunk_timeout: Duration,
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// [`ExchangeError::TooLarge`] if it is longer than `limit` bytes, and
-    /// [`ExchangeError::Broken`] or [`ExchangeError::TimedOut`] if it did not arrive in full. The
+    /// [`ExchangeError::BodyFailed`] or [`ExchangeError::TimedOut`] if it did not arrive in full. The
     /// connection is closed in each case.
     pub async fn collect(mut self, limit: usize) -> Result<Bytes, ExchangeError> {
         let mut collected = BytesMut::new();
@@ -95,7 +95,7 @@
     }
 }
 
-impl Stream for AnswerBody {
+impl Stream for ResponseBody {
     type Item = Result<Bytes, ExchangeError>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -114,7 +114,7 @@
                 }
                 Poll::Ready(Some(Err(error))) => {
                     let cause = error_chain(&error);
-                    return self.fail(ExchangeError::Broken { cause });
+                    return self.fail(ExchangeError::BodyFailed { cause });
                 }
                 Poll::Ready(None) => {
                     self.finish();
@@ -133,7 +133,7 @@
     }
 }
 
-impl std::fmt::Debug for AnswerBody {
+impl std::fmt::Debug for ResponseBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("AnswerBody").field("address", &self.address).finish_non_exhaustive()
     }
--- a/exchange/src/client.rs
+++ b/exchange/src/client.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::answer::{AnswerBody, ExchangeAnswer};
+use crate::answer::{ExchangeResponse, ResponseBody};
 use crate::counted::{CountedStream, WrittenCount};
 use crate::error::{ExchangeError, ExchangeStage};
 use crate::pool::{ConnectionPool, IdleTimeouts, OpenConnection};
@@ -64,9 +64,9 @@
     /// new connection yields [`ExchangeError::NotSent`].
     pub fresh: bool,
     /// Timeout for the response head; `None` means [`ExchangeSettings::head_ms`].
-    pub head_within: Option<Duration>,
+    pub head_timeout: Option<Duration>,
     /// Timeout for each chunk of the body; `None` means [`ExchangeSettings::body_ms`].
-    pub piece_within: Option<Duration>,
+    pub chunk_timeout: Option<Duration>,
 }
 
 impl ExchangeRequest {
@@ -79,8 +79,8 @@
             headers: HeaderMap::new(),
             body: Bytes::new(),
             fresh: false,
-            head_within: None,
-            piece_within: None,
+            head_timeout: None,
+            chunk_timeout: None,
         }
     }
 
@@ -150,12 +150,12 @@
         &self,
         address: SocketAddr,
         request: ExchangeRequest,
-    ) -> Result<ExchangeAnswer, ExchangeError> {
+    ) -> Result<ExchangeResponse, ExchangeError> {
         let fresh = request.fresh;
-        let piece_within =
-            request.piece_within.unwrap_or(Duration::from_millis(self.settings.body_ms));
-        let head_within =
-            request.head_within.unwrap_or(Duration::from_millis(self.settings.head_ms));
+        let chunk_timeout =
+            request.chunk_timeout.unwrap_or(Duration::from_millis(self.settings.body_ms));
+        let head_timeout =
+            request.head_timeout.unwrap_or(Duration::from_millis(self.settings.head_ms));
         let mut message = request.into_http(address)?;
         loop {
             let pooled = if fresh { None } else { self.pool.take(address) };
@@ -164,9 +164,9 @@
                 None => self.connect(address).await?,
             };
             let reused = connection.reused;
-            message = match self.attempt(connection, message, head_within).await {
+            message = match self.attempt(connection, message, head_timeout).await {
                 Ok((connection, response)) => {
-                    return Ok(self.build_answer(address, connection, response, piece_within));
+                    return Ok(self.build_answer(address, connection, response, chunk_timeout));
                 }
                 // Hyper returns the message only if it wrote none of it, so sending it on another
                 // connection cannot run the request twice. This is the case of a pooled connection
@@ -223,10 +223,10 @@
         &self,
         mut connection: OpenConnection,
         message: Request<Full<Bytes>>,
-        head_within: Duration,
+        head_timeout: Duration,
     ) -> Result<(OpenConnection, http::Response<Incoming>), AttemptFailure> {
         let written_before = connection.written.get();
-        let result = timeout(head_within, connection.sender.try_send_request(message)).await;
+        let result = timeout(head_timeout, connection.sender.try_send_request(message)).await;
         let Ok(result) = result else {
             let unwritten = connection.written.seal() == written_before;
             let stage = if unwritten { ExchangeStage::Connect } else { ExchangeStage::Head };
@@ -254,11 +254,11 @@
         mut connection: OpenConnection,
         response: http::Response<Incoming>,
         chunk_timeout: Duration,
-    ) -> ExchangeAnswer {
+    ) -> ExchangeResponse {
         let (parts, body) = response.into_parts();
         connection.idle_timeout = advertised_idle_timeout(&parts.headers);
-        let body = AnswerBody::new(body, chunk_timeout, address, connection, self.pool.clone());
-        ExchangeAnswer { status: parts.status, headers: parts.headers, body }
+        let body = ResponseBody::new(body, chunk_timeout, address, connection, self.pool.clone());
+        ExchangeResponse { status: parts.status, headers: parts.headers, body }
     }
 }
 
--- a/exchange/src/error.rs
+++ b/exchange/src/error.rs
@@ -32,7 +32,7 @@
     },
     /// The response head arrived, but its body ended early or was malformed.
     #[snafu(display("answer cut: {cause}"))]
-    Broken {
+    BodyFailed {
         /// The underlying error with its sources, for logs.
         cause: String,
     },
--- a/exchange/src/lib.rs
+++ b/exchange/src/lib.rs
@@ -25,6 +25,6 @@
 mod error;
 mod pool;
 
-pub use answer::{AnswerBody, ExchangeAnswer};
+pub use answer::{ExchangeResponse, ResponseBody};
 pub use client::{ExchangeClient, ExchangeRequest, ExchangeSettings, path_segment};
 pub use error::{ExchangeError, ExchangeStage};
--- a/exchange/tests/suite/odd_servers.rs
+++ b/exchange/tests/suite/odd_servers.rs
@@ -4,7 +4,8 @@
 
 use bytes::Bytes;
 use coltsfoothook_exchange::{
-    ExchangeAnswer, ExchangeClient, ExchangeError, ExchangeRequest, ExchangeSettings, path_segment,
+    ExchangeClient, ExchangeError, ExchangeRequest, ExchangeResponse, ExchangeSettings,
+    path_segment,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -57,7 +58,7 @@
     ExchangeClient::new(settings)
 }
 
-async fn send(address: SocketAddr) -> Result<ExchangeAnswer, ExchangeError> {
+async fn send(address: SocketAddr) -> Result<ExchangeResponse, ExchangeError> {
     client(ExchangeSettings::default()).send(address, ExchangeRequest::post_json("/x", "{}")).await
 }
 
@@ -81,7 +82,7 @@
     for answer in [with_length, chunked] {
         let (address, _requests) = faulty_server(vec![answer]).await;
         let error = send(address).await.unwrap().body.collect(100).await.unwrap_err();
-        assert!(matches!(error, ExchangeError::Broken { .. }), "{error:?}");
+        assert!(matches!(error, ExchangeError::BodyFailed { .. }), "{error:?}");
     }
 }
 
--- a/gateway/src/answer.rs
+++ b/gateway/src/answer.rs
@@ -1,7 +1,7 @@
 //! Builds the answers that callers receive.
 
 use bytes::Bytes;
-use coltsfoothook_platform::mark_answer;
+use coltsfoothook_platform::set_request_id;
 use futures::stream::Stream;
 use http::{HeaderMap, HeaderValue, Response, StatusCode, header};
 use http_body_util::combinators::UnsyncBoxBody;
@@ -51,7 +51,7 @@
 ) -> Response<AnswerStream> {
     let mut headers = HeaderMap::new();
     if !id.is_empty() {
-        mark_answer(&mut headers, id);
+        set_request_id(&mut headers, id);
     }
     let retry = retry_s.and_then(|seconds| HeaderValue::from_str(&format!("{seconds:.2}")).ok());
     if let Some(value) = retry {
--- a/gateway/src/follow.rs
+++ b/gateway/src/follow.rs
@@ -172,7 +172,7 @@
     for record in &page.records {
         let Some(value) = &record.value else { continue };
         match read_operator_record(&record.key, value) {
-            Ok(OperatorRecord::Configuration(table)) => put_in_force(gateway, *table),
+            Ok(OperatorRecord::Configuration(table)) => apply_config(gateway, *table),
             Ok(OperatorRecord::Adapter { key, version }) => {
                 named |= record_updates::record_version(gateway, key, version, reads);
             }
@@ -197,7 +197,7 @@
 /// Puts a configuration into force unless the present one is as new or newer. Older ones come from
 /// stale reads and from records that are read twice; applying them would revert what callers have
 /// seen.
-pub(crate) fn put_in_force(gateway: &Arc<Gateway>, table: RouteTable) {
+pub(crate) fn apply_config(gateway: &Arc<Gateway>, table: RouteTable) {
     let mut view = gateway.view();
     let before = view.table.as_ref().map(|table| table.version);
     if before.is_some_and(|before| before >= table.version) {
--- a/gateway/src/group.rs
+++ b/gateway/src/group.rs
@@ -100,7 +100,7 @@
     if gateway.settings.first_start {
         return GainedSince::FirstStart;
     }
-    let page = match gateway.store.newest(KeyedTopic::Tenures).await {
+    let page = match gateway.store.newest(KeyedTopic::Leases).await {
         Ok(page) => page,
         Err(error) => {
             link.record_failure(gateway, &error);
@@ -226,7 +226,7 @@
             return;
         }
     };
-    match gateway.store.write(KeyedTopic::Tenures, gateway.settings.vm.as_str(), &value).await {
+    match gateway.store.write(KeyedTopic::Leases, gateway.settings.vm.as_str(), &value).await {
         Ok(()) => *written = record.clone(),
         Err(error) => link.record_failure(gateway, &error),
     }
--- a/gateway/src/order.rs
+++ b/gateway/src/order.rs
@@ -13,7 +13,7 @@
     TrackerSettings, WaitingRequests,
 };
 use coltsfoothook_decision::routing::{AdapterKey, EnginePlan, HeldModel};
-use coltsfoothook_platform::OrderHolder;
+use coltsfoothook_platform::OrderIssuer;
 use coltsfoothook_telemetry::event;
 
 use crate::clock;
@@ -462,7 +462,7 @@
         return;
     }
     let vm = gateway.settings.vm.clone();
-    let holder = OrderHolder { vm: vm.as_str(), fence };
+    let holder = OrderIssuer { vm: vm.as_str(), fence };
     let (reply, text) = gateway.servers.order(address, server, holder, order).await;
     let (kind, key, version) = match &order.action {
         OrderAction::LoadAdapter { key, version } => ("load", key.adapter.as_str(), *version),
--- a/gateway/src/outcome.rs
+++ b/gateway/src/outcome.rs
@@ -5,8 +5,8 @@
 
 use coltsfoothook_decision::id::{ServerName, TimePoint};
 use coltsfoothook_decision::routing::AdapterKey;
-use coltsfoothook_exchange::ExchangeAnswer;
-use coltsfoothook_platform::{AnswerHead, pass_on};
+use coltsfoothook_exchange::ExchangeResponse;
+use coltsfoothook_platform::{ResponseHead, end_to_end_headers};
 use coltsfoothook_telemetry::event;
 use http::{Response, StatusCode};
 use tokio::time::timeout;
@@ -51,7 +51,7 @@
 pub(crate) async fn handle_answer(
     mut run: RequestRun,
     server: ServerName,
-    answer: ExchangeAnswer,
+    answer: ExchangeResponse,
 ) -> AfterAnswer {
     run.ran += 1;
     let status = answer.status;
@@ -84,7 +84,7 @@
     run.first = Some(run.elapsed());
     run.status = status.as_u16();
     run.end(if failed { "server_failed" } else { "done" }, "");
-    AfterAnswer::finished(whole_answer(status, pass_on(&headers), body))
+    AfterAnswer::finished(whole_answer(status, end_to_end_headers(&headers), body))
 }
 
 fn finish_or_retry(mut run: RequestRun, server: ServerName, cause: String) -> AfterAnswer {
@@ -98,8 +98,8 @@
 pub(crate) fn handle_not_run(
     run: &mut RequestRun,
     server: &ServerName,
-    answer: ExchangeAnswer,
-    head: &AnswerHead,
+    answer: ExchangeResponse,
+    head: &ResponseHead,
 ) -> NextStep {
     let now = clock::now();
     let status = answer.status;
--- a/gateway/src/record_exchange.rs
+++ b/gateway/src/record_exchange.rs
@@ -62,8 +62,8 @@
         let _ = timeout(CHECK_INTERVAL, gateway.config_behind.notified()).await;
         let Some((from, path)) = newer_source(&gateway) else { continue };
         let mut request = ExchangeRequest::get(path);
-        request.head_within = Some(ANSWER_TIMEOUT);
-        request.piece_within = Some(ANSWER_TIMEOUT);
+        request.head_timeout = Some(ANSWER_TIMEOUT);
+        request.chunk_timeout = Some(ANSWER_TIMEOUT);
         let answer = match gateway.client.send(from, request).await {
             Ok(answer) => answer.body.collect(MAX_BYTES).await,
             Err(error) => Err(error),
@@ -113,7 +113,7 @@
     drop(view);
     event!(CaughtUp, address = from, servers = entries);
     if let Some(table) = state.table {
-        follow::put_in_force(gateway, table);
+        follow::apply_config(gateway, table);
     }
     gateway.changed.notify_waiters();
 }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use coltsfoothook_decision::id::ServerName;
 use coltsfoothook_decision::routing::RetryRule;
-use coltsfoothook_exchange::{AnswerBody, ExchangeAnswer};
-use coltsfoothook_platform::pass_on;
+use coltsfoothook_exchange::{ExchangeResponse, ResponseBody};
+use coltsfoothook_platform::end_to_end_headers;
 use coltsfoothook_telemetry::event;
 use futures::StreamExt;
 use http::{HeaderMap, Response, header};
@@ -26,7 +26,7 @@
 
 /// Returns the headers of a stream's answer for the caller. The length may change when the stream is resumed.
 fn stream_headers(from: &HeaderMap) -> HeaderMap {
-    let mut headers = pass_on(from);
+    let mut headers = end_to_end_headers(from);
     headers.remove(header::CONTENT_LENGTH);
     headers
 }
@@ -36,7 +36,7 @@
     run: RequestRun,
     server: ServerName,
     /// `None` while no server runs the stream.
-    body: Option<AnswerBody>,
+    body: Option<ResponseBody>,
     /// `None` if the route does not allow to resume the stream at another server.
     scan: Option<EventScan>,
     due: std::pin::Pin<Box<Sleep>>,
@@ -57,7 +57,7 @@
     pub(crate) fn answer(
         run: RequestRun,
         server: ServerName,
-        answer: ExchangeAnswer,
+        answer: ExchangeResponse,
     ) -> Response<AnswerStream> {
         let (status, headers) = (answer.status, stream_headers(&answer.headers));
         let resumable = run.request.route.repeat == RetryRule::StreamResumable;
--- a/gateway/src/send.rs
+++ b/gateway/src/send.rs
@@ -5,8 +5,8 @@
 
 use coltsfoothook_decision::id::ServerName;
 use coltsfoothook_decision::routing::RetryRule;
-use coltsfoothook_exchange::{ExchangeAnswer, ExchangeError, ExchangeRequest};
-use coltsfoothook_platform::{AnswerHead, ForwardMarks, forward_headers, read_answer};
+use coltsfoothook_exchange::{ExchangeError, ExchangeRequest, ExchangeResponse};
+use coltsfoothook_platform::{ForwardValues, ResponseHead, forward_headers, read_response_head};
 use coltsfoothook_telemetry::event;
 use http::{StatusCode, header};
 
@@ -31,9 +31,9 @@
 /// The result of one send to a server.
 pub(crate) enum SendEnd {
     /// The head of an answer to this request was received.
-    Answer(ExchangeAnswer),
+    Answer(ExchangeResponse),
     /// The server states that it did not run the request.
-    NotRun(ExchangeAnswer, AnswerHead),
+    NotRun(ExchangeResponse, ResponseHead),
     /// No byte was sent, for this cause.
     Unsent(String),
     /// The request was sent, and whether it ran is not known, for this cause.
@@ -67,7 +67,7 @@
         (state.entry.address, state.entry.incarnation, key.and_then(|key| state.version(key)))
     };
     let left = run.left();
-    let marks = ForwardMarks {
+    let marks = ForwardValues {
         server,
         left,
         priority: run.request.rank,
@@ -78,8 +78,8 @@
     let mut request = ExchangeRequest::new(run.request.method.clone(), run.request.path.clone());
     request.headers = forward_headers(&run.request.headers, &marks);
     request.body = run.request.body.clone();
-    request.head_within = Some(head_timeout(run, left));
-    request.piece_within = Some(piece_timeout(run, left));
+    request.head_timeout = Some(head_timeout(run, left));
+    request.chunk_timeout = Some(piece_timeout(run, left));
     run.sends += 1;
     run.charge_send();
     run.server = Some(server.clone());
@@ -139,13 +139,13 @@
 }
 
 /// Classifies an answer or error. An answer counts only with the request's id and the server's seal, not encoded.
-fn classify(run: &RequestRun, sent: Result<ExchangeAnswer, ExchangeError>) -> SendEnd {
+fn classify(run: &RequestRun, sent: Result<ExchangeResponse, ExchangeError>) -> SendEnd {
     let answer = match sent {
         Ok(answer) => answer,
         Err(error) if error.certainly_not_sent() => return SendEnd::Unsent(error.to_string()),
         Err(error) => return SendEnd::Unknown(error.to_string()),
     };
-    let head = read_answer(&answer.headers);
+    let head = read_response_head(&answer.headers);
     let foreign = head.id.as_ref().is_some_and(|id| *id != run.request.head.id);
     if foreign {
         // This answers an earlier request on the connection. The answer to this request may follow, but where it
--- a/gateway/tests/soak/callers.rs
+++ b/gateway/tests/soak/callers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfoothook_exchange::{
-    ExchangeAnswer, ExchangeClient, ExchangeError, ExchangeRequest, ExchangeSettings,
+    ExchangeClient, ExchangeError, ExchangeRequest, ExchangeResponse, ExchangeSettings,
 };
 use futures::StreamExt;
 use http::{HeaderName, HeaderValue, Method};
@@ -166,7 +166,7 @@
     for step in 0..world.gateways.len() {
         let endpoints = &world.gateways[(first + step) % world.gateways.len()].endpoints;
         let mut request = ExchangeRequest::get("/v1/resolve?name=a.example&region=r&zone=d1");
-        request.head_within = Some(Duration::from_millis(500));
+        request.head_timeout = Some(Duration::from_millis(500));
         let Ok(answer) = client.send(endpoints.addresses, request).await else { continue };
         let Ok(body) = answer.body.collect(1 << 16).await else { continue };
         let body: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -199,8 +199,8 @@
         set("coltsfoothook-model", &format!("{MODEL}/{adapter}"));
         set("coltsfoothook-token-count", "100,8");
     }
-    request.head_within = Some(Duration::from_millis(DEADLINE_MS + 1_000));
-    request.piece_within = Some(Duration::from_millis(DEADLINE_MS + 1_000));
+    request.head_timeout = Some(Duration::from_millis(DEADLINE_MS + 1_000));
+    request.chunk_timeout = Some(Duration::from_millis(DEADLINE_MS + 1_000));
     let sent = Instant::now();
     let end = match client.send(address, request).await {
         Ok(answer) => read(answer).await,
@@ -211,7 +211,7 @@
     CallRecord { id: id.to_owned(), kind, at: address, sent, took: sent.elapsed(), end }
 }
 
-async fn read(mut answer: ExchangeAnswer) -> CallEnd {
+async fn read(mut answer: ExchangeResponse) -> CallEnd {
     let seal = answer.headers.get("coltsfoothook-server-seal");
     let seal = seal.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
     let status = answer.status.as_u16();
--- a/gateway/tests/suite/site.rs
+++ b/gateway/tests/suite/site.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-use coltsfoothook_exchange::{ExchangeAnswer, ExchangeClient, ExchangeRequest, ExchangeSettings};
+use coltsfoothook_exchange::{ExchangeClient, ExchangeRequest, ExchangeResponse, ExchangeSettings};
 use coltsfoothook_gateway::{
     GatewayProcess, GatewaySettings, ListenSettings, PromiseSettings, StoreSettings,
 };
@@ -212,7 +212,7 @@
     ExchangeClient::new(ExchangeSettings::default())
 }
 
-async fn read(mut answer: ExchangeAnswer) -> Option<CallerAnswer> {
+async fn read(mut answer: ExchangeResponse) -> Option<CallerAnswer> {
     let retry_after = answer.headers.get("retry-after").map(|v| v.to_str().unwrap().to_owned());
     let (mut bytes, mut whole) = (Vec::new(), true);
     while let Some(piece) = answer.body.next().await {
--- a/keys/src/config.rs
+++ b/keys/src/config.rs
@@ -157,7 +157,7 @@
 /// # Errors
 ///
 /// The file cannot be read or parsed, or the TLS library rejects the configuration.
-pub fn trusting_client(authority: &Path) -> Result<ClientConfig, KeyError> {
+pub fn client_config(authority: &Path) -> Result<ClientConfig, KeyError> {
     let roots = read_roots(authority)?;
     let builder = ClientConfig::builder_with_provider(provider())
         .with_safe_default_protocol_versions()
--- a/keys/src/lib.rs
+++ b/keys/src/lib.rs
@@ -29,6 +29,6 @@
 pub mod testing;
 mod verify;
 
-pub use config::{TlsKeys, trusting_client};
+pub use config::{TlsKeys, client_config};
 pub use error::KeyError;
 pub use files::KeyFiles;
--- a/keys/src/testing.rs
+++ b/keys/src/testing.rs
@@ -12,11 +12,11 @@
 use crate::files::KeyFiles;
 
 /// A certificate authority (CA) whose key is kept in memory only.
-pub struct TestAuthority {
+pub struct TestCa {
     issuer: CertifiedIssuer<'static, KeyPair>,
 }
 
-impl TestAuthority {
+impl TestCa {
     /// Creates a CA with a new key and a self-signed certificate.
     ///
     /// # Panics
@@ -59,7 +59,7 @@
     }
 }
 
-impl Default for TestAuthority {
+impl Default for TestCa {
     fn default() -> Self {
         Self::new()
     }
--- a/keys/tests/suite/key_files.rs
+++ b/keys/tests/suite/key_files.rs
@@ -1,7 +1,7 @@
 //! Invalid key files are reported as errors, without a panic.
 
-use coltsfoothook_keys::testing::{TestAuthority, TestDirectory};
-use coltsfoothook_keys::{KeyError, KeyFiles, TlsKeys, trusting_client};
+use coltsfoothook_keys::testing::{TestCa, TestDirectory};
+use coltsfoothook_keys::{KeyError, KeyFiles, TlsKeys, client_config};
 
 /// Returns the message of the error that loading gives, or "none".
 fn load_error(files: &KeyFiles) -> String {
@@ -14,7 +14,7 @@
 #[test]
 fn broken_files() {
     let directory = TestDirectory::new("broken_files");
-    let authority = TestAuthority::new();
+    let authority = TestCa::new();
     let good = authority.write(directory.path(), "nbo-1");
     let other = authority.write(directory.path(), "nbo-2");
     assert_eq!(load_error(&good), "none");
@@ -39,13 +39,13 @@
         let message = load_error(&files);
         assert!(message.contains(expected), "{message}");
     }
-    assert!(trusting_client(&invalid_pem).is_err());
+    assert!(client_config(&invalid_pem).is_err());
 }
 
 #[test]
 fn no_authority() {
     let directory = TestDirectory::new("no_authority");
-    let files = TestAuthority::new().write(directory.path(), "nbo-1");
+    let files = TestCa::new().write(directory.path(), "nbo-1");
     let keys = TlsKeys::load(KeyFiles { authority: None, ..files }).expect("keys");
     assert!(keys.server().is_ok());
     assert!(matches!(keys.mutual_server(), Err(KeyError::NoAuthority)));
--- a/keys/tests/suite/replaced_keys.rs
+++ b/keys/tests/suite/replaced_keys.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use coltsfoothook_keys::testing::{TestAuthority, TestDirectory};
-use coltsfoothook_keys::{KeyFiles, TlsKeys, trusting_client};
+use coltsfoothook_keys::testing::{TestCa, TestDirectory};
+use coltsfoothook_keys::{KeyFiles, TlsKeys, client_config};
 use rustls::{ClientConfig, RootCertStore, ServerConfig};
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -38,12 +38,12 @@
 #[tokio::test]
 async fn renewed_certificate() {
     let directory = TestDirectory::new("renewed_certificate");
-    let authority = TestAuthority::new();
+    let authority = TestCa::new();
     let files = authority.write(directory.path(), "nbo-1");
     let keys = TlsKeys::load(files.clone()).expect("keys");
     let server = Arc::new(keys.server().expect("a configuration"));
     let trusted = files.authority.clone().expect("a file");
-    let client = || Arc::new(trusting_client(&trusted).expect("a configuration"));
+    let client = || Arc::new(client_config(&trusted).expect("a configuration"));
     let before = handshake(&server, &client(), "127.0.0.1").await.expect("a handshake");
     assert!(!keys.reload().expect("read"), "nothing has changed");
 
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn replaced_authority() {
     let directory = TestDirectory::new("replaced_authority");
-    let (old, new) = (TestAuthority::new(), TestAuthority::new());
+    let (old, new) = (TestCa::new(), TestCa::new());
     let one = old.write(directory.path(), "nbo-1");
     let two = old.write(directory.path(), "nbo-2");
     let load = |files: &KeyFiles| TlsKeys::load(files.clone()).expect("keys");
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn stolen_key_resumes_as_client() {
     let directory = TestDirectory::new("stolen_key_resumes_as_client");
-    let (old, new) = (TestAuthority::new(), TestAuthority::new());
+    let (old, new) = (TestCa::new(), TestCa::new());
     let keys = TlsKeys::load(old.write(directory.path(), "nbo-1")).expect("keys");
     let server = keys.mutual_server().expect("a configuration");
     let (mut roots, chain, key) = parse(&old.write(directory.path(), "nbo-2"));
@@ -136,7 +136,7 @@
 #[tokio::test]
 async fn stolen_key_resumes_as_server() {
     let directory = TestDirectory::new("stolen_key_resumes_as_server");
-    let (old, new) = (TestAuthority::new(), TestAuthority::new());
+    let (old, new) = (TestCa::new(), TestCa::new());
     let keys = TlsKeys::load(old.write(directory.path(), "nbo-1")).expect("keys");
     let client = keys.mutual_client().expect("a configuration");
     let (_, chain, key) = parse(&old.write(directory.path(), "nbo-2"));
@@ -155,12 +155,12 @@
 #[tokio::test]
 async fn unknown_ca_refused() {
     let directory = TestDirectory::new("unknown_ca_refused");
-    let ours = TestAuthority::new().write(directory.path(), "nbo-1");
-    let unknown = TestAuthority::new().write(directory.path(), "nbo-9");
+    let ours = TestCa::new().write(directory.path(), "nbo-1");
+    let unknown = TestCa::new().write(directory.path(), "nbo-9");
     let server = TlsKeys::load(ours.clone()).expect("keys").mutual_server().expect("made");
     let forged = KeyFiles { authority: ours.authority.clone(), ..unknown };
     let client = TlsKeys::load(forged).expect("keys").mutual_client().expect("made");
     assert!(handshake(&server, &client, "nbo-1").await.is_none());
-    let no_certificate = trusting_client(ours.authority.as_deref().expect("a file")).expect("made");
+    let no_certificate = client_config(ours.authority.as_deref().expect("a file")).expect("made");
     assert!(handshake(&server, &Arc::new(no_certificate), "nbo-1").await.is_none());
 }
--- a/load/src/config.rs
+++ b/load/src/config.rs
@@ -13,7 +13,7 @@
 use coltsfoothook_decision::owner::OwnerEvent;
 use coltsfoothook_decision::record::{ConfigChange, ConfigRecord};
 use coltsfoothook_decision::report::EngineReport;
-use coltsfoothook_telemetry::process_figures;
+use coltsfoothook_telemetry::process_usage;
 use rand_pcg::Pcg64;
 use rand_pcg::rand_core::SeedableRng;
 
@@ -80,9 +80,9 @@
     coltsfoothook_decision::check::normalize(&mut base);
     // The fold would refuse an invalid manifest, and the measurements would be meaningless.
     assert_eq!(coltsfoothook_decision::check::check_manifest(&base).len(), 0);
-    let before = process_figures().resident_bytes;
+    let before = process_usage().resident_bytes;
     let copies: Vec<ServingManifest> = (0..COPIES).map(|_| base.clone()).collect();
-    let resident = process_figures().resident_bytes.saturating_sub(before);
+    let resident = process_usage().resident_bytes.saturating_sub(before);
     drop(black_box(copies));
     let delta = one_delta(&base.adapters[base.adapters.len() / 2]);
     let started = Instant::now();
--- a/load/src/latency.rs
+++ b/load/src/latency.rs
@@ -8,7 +8,7 @@
 
 use bpaf::Bpaf;
 use coltsfoothook_demo::{
-    CompletionAsk, LocalSite, SiteClient, SiteFailure, SiteSettings, adapter_name, credential,
+    CompletionRequest, LocalSite, SiteClient, SiteFailure, SiteSettings, adapter_name, credential,
 };
 use coltsfoothook_standin::{EngineServerSettings, read_answer};
 use futures::future::join_all;
@@ -146,7 +146,7 @@
     let client = SiteClient::new(site.callers()[0], &credential(0));
     let started = Instant::now();
     let calls = (0..options.streams).map(|number| {
-        let request = CompletionAsk {
+        let request = CompletionRequest {
             prompt: format!("stream {number}"),
             max_tokens: options.tokens,
             ..short_request(&format!("{}@1", adapter_name(0)))
@@ -200,8 +200,8 @@
     Ok(())
 }
 
-fn short_request(model: &str) -> CompletionAsk {
-    CompletionAsk {
+fn short_request(model: &str) -> CompletionRequest {
+    CompletionRequest {
         model: model.to_owned(),
         prompt: "chiller 4".to_owned(),
         max_tokens: SHORT_TOKENS,
--- a/load/src/sample.rs
+++ b/load/src/sample.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfoothook_demo::{LocalSite, OPERATOR_TOKEN, SiteClient, SiteFailure};
-use coltsfoothook_telemetry::process_figures;
+use coltsfoothook_telemetry::process_usage;
 use serde::Serialize;
 
 /// Counters of a site since its start, or their differences over a period.
@@ -48,7 +48,7 @@
         figures.appends = counters.appends as f64;
         figures.records = counters.records as f64;
         figures.reads = counters.reads as f64;
-        figures.cpu_s = process_figures().cpu_seconds;
+        figures.cpu_s = process_usage().cpu_seconds;
         figures.seconds = origin.elapsed().as_secs_f64();
         Ok(figures)
     }
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -10,11 +10,11 @@
 
 use bpaf::Bpaf;
 use coltsfoothook_demo::{
-    CompletionAsk, LocalSite, OPERATOR_TOKEN, SiteClient, SiteError, SiteFailure, SiteSettings,
+    CompletionRequest, LocalSite, OPERATOR_TOKEN, SiteClient, SiteError, SiteFailure, SiteSettings,
     adapter_name, credential,
 };
 use coltsfoothook_standin::EngineServerSettings;
-use coltsfoothook_telemetry::process_figures;
+use coltsfoothook_telemetry::process_usage;
 use futures::future::join_all;
 use http::Method;
 use serde::Serialize;
@@ -232,12 +232,12 @@
     let mut set = SlopeSet::new("entry VMs", TARGET_VMS);
     for vms in [3, 6, 12, 24, 48] {
         progress("vms", vms as u32);
-        let before = process_figures().resident_bytes;
+        let before = process_usage().resident_bytes;
         let site = LocalSite::start(settings(vms, 2)).await?;
         // Probes carry updates about the start for a while; the measurement is without them.
         tokio::time::sleep(SETTLE_TIME).await;
         let spent = SiteFigures::during(&site, time).await?;
-        let resident = process_figures().resident_bytes.saturating_sub(before) as f64;
+        let resident = process_usage().resident_bytes.saturating_sub(before) as f64;
         let each = vms as f64 * spent.seconds;
         let size = vms as f64;
         set.add("vm-bytes", "control bytes/s a VM", size, spent.bytes / each);
@@ -325,7 +325,7 @@
         let key = (!repeatable).then(|| {
             format!("load-{}-{}", std::process::id(), KEYS.fetch_add(1, Ordering::Relaxed))
         });
-        let request = CompletionAsk {
+        let request = CompletionRequest {
             model: format!("{}@1", adapter_name(adapter)),
             prompt: format!("chiller {number}"),
             max_tokens: 8,
@@ -359,7 +359,7 @@
         let client = SiteClient::new(site.callers()[0], &credential(0));
         for number in next..next + count {
             let model = format!("{}@1", adapter_name(number * 2 % 256));
-            let request = CompletionAsk { model, max_tokens: 2, ..Default::default() };
+            let request = CompletionRequest { model, max_tokens: 2, ..Default::default() };
             client.complete(&request).await?;
         }
         next += count;
--- a/peer/examples/reserve_trip.rs
+++ b/peer/examples/reserve_trip.rs
@@ -22,7 +22,7 @@
 };
 use coltsfoothook_decision::outcome::RequestClass;
 use coltsfoothook_keys::TlsKeys;
-use coltsfoothook_keys::testing::{TestAuthority, TestDirectory};
+use coltsfoothook_keys::testing::{TestCa, TestDirectory};
 use coltsfoothook_peer::{PeerHandler, PeerPool, PeerServer, PeerSettings, PeerTarget};
 use hdrhistogram::Histogram;
 
@@ -170,7 +170,7 @@
     measure("plain", pool, target, calls, concurrency).await;
 
     let directory = TestDirectory::new("reserve_trip");
-    let files = TestAuthority::new().write(directory.path(), "b");
+    let files = TestCa::new().write(directory.path(), "b");
     let keys = TlsKeys::load(files).expect("keys");
     let settings = PeerSettings::default();
     let tls = keys.mutual_server().expect("a configuration");
--- a/peer/tests/suite/forged_names.rs
+++ b/peer/tests/suite/forged_names.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use coltsfoothook_keys::testing::{TestAuthority, TestDirectory};
+use coltsfoothook_keys::testing::{TestCa, TestDirectory};
 use coltsfoothook_keys::{KeyFiles, TlsKeys};
 use coltsfoothook_peer::{FaultReason, PeerError, PeerPool, PeerServer, PeerSettings, PeerTarget};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn release_for_another() {
     let directory = TestDirectory::new("release_for_another");
-    let authority = TestAuthority::new();
+    let authority = TestCa::new();
     let vm = FakeVm::new("b", 1);
     let server = server(&authority.write(directory.path(), "b"), vm.clone());
     let pool = pool(&authority.write(directory.path(), "a"));
@@ -55,7 +55,7 @@
 #[tokio::test]
 async fn uppercase_name() {
     let directory = TestDirectory::new("uppercase_name");
-    let authority = TestAuthority::new();
+    let authority = TestCa::new();
     let server = server(&authority.write(directory.path(), "b"), FakeVm::new("b", 1));
     let pool = pool(&authority.write(directory.path(), "a"));
     let target = target(&server, "b");
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn another_vm_at_address() {
     let directory = TestDirectory::new("another_vm_at_address");
-    let authority = TestAuthority::new();
+    let authority = TestCa::new();
     let server = server(&authority.write(directory.path(), "b"), FakeVm::new("b", 1));
     let pool = pool(&authority.write(directory.path(), "a"));
     let error = pool.status(&target(&server, "c"), CALL_TIMEOUT).await.expect_err("not c");
@@ -90,9 +90,9 @@
 #[tokio::test]
 async fn unknown_peers() {
     let directory = TestDirectory::new("unknown_peers");
-    let ours = TestAuthority::new().write(directory.path(), "b");
+    let ours = TestCa::new().write(directory.path(), "b");
     let server = server(&ours, FakeVm::new("b", 1));
-    let theirs = TestAuthority::new().write(directory.path(), "a");
+    let theirs = TestCa::new().write(directory.path(), "a");
     let forged = KeyFiles { authority: ours.authority.clone(), ..theirs };
     assert!(pool(&forged).status(&target(&server, "b"), CALL_TIMEOUT).await.is_err());
     wait_until(|| server.counters().failed_handshakes() == 1).await;
@@ -110,7 +110,7 @@
 #[tokio::test]
 async fn replaced_while_running() {
     let directory = TestDirectory::new("replaced_while_running");
-    let (old, new) = (TestAuthority::new(), TestAuthority::new());
+    let (old, new) = (TestCa::new(), TestCa::new());
     let files = old.write(directory.path(), "b");
     let keys = TlsKeys::load(files.clone()).expect("keys");
     let tls = keys.mutual_server().expect("a configuration");
--- a/service/src/client.rs
+++ b/service/src/client.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use coltsfoothook_exchange::{
-    AnswerBody, ExchangeClient, ExchangeError, ExchangeRequest, ExchangeSettings, ExchangeStage,
+    ExchangeClient, ExchangeError, ExchangeRequest, ExchangeSettings, ExchangeStage, ResponseBody,
 };
 use coltsfoothook_settings::settings_struct;
 use http::{HeaderMap, HeaderName, Method, StatusCode, header};
@@ -85,7 +85,7 @@
     /// Response headers without hop-by-hop headers.
     pub headers: HeaderMap,
     /// Response body. Convert an error while reading it with [`ServiceError::from`].
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
 /// Failure of a call, by the stage that it reached.
@@ -136,7 +136,7 @@
         match error {
             ExchangeError::NotSent { cause } => Self::NotSent { cause },
             ExchangeError::Sent { cause } => Self::Sent { cause },
-            ExchangeError::Broken { cause } => Self::Broken { cause },
+            ExchangeError::BodyFailed { cause } => Self::Broken { cause },
             ExchangeError::TimedOut { stage } => Self::Timeout { stage },
             ExchangeError::TooLarge { limit } => Self::TooLarge { limit },
         }
@@ -177,8 +177,8 @@
             headers: without_hop_headers(call.headers),
             body: call.body,
             fresh: !call.repeatable,
-            head_within: call.within,
-            piece_within: None,
+            head_timeout: call.within,
+            chunk_timeout: None,
         };
         let answer = self.client.send(address, request).await?;
         let headers = without_hop_headers(answer.headers);
--- a/standin/examples/many_streams.rs
+++ b/standin/examples/many_streams.rs
@@ -11,7 +11,7 @@
 use coltsfoothook_decision::id::{OwnerEpoch, SlotName};
 use coltsfoothook_engine::{EngineClient, EngineSettings, HttpEngine, LoadOrder, RunCall};
 use coltsfoothook_standin::{EngineServerSettings, prompt_hash, read_answer, start_engine};
-use coltsfoothook_telemetry::process_figures;
+use coltsfoothook_telemetry::process_usage;
 use futures::StreamExt;
 use futures::future::join_all;
 use serde_json::{Value, json};
@@ -45,13 +45,13 @@
         fencing: OwnerEpoch(1),
     };
     client.load(engine.address(), &order).await.expect("a load");
-    let (begun, before) = (Instant::now(), process_figures());
+    let (begun, before) = (Instant::now(), process_usage());
     let runs = (0..streams).map(|number| {
         let (client, address) = (client.clone(), engine.address());
         tokio::spawn(async move { read_stream(&client, address, number, tokens).await })
     });
     let figures: Vec<_> = join_all(runs).await.into_iter().map(Result::unwrap).collect();
-    let (took, after) = (begun.elapsed(), process_figures());
+    let (took, after) = (begun.elapsed(), process_usage());
     let counters = engine.counters();
     let whole = figures.iter().filter(|stream| stream.whole).count();
     let firsts = figures.iter().map(|stream| stream.first_token).collect();
--- a/standin/src/metric.rs
+++ b/standin/src/metric.rs
@@ -1,6 +1,6 @@
 //! Counters of a stand-in in the Prometheus text format.
 
-use coltsfoothook_telemetry::process_figures;
+use coltsfoothook_telemetry::process_usage;
 use http::StatusCode;
 use prometheus::{Gauge, IntCounter, Registry, TextEncoder};
 use serde::Serialize;
@@ -32,7 +32,7 @@
         counter.inc_by(value.as_u64().unwrap_or_default());
         registry.register(Box::new(counter))?;
     }
-    let usage = process_figures();
+    let usage = process_usage();
     for (name, help, value) in [
         ("process_resident_memory_bytes", "Resident memory.", usage.resident_bytes as f64),
         ("process_cpu_seconds_total", "Processor time.", usage.cpu_seconds),
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -43,7 +43,7 @@
 };
 pub use logging::{LogError, LogLevel, LogOutput, LogSettings, name_process, start_logs};
 pub use metric::{MetricSet, MetricSettings, RequestMetrics};
-pub use process::{ProcessFigures, process_figures};
+pub use process::{ProcessUsage, process_usage};
 pub use reference::metrics_page;
 
 #[doc(hidden)]
--- a/telemetry/src/metric.rs
+++ b/telemetry/src/metric.rs
@@ -15,7 +15,7 @@
     AppendResult, ClaimResult, EvictionReason, LoadResult, OrderKind, OrderResult, PublishResult,
     RetryReason, SlotState, StreamName, TenantLabels, TrafficKind, member_state,
 };
-use crate::process::process_figures;
+use crate::process::process_usage;
 
 settings_struct! {
     /// Settings of the exported metrics.
@@ -241,7 +241,7 @@
     /// Returns all metrics in the Prometheus text format, after an update of the process's resource usage.
     #[must_use]
     pub fn text(&self) -> String {
-        let usage = process_figures();
+        let usage = process_usage();
         self.families.resident_bytes.set(gauge_value(usage.resident_bytes));
         self.families.cpu_seconds.set(usage.cpu_seconds);
         self.families.open_files.set(gauge_value(usage.open_files));
--- a/telemetry/src/process.rs
+++ b/telemetry/src/process.rs
@@ -4,7 +4,7 @@
 
 /// Resource usage of this process. A figure that could not be read is 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ProcessFigures {
+pub struct ProcessUsage {
     /// Resident memory in bytes.
     pub resident_bytes: u64,
     /// User and system CPU time in seconds since the process started.
@@ -22,15 +22,15 @@
 
 /// Reads the current resource usage of this process.
 #[must_use]
-pub fn process_figures() -> ProcessFigures {
+pub fn process_usage() -> ProcessUsage {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let open_files = fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count() as u64);
-    ProcessFigures { open_files, ..parse_figures(&stat, &statm) }
+    ProcessUsage { open_files, ..parse_figures(&stat, &statm) }
 }
 
 /// Parses the contents of `/proc/self/stat` and `/proc/self/statm`; `open_files` is left at 0.
-fn parse_figures(stat: &str, statm: &str) -> ProcessFigures {
+fn parse_figures(stat: &str, statm: &str) -> ProcessUsage {
     // The second field is the program name in parentheses, which may contain spaces and parentheses.
     let after_name = stat.rsplit_once(") ").map_or("", |(_, rest)| rest);
     let number = |index: usize| {
@@ -39,7 +39,7 @@
     };
     let (user_ticks, system_ticks, threads) = (number(11), number(12), number(17));
     let resident = statm.split_ascii_whitespace().nth(1).and_then(|text| text.parse::<u64>().ok());
-    ProcessFigures {
+    ProcessUsage {
         resident_bytes: resident.unwrap_or_default() * PAGE_BYTES,
         cpu_seconds: (user_ticks + system_ticks) as f64 / TICKS_PER_SECOND,
         open_files: 0,
@@ -58,6 +58,6 @@
         assert_eq!(figures.cpu_seconds, 3.0);
         assert_eq!(figures.threads, 9);
         assert_eq!(figures.resident_bytes, 30 * PAGE_BYTES);
-        assert_eq!(parse_figures("", ""), ProcessFigures::default());
+        assert_eq!(parse_figures("", ""), ProcessUsage::default());
     }
 }
