--- a/demo/src/client.rs
+++ b/demo/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of a site, for callers and operators. It uses the public interface only.
+//! HTTP client of a site, for callers and operators. It uses only the public HTTP interface.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/demo/src/site.rs
+++ b/demo/src/site.rs
@@ -2,7 +2,8 @@
 //! them.
 //!
 //! The entry VMs run the code of the entry binary, each on its own loopback ports. The
-//! demonstration, the tests of the entry process and the experiments of the load tool use it.
+//! demonstration, the tests of the entry process and the experiments of the load tool use such a
+//! site.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -57,7 +58,7 @@
     pub adapters: usize,
     /// Number of tenants; adapters are assigned to them round-robin.
     pub tenants: usize,
-    /// Settings of every engine; the weight store and the incarnation are filled in.
+    /// Settings of every engine; [`LocalSite::start`] sets the weight store and the incarnation.
     pub engine: EngineServerSettings,
     /// Settings of the weight store.
     pub store: StoreServerSettings,
@@ -65,7 +66,8 @@
     pub platform: PlatformServerSettings,
     /// The placement policy of the manifest.
     pub policy: PlacementPolicy,
-    /// Settings that all entry VMs share; names, addresses and the operator token are filled in.
+    /// Settings that all entry VMs share; [`LocalSite::start_vm`] sets names, addresses and the
+    /// operator token.
     pub entry: EntrySettings,
 }
 
@@ -86,7 +88,7 @@
     }
 }
 
-/// Why a step of a local site failed.
+/// Failure of an operation on a local site.
 #[derive(Debug, Snafu)]
 pub enum SiteError {
     /// A stand-in server cannot listen, or the token file cannot be written.
@@ -117,7 +119,7 @@
     },
 }
 
-/// A running local site. Call [`LocalSite::stop`] to shut it down in order.
+/// A running local site. Call [`LocalSite::stop`] to shut it down gracefully.
 pub struct LocalSite {
     /// The settings that the site was started with.
     pub settings: SiteSettings,
@@ -175,9 +177,9 @@
             manifest: manifest.clone(),
             token,
         };
-        for at in 0..site.settings.vms {
+        for index in 0..site.settings.vms {
             site.vms.push(None);
-            site.start_vm(at).await?;
+            site.start_vm(index).await?;
         }
         site.publish(manifest).await?;
         let all = "every VM to be ready and every group to be owned";
@@ -185,16 +187,16 @@
         Ok(site)
     }
 
-    /// Starts the VM with the number `at` and lists it in the directory. A VM that ran before
+    /// Starts the VM with the number `index` and lists it in the directory. A VM that ran before
     /// starts as a new incarnation.
     ///
     /// # Errors
     ///
     /// The process cannot start.
-    pub async fn start_vm(&mut self, at: usize) -> Result<(), SiteError> {
+    pub async fn start_vm(&mut self, index: usize) -> Result<(), SiteError> {
         let settings = EntrySettings {
-            vm: vm_name(at),
-            domain: DOMAINS[at % DOMAINS.len()].into(),
+            vm: vm_name(index),
+            domain: DOMAINS[index % DOMAINS.len()].into(),
             region: REGION.into(),
             log: self.platform.address(),
             directory: self.platform.address(),
@@ -211,42 +213,42 @@
         let process = EntryProcess::start(settings).await.context(EntrySnafu)?;
         let addresses = process.addresses();
         self.platform.change_vms(VmChange::Put(ListedVm {
-            name: vm_name(at),
+            name: vm_name(index),
             place: MemberPlace {
                 caller: addresses.caller,
                 peer: addresses.peer,
-                domain: DOMAINS[at % DOMAINS.len()].into(),
+                domain: DOMAINS[index % DOMAINS.len()].into(),
                 region: REGION.into(),
             },
             state: ListedState::Live,
         }));
-        self.vms[at] = Some(process);
+        self.vms[index] = Some(process);
         Ok(())
     }
 
     /// Shuts a VM down gracefully and removes it from the directory. Returns its count of invariant
-    /// violations; 0 if it does not run.
-    pub async fn stop_vm(&mut self, at: usize) -> u64 {
-        let Some(process) = self.vms[at].take() else { return 0 };
+    /// violations; 0 if it is not running.
+    pub async fn stop_vm(&mut self, index: usize) -> u64 {
+        let Some(process) = self.vms[index].take() else { return 0 };
         let violated = process.shut_down().await.violated();
-        self.platform.change_vms(VmChange::Remove { name: vm_name(at).0 });
+        self.platform.change_vms(VmChange::Remove { name: vm_name(index).0 });
         violated
     }
 
     /// Aborts a VM without a shutdown. Its entry in the directory is not removed here.
-    pub async fn kill_vm(&mut self, at: usize) {
-        if let Some(process) = self.vms[at].take() {
+    pub async fn kill_vm(&mut self, index: usize) {
+        if let Some(process) = self.vms[index].take() {
             process.abort().await;
         }
     }
 
     /// Publishes a manifest based on the newest version in force and waits until it is in force at
-    /// every running VM. Returns the new version and the time from sending the publication until
-    /// then.
+    /// every running VM. Returns the new version and the time from sending the accepted
+    /// publication until then.
     ///
     /// # Errors
     ///
-    /// The manifest was refused, or it was not in force in time.
+    /// No VM is running, the manifest was refused, or it was not in force in time.
     pub async fn publish(
         &mut self,
         manifest: ServingManifest,
@@ -344,15 +346,15 @@
         self.engines.iter().map(|engine| engine.counters().evicted_in_use).sum()
     }
 
-    /// Returns how many tickets too many were created: for each ticket id the creations after the
-    /// first, over all servers of the plain service.
+    /// Returns the number of duplicate tickets: for each ticket id the creations after the first,
+    /// summed over all servers of the plain service.
     #[must_use]
     pub fn doubled(&self) -> u64 {
         let mut created: Vec<_> =
             self.services.iter().flat_map(|service| service.tickets_by_id()).collect();
         created.sort_by(|left, right| left.text.cmp(&right.text));
-        let times = created.chunk_by(|left, right| left.text == right.text);
-        let times = times.map(|same| same.iter().map(|entry| u64::from(entry.count)).sum::<u64>());
+        let by_id = created.chunk_by(|left, right| left.text == right.text);
+        let times = by_id.map(|same| same.iter().map(|entry| u64::from(entry.count)).sum::<u64>());
         times.map(|times| times.saturating_sub(1)).sum()
     }
 
@@ -379,28 +381,28 @@
     }
 }
 
-/// Returns the name of the VM with the number `at`.
+/// Returns the name of the VM with the number `index`.
 #[must_use]
-pub fn vm_name(at: usize) -> VmName {
-    format!("vm-{at}").into()
+pub fn vm_name(index: usize) -> VmName {
+    format!("vm-{index}").into()
 }
 
-/// Returns the name of the adapter with the number `at`.
+/// Returns the name of the adapter with the number `index`.
 #[must_use]
-pub fn adapter_name(at: usize) -> String {
-    format!("adapter-{at:05}")
+pub fn adapter_name(index: usize) -> String {
+    format!("adapter-{index:05}")
 }
 
-/// Returns the name of the tenant with the number `at`.
+/// Returns the name of the tenant with the number `index`.
 #[must_use]
-pub fn tenant_name(at: usize) -> String {
-    format!("tenant-{at:03}")
+pub fn tenant_name(index: usize) -> String {
+    format!("tenant-{index:03}")
 }
 
-/// Returns the bearer credential of the tenant with the number `at`.
+/// Returns the bearer credential of the tenant with the number `index`.
 #[must_use]
-pub fn credential(at: usize) -> String {
-    format!("credential-of-{}", tenant_name(at))
+pub fn credential(index: usize) -> String {
+    format!("credential-of-{}", tenant_name(index))
 }
 
 fn write_token() -> std::io::Result<PathBuf> {
@@ -413,8 +415,8 @@
     Ok(path)
 }
 
-/// Returns the manifest of a site whose engines and servers of the plain service have these
-/// addresses, in normal form.
+/// Returns, in normal form, the manifest of a site whose engines and servers of the plain service
+/// have these addresses.
 #[must_use]
 pub fn site_manifest(
     settings: &SiteSettings,
@@ -435,7 +437,9 @@
     };
     let mut manifest = ServingManifest {
         models: vec![ModelEntry { name: MODEL.into() }],
-        adapters: (0..settings.adapters).map(|at| adapter_entry(at, settings.tenants)).collect(),
+        adapters: (0..settings.adapters)
+            .map(|index| adapter_entry(index, settings.tenants))
+            .collect(),
         tenants,
         servers: server_entries(settings, engines, services),
         services: vec![service],
@@ -447,30 +451,30 @@
     manifest
 }
 
-fn tenant_entry(at: usize) -> TenantEntry {
+fn tenant_entry(index: usize) -> TenantEntry {
     TenantEntry {
-        name: tenant_name(at).into(),
-        credentials: vec![CredentialHash::of(&credential(at)).to_hex()],
+        name: tenant_name(index).into(),
+        credentials: vec![CredentialHash::of(&credential(index)).to_hex()],
         requests_per_s: None,
         burst: 100,
         weight: 1.0,
     }
 }
 
-fn adapter_entry(at: usize, tenants: usize) -> AdapterEntry {
+fn adapter_entry(index: usize, tenants: usize) -> AdapterEntry {
     AdapterEntry {
-        name: adapter_name(at).into(),
+        name: adapter_name(index).into(),
         model: MODEL.into(),
-        versions: vec![version_entry(at, FIRST_VERSION)],
+        versions: vec![version_entry(index, FIRST_VERSION)],
         default_version: Some(FIRST_VERSION.into()),
-        tenants: vec![tenant_name(at % tenants).into()],
+        tenants: vec![tenant_name(index % tenants).into()],
     }
 }
 
-/// Returns the manifest entry of a version of the adapter with the number `at`.
+/// Returns the manifest entry of a version of the adapter with the number `index`.
 #[must_use]
-pub fn version_entry(at: usize, version: &str) -> VersionEntry {
-    let weights = format!("store://{}/{version}", adapter_name(at));
+pub fn version_entry(index: usize, version: &str) -> VersionEntry {
+    let weights = format!("store://{}/{version}", adapter_name(index));
     VersionEntry { version: version.into(), weights }
 }
 
@@ -479,10 +483,10 @@
     engines: &[SocketAddr],
     services: &[SocketAddr],
 ) -> Vec<ServerEntry> {
-    let engine = |(at, address): (usize, &SocketAddr)| ServerEntry {
-        name: format!("engine-{at:02}").into(),
+    let engine = |(index, address): (usize, &SocketAddr)| ServerEntry {
+        name: format!("engine-{index:02}").into(),
         address: *address,
-        domain: DOMAINS[at % DOMAINS.len()].into(),
+        domain: DOMAINS[index % DOMAINS.len()].into(),
         region: REGION.into(),
         serves: ServerKind::Engine(EngineEntry {
             model: MODEL.into(),
@@ -491,10 +495,10 @@
             checks_fencing: settings.engine.checks_fencing,
         }),
     };
-    let service = |(at, address): (usize, &SocketAddr)| ServerEntry {
-        name: format!("{SERVICE}-{at:02}").into(),
+    let service = |(index, address): (usize, &SocketAddr)| ServerEntry {
+        name: format!("{SERVICE}-{index:02}").into(),
         address: *address,
-        domain: DOMAINS[at % DOMAINS.len()].into(),
+        domain: DOMAINS[index % DOMAINS.len()].into(),
         region: REGION.into(),
         serves: ServerKind::Service { service: SERVICE.into() },
     };
--- a/demo/src/traffic.rs
+++ b/demo/src/traffic.rs
@@ -30,7 +30,7 @@
     pub tickets_per_s: f64,
     /// Audit jobs per second.
     pub jobs_per_s: f64,
-    /// Number of adapters of the site; requests name adapters below it.
+    /// Number of adapters of the site; requests name adapters with lower numbers.
     pub adapters: usize,
     /// Number of tenants of the site.
     pub tenants: usize,
@@ -91,7 +91,7 @@
     pub gap: Histogram<u64>,
 }
 
-/// Caller addresses of the entry VMs, as last fetched from a VM.
+/// Caller addresses of the entry VMs, as given at the start or last fetched from a VM.
 #[derive(Debug, Default)]
 pub struct KnownEntries {
     addresses: Mutex<Vec<SocketAddr>>,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Generates traffic on a site and counts its outcomes.
+/// Generates traffic on a site and counts the outcomes of the requests.
 pub struct SiteTraffic {
     settings: TrafficSettings,
     entries: KnownEntries,
@@ -119,7 +119,7 @@
     times: Mutex<TrafficTimes>,
     jobs: Mutex<Vec<AcceptedJob>>,
     tickets: Mutex<Vec<String>>,
-    numbers: AtomicU64,
+    next_number: AtomicU64,
 }
 
 #[derive(Clone, Debug)]
@@ -140,7 +140,8 @@
 const CALL_DEADLINE_MS: u64 = 30_000;
 
 impl SiteTraffic {
-    /// Creates the callers; `entries` are the caller addresses of the VMs that they call at first.
+    /// Creates the traffic generator; `entries` are the caller addresses of the VMs that it calls
+    /// at first.
     #[must_use]
     pub fn new(settings: TrafficSettings, entries: Vec<SocketAddr>) -> Arc<Self> {
         let known = KnownEntries::default();
@@ -157,7 +158,7 @@
             }),
             jobs: Mutex::default(),
             tickets: Mutex::default(),
-            numbers: AtomicU64::new(0),
+            next_number: AtomicU64::new(0),
         })
     }
 
@@ -217,7 +218,7 @@
 
     fn draw(&self, rng: &mut Pcg64) -> DrawnCall {
         let adapter = zipf(rng, self.settings.adapters, self.settings.skew);
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (min, max) = self.settings.tokens;
         let class = match rng.random_range(0..10) {
             0..3 => "urgent",
@@ -231,7 +232,7 @@
             tokens: rng.random_range(min..=max),
             class,
             number,
-            pick: rng.random_range(0..usize::from(u16::MAX)),
+            entry_index: rng.random_range(0..usize::from(u16::MAX)),
         }
     }
 
@@ -339,7 +340,7 @@
         lock(&self.counts).lost += 1;
     }
 
-    /// Runs `run` at one entry VM after the other, at most [`MAX_ATTEMPTS`] times. Only a transient
+    /// Runs `run` at successive entry VMs, at most [`MAX_ATTEMPTS`] times. Only a transient
     /// failure with the outcome "not_run" is retried.
     async fn with_retries<T, Run, Running>(
         &self,
@@ -351,8 +352,8 @@
         Running: Future<Output = Result<T, SiteFailure>>,
     {
         let mut last_failure = None;
-        for pick in call.pick..call.pick + MAX_ATTEMPTS {
-            let Some(client) = self.client(call.tenant, pick) else { break };
+        for entry_index in call.entry_index..call.entry_index + MAX_ATTEMPTS {
+            let Some(client) = self.client(call.tenant, entry_index) else { break };
             let failure = match run(client).await {
                 Ok(value) => return Ok(value),
                 Err(failure) => failure,
@@ -371,12 +372,12 @@
 
     fn check_answer(&self, call: &DrawnCall, text: &str) {
         let mut counts = lock(&self.counts);
-        let Ok(proof) = read_answer(text) else {
+        let Ok(answer) = read_answer(text) else {
             counts.cut += 1;
             return;
         };
-        let correct = proof.adapter == call.model && proof.prompt == prompt_hash(&call.prompt);
-        let complete = proof.first == 0 && proof.tokens == call.tokens;
+        let correct = answer.adapter == call.model && answer.prompt == prompt_hash(&call.prompt);
+        let complete = answer.first == 0 && answer.tokens == call.tokens;
         match (correct, complete) {
             (false, _) => counts.wrong_adapter += 1,
             (true, false) => counts.cut += 1,
@@ -393,9 +394,9 @@
         }
     }
 
-    fn client(&self, tenant: usize, pick: usize) -> Option<Arc<SiteClient>> {
+    fn client(&self, tenant: usize, entry_index: usize) -> Option<Arc<SiteClient>> {
         let entries = self.entries.get();
-        let address = *entries.get(pick % entries.len().max(1))?;
+        let address = *entries.get(entry_index % entries.len().max(1))?;
         let credential = credential(tenant);
         let mut clients = lock(&self.clients);
         let known = clients.iter().find(|client| client.is_for(address, &credential));
@@ -410,11 +411,11 @@
     /// Fetches the list of entry VMs periodically until `stop`. An empty or failed response keeps
     /// the addresses known so far.
     async fn refresh_entries(self: Arc<Self>, stop: CancellationToken) {
-        let mut pick = 0;
+        let mut entry_index = 0;
         while !stop.is_cancelled() {
             sleep(ENTRIES_INTERVAL).await;
-            pick += 1;
-            let Some(client) = self.client(0, pick) else { continue };
+            entry_index += 1;
+            let Some(client) = self.client(0, entry_index) else { continue };
             let Ok(answer) = client.json(Method::GET, "/v1/entries", None).await else { continue };
             let entries = answer.get("entries").and_then(Value::as_array);
             let addresses: Vec<SocketAddr> = entries
@@ -437,7 +438,7 @@
     tokens: u32,
     class: &'static str,
     number: u64,
-    pick: usize,
+    entry_index: usize,
 }
 
 /// Returns the delay that the problem document states, at least 20 ms and at most
--- a/engine/src/client.rs
+++ b/engine/src/client.rs
@@ -13,7 +13,7 @@
 use crate::error::{OrderError, RunError};
 use crate::wire::{CacheEventPage, KvExport, LoadOrder, RoleOrder, UnloadOrder};
 
-/// Client interface of a model engine. Every call names the engine by its address.
+/// Client interface of a model engine. Every method takes the engine's address.
 #[async_trait]
 pub trait EngineClient: Send + Sync {
     /// Loads an adapter version under a slot name and returns once the engine reports it as loaded.
@@ -22,7 +22,7 @@
     /// Unloads a slot. Succeeds if the slot does not exist.
     async fn unload(&self, address: SocketAddr, order: &UnloadOrder) -> Result<(), OrderError>;
 
-    /// Sets which part of generation the engine runs; see [`EngineRole`](crate::EngineRole).
+    /// Sets which part of a run the engine executes; see [`EngineRole`](crate::EngineRole).
     async fn role(&self, address: SocketAddr, order: &RoleOrder) -> Result<(), OrderError>;
 
     /// Reads the engine's load report, which may lag behind its actual state.
@@ -98,7 +98,7 @@
 pub struct RunCall {
     /// Endpoint that the body is posted to.
     pub path: RunPath,
-    /// JSON body in which `model` is the slot's name and `priority` is set for the engine.
+    /// JSON body in which `model` is the slot's name and `priority` is the grant's priority.
     pub body: Bytes,
     /// Id under which the run can be resumed and cancelled.
     pub id: RequestId,
--- a/engine/src/error.rs
+++ b/engine/src/error.rs
@@ -24,7 +24,7 @@
         /// The engine's error message, truncated.
         reason: String,
     },
-    /// The engine returned a server error: the request may have run in part.
+    /// The engine returned any other error status: the request may have run in part.
     #[snafu(display("failed with {status}: {reason}"))]
     Failed {
         /// A status that is neither a client error nor 503.
@@ -32,13 +32,13 @@
         /// The engine's error message, truncated.
         reason: String,
     },
-    /// The request was sent but no response arrived: whether it ran is unknown.
+    /// The request was sent, at least in part, but no valid response head arrived: whether it ran is unknown.
     #[snafu(display("sent, no answer: {cause}"))]
     Sent {
         /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// The response ended before its end was received.
+    /// The response head arrived, but the body ended early or was malformed.
     #[snafu(display("answer cut: {cause}"))]
     Broken {
         /// Description of the underlying error, for logs.
--- a/engine/src/http_engine.rs
+++ b/engine/src/http_engine.rs
@@ -19,13 +19,13 @@
 use crate::error::{OrderError, RunError};
 use crate::wire::{CacheEventPage, KvExport, LoadOrder, RoleOrder, UnloadOrder};
 
-/// Header of a run that carries the request's id.
+/// Request header that carries the id of a run.
 pub const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
-/// Header of an order that carries its fencing number, the sender's owner epoch.
+/// Request header that carries the fencing number of an order, which is the sender's owner epoch.
 pub const FENCING_HEADER: HeaderName = HeaderName::from_static("x-fencing-number");
 const IDEMPOTENCY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Maximum size of an error body that is parsed; a longer one leaves only the status.
+/// Maximum size in bytes of an error body that is parsed; of a longer one only the status is used.
 const ERROR_BODY_BYTES: usize = 16 * 1024;
 /// Maximum length of an error message taken from a body, in characters.
 const REASON_CHARS: usize = 400;
@@ -286,7 +286,7 @@
 async fn error_detail(answer: ExchangeAnswer) -> Result<ErrorDetail, ExchangeError> {
     let body = match answer.body.collect(ERROR_BODY_BYTES).await {
         Ok(body) => body,
-        // The status is enough to classify the error; only the message is lost.
+        // Without the body's code and message, the error is classified by its status alone.
         Err(ExchangeError::TooLarge { .. }) => Bytes::new(),
         Err(error) => return Err(error),
     };
--- a/engine/src/wire.rs
+++ b/engine/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages exchanged with an engine, except for completions.
+//! Messages exchanged with an engine, except for runs and load reports.
 
 use coltsfoothook_decision::id::{OwnerEpoch, SlotName};
 use coltsfoothook_decision::value;
@@ -11,7 +11,8 @@
         pub slot: SlotName,
         /// Location of the weights, sent to the engine as `lora_path`.
         pub weights: String,
-        /// Epoch of the owner that sends the order; the engine refuses one lower than it has received.
+        /// Epoch of the owner that sends the order. An engine that checks fencing numbers refuses
+        /// an epoch lower than the highest it has received.
         pub fencing: OwnerEpoch,
     }
 
@@ -20,16 +21,18 @@
     pub struct UnloadOrder {
         /// Name given in the [`LoadOrder`].
         pub slot: SlotName,
-        /// Epoch of the owner that sends the order; the engine refuses one lower than it has received.
+        /// Epoch of the owner that sends the order. An engine that checks fencing numbers refuses
+        /// an epoch lower than the highest it has received.
         pub fencing: OwnerEpoch,
     }
 
     /// Order to change an engine's role.
     #[derive(Copy, Eq)]
     pub struct RoleOrder {
-        /// Role from now on.
+        /// The new role.
         pub role: EngineRole,
-        /// Epoch of the owner that sends the order; the engine refuses one lower than it has received.
+        /// Epoch of the owner that sends the order. An engine that checks fencing numbers refuses
+        /// an epoch lower than the highest it has received.
         pub fencing: OwnerEpoch,
     }
 
--- a/service/src/client.rs
+++ b/service/src/client.rs
@@ -12,9 +12,10 @@
 use http::{HeaderMap, HeaderName, Method, StatusCode, header};
 use snafu::Snafu;
 
-/// Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1), headers that the
-/// exchange sets itself, and `Expect`, which has no use because the body is sent with the headers.
-const HOP_HEADERS: [HeaderName; 10] = [
+/// Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1, and RFC 2616,
+/// section 13.5.1), headers that the exchange client sets itself, and `Expect`, which has no use
+/// because the body is sent with the headers.
+const NOT_FORWARDED: [HeaderName; 10] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -51,7 +52,8 @@
     pub method: Method,
     /// Path and query, sent unchanged.
     pub path: String,
-    /// Request headers; hop-by-hop headers are removed before sending.
+    /// Request headers; hop-by-hop headers, `Host`, `Content-Length` and `Expect` are not
+    /// forwarded.
     pub headers: HeaderMap,
     /// Complete request body; may be empty.
     pub body: Bytes,
@@ -82,7 +84,7 @@
 pub struct ServiceAnswer {
     /// Any status, also that of an error.
     pub status: StatusCode,
-    /// Response headers without hop-by-hop headers.
+    /// Response headers without hop-by-hop headers and `Content-Length`.
     pub headers: HeaderMap,
     /// Response body. Convert an error while reading it with [`ServiceError::from`].
     pub body: AnswerBody,
@@ -97,13 +99,15 @@
         /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// The call was sent but no response arrived: whether it ran is unknown.
+    /// The call was sent, at least in part, but no valid response head arrived: whether it ran is
+    /// unknown.
     #[snafu(display("sent, no answer: {cause}"))]
     Sent {
         /// Description of the underlying error, for logs.
         cause: String,
     },
-    /// The call ran, at least in part, and the response ended before its end was received.
+    /// The call ran, at least in part; the response head arrived, but the body ended early or was
+    /// malformed.
     #[snafu(display("answer cut: {cause}"))]
     Broken {
         /// Description of the underlying error, for logs.
@@ -174,20 +178,20 @@
         let request = ExchangeRequest {
             method: call.method,
             path: call.path,
-            headers: without_hop_headers(call.headers),
+            headers: forwarded_headers(call.headers),
             body: call.body,
             fresh: !call.repeatable,
             head_within: call.within,
             piece_within: None,
         };
         let answer = self.client.send(address, request).await?;
-        let headers = without_hop_headers(answer.headers);
+        let headers = forwarded_headers(answer.headers);
         Ok(ServiceAnswer { status: answer.status, headers, body: answer.body })
     }
 }
 
-/// Removes hop-by-hop headers, including those listed in `Connection`.
-fn without_hop_headers(mut headers: HeaderMap) -> HeaderMap {
+/// Removes the headers in [`NOT_FORWARDED`], those listed in `Connection`, and `Keep-Alive`.
+fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -195,7 +199,7 @@
         .flat_map(|text| text.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in HOP_HEADERS.iter().chain(&listed) {
+    for name in NOT_FORWARDED.iter().chain(&listed) {
         headers.remove(name);
     }
     headers.remove(KEEP_ALIVE);
--- a/service/src/lib.rs
+++ b/service/src/lib.rs
@@ -1,4 +1,4 @@
-//! Client of plain services.
+//! Client of plain services: backend servers with an HTTP interface that are not model engines.
 //!
 //! A call is forwarded with its method, path, headers and body. Some calls must not be repeated, so
 //! [`HttpService`] sends each at most once, and [`ServiceError`] states the stage at which a call failed.
